--- a/crates/coveroute-engine/src/admit.rs
+++ b/crates/coveroute-engine/src/admit.rs
@@ -1,4 +1,4 @@
-//! Admit: whether a call can be taken at all, and what the decisions are told of it.
+//! Admission: checks a call and converts it into a submission for the decisions.
 use std::sync::Arc;
 
 use coveroute::types::{InvId, Submission};
@@ -7,35 +7,37 @@
 use crate::answer::Unfit;
 use crate::operations::Operations;
 
-/// What a front has read of an invocation; its bytes stay with the front.
+/// The parameters of an invocation as a front has read them; its body stays with the front.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The id that it came with.
+    /// The id that the client gave the call.
     pub call: Arc<str>,
     pub class: String,
     pub caller: Option<String>,
-    /// How long the client will wait, in seconds, counted from `came`.
+    /// How long the client waits, in seconds, counted from `came`.
     pub budget: f64,
+    /// The client's estimate of the work, in seconds.
     pub hint: Option<f64>,
     pub memory: Option<f64>,
-    /// What it works on, as a number that is the same at every node.
+    /// Partition key of the call, as a number that is the same at every node.
     pub key: Option<u64>,
-    /// Whether the client says that it comes back.
+    /// Whether the client marks the call as a retry.
     pub again: bool,
+    /// When the call was received.
     pub came: f64,
 }
 
-/// Kept back from what the client waits, in seconds: the way of the answer's last byte, with a busy core.
+/// Seconds subtracted from the client's budget for the delivery of the answer's last byte from a busy core.
 pub const ANSWER_TAKES: f64 = 0.05;
 
-/// The least work that a hint may speak of: under the way to an executor it makes no difference.
-const HINT_LEAST: f64 = 1e-4;
-/// And the most, in client timeouts: heavy work takes tens of the usual, which is itself a part of a timeout.
-const HINT_MOST: f64 = 10.0;
+/// Smallest accepted hint, in seconds: below the network delay to an executor it makes no difference.
+const MIN_HINT: f64 = 1e-4;
+/// Largest accepted hint, in client timeouts: heavy work takes tens of times the usual, which is itself a fraction of
+/// a timeout.
+const MAX_HINT_TIMEOUTS: f64 = 10.0;
 
-/// Names become indices, and what the node has already used of the client's time comes off. Guards against
-/// odd clients whose figures would spoil what is learned of all: their time and their hint are bound by what
-/// the settings give the operation.
+/// Resolves names to indices and subtracts the time already spent from the client's budget. The budget and the hint are
+/// limited by the operation's timeout, so that implausible values from one client do not distort what is learned.
 pub fn admit(
     id: InvId,
     call: &Call,
@@ -45,13 +47,16 @@
 ) -> Result<Submission, Unfit> {
     let find = |names: &[String], name: &str| names.iter().position(|known| known == name);
     let operation = operations.find(&call.class, now).ok_or(Unfit::Operation)?;
-    let most = operations.timeout(operation).max(HINT_LEAST);
+    let timeout = operations.timeout(operation).max(MIN_HINT);
     Ok(Submission {
         id,
         operation,
         tenant: call.caller.as_deref().and_then(|caller| find(&names.tenants, caller)),
-        timeout: call.budget.min(most) - (now - call.came).max(0.0) - ANSWER_TAKES,
-        hint: call.hint.filter(|hint| *hint > 0.0).map(|hint| hint.clamp(HINT_LEAST, HINT_MOST * most)),
+        timeout: call.budget.min(timeout) - (now - call.came).max(0.0) - ANSWER_TAKES,
+        hint: call
+            .hint
+            .filter(|hint| *hint > 0.0)
+            .map(|hint| hint.clamp(MIN_HINT, MAX_HINT_TIMEOUTS * timeout)),
         memory: call.memory,
         key: call.key,
         again: call.again,
--- a/crates/coveroute-engine/src/answer.rs
+++ b/crates/coveroute-engine/src/answer.rs
@@ -1,27 +1,27 @@
-//! Answers: what becomes of an invocation, for its client.
+//! The final answers to clients.
 use bytes::Bytes;
 
-/// Why a call was never taken, or is wrong in itself.
+/// Why a call was rejected as invalid.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Unfit {
-    /// Its id has come before.
+    /// A call with the same id was received before.
     Again,
-    /// No such operation.
+    /// The operation is unknown.
     Operation,
-    /// An executor turned it away, with this status.
+    /// An executor rejected it with this status.
     TurnedAway(u16),
 }
 
 /// An invocation's final answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// What an executor made, as it came.
+    /// The executor's result, unchanged.
     Succeeded(Bytes),
-    /// Trying again is harmless, best after `pause` seconds.
+    /// A retry is harmless, preferably after `pause` seconds.
     Throttled {
         pause: f64,
     },
-    /// It may have run.
+    /// The job failed or may have run.
     Errored,
     Unfit(Unfit),
 }
--- a/crates/coveroute-engine/src/counts.rs
+++ b/crates/coveroute-engine/src/counts.rs
@@ -1,10 +1,11 @@
-//! Counts: what became of jobs, by operation, since the process began. Each job is counted once, where it gets its
-//! final answer; one whose client had left before that is counted nowhere.
+//! Counts of job results by operation since the process started. Each job is counted once, by the process that gives
+//! its final answer. A job whose client disconnected before that is not counted.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::answer::Answer;
 
+/// Job results of one operation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
     pub succeeded: u64,
@@ -12,7 +13,7 @@
     pub errored: u64,
 }
 
-/// How a job ended, for its client.
+/// The result of a job from the client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     Succeeded,
@@ -35,19 +36,19 @@
     operations: BTreeMap<Arc<str>, Tally>,
     /// Forwards whose last byte was written.
     pub forwards: u64,
-    /// Configurations read anew: taken over, and turned down.
+    /// Reloaded configurations that were applied and rejected.
     pub applied: u64,
     pub rejected: u64,
 }
 
 impl Counts {
-    /// From now on the operation is shown, if only with noughts.
-    pub fn show(&mut self, operation: &Arc<str>) {
+    /// Reports the operation from now on, even while its counts are zero.
+    pub fn register(&mut self, operation: &Arc<str>) {
         self.operations.entry(operation.clone()).or_default();
     }
 
-    /// Guards against names that clients make up: only what was shown is counted.
-    pub fn ended(&mut self, operation: &str, verdict: Verdict) {
+    /// Counts a job. Operations that were not registered are ignored, as clients may invent names.
+    pub fn count(&mut self, operation: &str, verdict: Verdict) {
         let Some(tally) = self.operations.get_mut(operation) else { return };
         match verdict {
             Verdict::Succeeded => tally.succeeded += 1,
@@ -61,28 +62,28 @@
     }
 }
 
-/// What operators are shown of the list of executors that a node holds.
+/// Figures on a node's list of executors.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ListFigures {
     pub version: u64,
-    /// `ListState::name`.
+    /// The name from `ListState::name`.
     pub state: &'static str,
-    /// Seconds from the start to the first word of discovery, once there was one.
+    /// Seconds from the start to the first message from discovery, if there was one.
     pub first_heard: Option<f64>,
-    /// Seconds since discovery last told of anything but that nothing changed.
+    /// Seconds since the last message from discovery other than "nothing changed".
     pub last_heard: Option<f64>,
-    /// Requests given up at a time when the list did not permit to send.
+    /// Number of requests that were given up while the state of the list forbade sending.
     pub refused: u64,
 }
 
-/// What operators are shown of a node.
+/// Figures on a node for its operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
     pub operations: Vec<(Arc<str>, Tally)>,
     pub forwards: u64,
-    /// Jobs that are owed an answer.
+    /// Jobs that are not answered yet.
     pub outstanding: usize,
-    /// Executors in the list, and those of them that the decisions avoid now.
+    /// Listed executors, and how many of them the decisions currently avoid.
     pub listed: usize,
     pub avoided: usize,
     pub list: ListFigures,
--- a/crates/coveroute-engine/src/decide.rs
+++ b/crates/coveroute-engine/src/decide.rs
@@ -1,59 +1,61 @@
-//! Decide: what the engine needs of whatever decides.
+//! The interface between the engine and the routing decisions.
 use coveroute::adopt::Moved;
 use coveroute::learnt::Learnt;
 use coveroute::list_state::ListState;
 use coveroute::node::Node;
 use coveroute::types::{Budget, Input, Inv, InvId, Operation, Output, Settings};
 
-/// What decides; `coveroute::node::Node` does in every node, others only where they are compared with it.
+/// The routing decisions. Nodes use `coveroute::node::Node`; other implementations exist only for comparison with it.
 pub trait Decide {
     fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Output>);
 
-    /// From now on these settings hold; `moved` and `tenants` tell where entries were before.
+    /// Applies new settings; `moved` and `tenants` give the previous positions of their entries.
     fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]);
 
-    /// Whether a job, or a forward that is still out, has this entry of the operations.
+    /// Whether a job or an open forward uses this entry of the operations.
     fn has(&self, operation: usize) -> bool;
 
-    /// How many listed executors are avoided now.
+    /// Number of listed executors that are currently avoided.
     fn avoided(&self, now: f64) -> usize;
 
-    /// How current the list is; what does not follow its age goes by any.
+    /// How current the list is. Implementations that ignore its age always accept it.
     fn list_state(&self) -> ListState {
         ListState::Followed
     }
 
-    /// Requests given up at a time when the list did not permit to send.
+    /// Number of requests that were given up while the state of the list forbade sending.
     fn refused_without_list(&self) -> u64 {
         0
     }
 
-    /// Until when the newest forward of an invocation may be written.
+    /// The latest time at which the newest forward of an invocation may be written.
     fn write_until(&self, _: InvId) -> f64 {
         f64::INFINITY
     }
 
-    /// What was learnt; nothing, where nothing is.
+    /// The learned state; empty for implementations that learn nothing.
     fn learnt(&self) -> Learnt {
         Learnt::default()
     }
 
+    /// Restores learned state of a previous process.
     fn recall(&mut self, _: &Learnt) {}
 
-    /// An invocation leaves, or comes, as it stands. What does not know how keeps its own.
+    /// Removes an invocation so that another process can continue it; `None` where that is not supported.
     fn part_with(&mut self, _: InvId) -> Option<Inv> {
         None
     }
 
+    /// Adds an invocation that another process has handed over.
     fn take_in(&mut self, _: InvId, _: Inv) {}
 
-    /// Of these tenants' shares, this many invocations a second are within them here.
+    /// Sets this node's part of these tenants' quotas, in invocations per second.
     fn quotas(&mut self, _: &[(usize, f64)]) {}
 
-    /// The operations' entries, which have grown.
+    /// Replaces the operations' entries by a list that has additional ones at its end.
     fn extend(&mut self, _: Vec<Operation>) {}
 
-    /// What cold executors can stand of this process from now on, in their capacity, and its budget of forwards.
+    /// Sets this process's overload factor for cold executors, in units of their capacity, and its budget of forwards.
     fn share(&mut self, factor: f64, budget: Option<Budget>);
 }
 
--- a/crates/coveroute-engine/src/route.rs
+++ b/crates/coveroute-engine/src/decision_queue.rs
@@ -1,27 +1,27 @@
-//! Route: gives the decisions what happened, one thing after the other, and collects what they put out.
+//! Passes inputs to the decisions one at a time and collects their outputs.
 use std::collections::VecDeque;
 
 use coveroute::types::{Input, Output};
 
 use crate::decide::Decide;
 
-pub struct Route<D> {
+pub struct DecisionQueue<D> {
     decide: D,
     inputs: VecDeque<Input>,
 }
 
-impl<D: Decide> Route<D> {
+impl<D: Decide> DecisionQueue<D> {
     pub fn new(decide: D) -> Self {
-        Route { decide, inputs: VecDeque::new() }
+        DecisionQueue { decide, inputs: VecDeque::new() }
     }
 
-    /// What happened while an output was carried out waits until all outputs of its like are.
+    /// Queues an input. Inputs that arise while the outputs of an earlier one are applied wait until all of those are.
     pub fn push(&mut self, input: Input) {
         self.inputs.push_back(input);
     }
 
     #[cfg(test)]
-    pub fn take(&mut self) -> Vec<Input> {
+    pub fn drain(&mut self) -> Vec<Input> {
         self.inputs.drain(..).collect()
     }
 
@@ -33,8 +33,8 @@
         &mut self.decide
     }
 
-    /// Decides on the next thing that happened, if any; tells whether there was one.
-    pub fn next(&mut self, now: f64, out: &mut Vec<Output>) -> bool {
+    /// Handles the next input; returns whether there was one.
+    pub fn handle_next(&mut self, now: f64, out: &mut Vec<Output>) -> bool {
         let Some(input) = self.inputs.pop_front() else { return false };
         self.decide.handle(now, input, out);
         true
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -1,5 +1,5 @@
-//! The engine: everything that happens comes to it as an event, with the time; what is decided leaves it as
-//! actions, to be carried out in order.
+//! The engine: takes each event together with its time and returns the actions that the host has to carry out, in
+//! order.
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,112 +16,117 @@
 
 use crate::admit::{admit, Call};
 use crate::answer::{Answer, Unfit};
-use crate::book::{Book, Forward, Record, Stage};
 use crate::counts::{Counts, Figures, ListFigures, Verdict};
 use crate::decide::Decide;
-use crate::list::{Fleet, Listing, Move};
+use crate::decision_queue::DecisionQueue;
+use crate::list::{AddressChange, Fleet, Listing};
 use crate::memory::Memory;
 use crate::operations::Operations;
 use crate::parcel::Parcel;
 use crate::phase::{Phase, Step};
-use crate::route::Route;
+use crate::records::{Forward, Record, Records, Stage};
 use crate::timers::Timers;
 
-/// What a configuration that was read anew says of decisions.
+/// The part of a reloaded configuration that concerns decisions.
 #[derive(Clone, Debug)]
 pub struct Tuning {
     pub settings: Settings,
     pub names: Names,
-    /// Each operation's client timeout.
+    /// Client timeout of each operation, in seconds.
     pub timeouts: Vec<f64>,
 }
 
-/// What an engine is begun with.
+/// What an engine is created with.
 #[derive(Debug)]
 pub struct Setup {
     pub settings: Settings,
     pub names: Names,
     pub seed: u64,
-    /// Each operation's client timeout.
+    /// Client timeout of each operation, in seconds.
     pub timeouts: Vec<f64>,
-    /// The list as this node last had it.
+    /// The list of executors that this node last stored.
     pub known: Option<Listing>,
-    /// What the process before hands on, if there is one: its list goes before.
+    /// State handed over by the previous process of this node, if any. Its list takes precedence over `known`.
     pub memory: Option<Memory>,
 }
 
 #[derive(Debug)]
 pub enum Event<'a> {
+    /// A front has read a call.
     Taken(InvId, &'a Call),
-    /// The client has gone.
+    /// The client has disconnected.
     Left(InvId),
-    /// What an executor's first answer to a forward, or the want of it, tells.
+    /// The executor's first response to a forward, or its absence.
     Replied(InvId, usize, Reply),
+    /// An executor reports on a job that it has taken.
     News(News),
     Probed(Tgt, Outcome, Report),
-    /// What the watch of this number on the list of executors tells.
+    /// An event of the watch with this number on the list of executors.
     Watch(u64, Watched),
-    /// Another node, by its number, tells of the executor with this mark.
+    /// Another node, given by its number, sent a message about the executor with this mark.
     Heard {
         from: usize,
         told: Told,
         mark: u32,
         count: u8,
     },
-    /// The operators' configuration was read anew, and is fit: the settings, if they count, and whether the list
-    /// is to be followed elsewhere from now on.
+    /// A valid configuration was reloaded: its settings, if they apply, and whether the list now has another
+    /// source.
     Reread {
         tuning: Option<Box<Tuning>>,
         moved: bool,
     },
-    /// It was not fit, and all stays as it is.
+    /// The reloaded configuration is invalid; the current one stays in force.
     NotReread,
-    /// Of what cold executors can stand, this part is left to this process, while another one of this node lives.
+    /// This process's share of the cold executors' capacity while another process of this node runs.
     Part(f64),
-    /// Of tenants' shares over all nodes, what is this node's now: invocations a second, by name.
+    /// This node's current part of the tenants' fleet-wide quotas: invocations per second, by tenant name.
     Quotas(Vec<(String, f64)>),
-    /// A front has ended a job of this operation, which never came here.
+    /// A front has ended a job of this operation that never reached the engine.
     Ended(&'a str, Verdict),
-    /// The platform asks the node to stop.
+    /// The platform requests a stop.
     Stop,
-    /// What was in hand is in another process's: nothing more is waited for.
+    /// All open jobs have moved to another process, so there is nothing left to wait for.
     Relieved,
-    /// No request is in hand: each answer has left.
+    /// No request is open: every answer has been written.
     Idle,
 }
 
+/// Progress of a forward, as its connection to the executor shows it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Its last byte is written.
+    /// The last byte of the request has been written.
     Written,
-    /// The executor has the job, and will tell what becomes of it.
+    /// The executor has accepted the job and will report its result later.
     Taken,
-    /// It has not said so in time. It may still.
+    /// The executor has not accepted the job in time; it still may.
     Unheard,
     Ended(Outcome, Report),
-    /// The executor finds fault with the request: the status, as the protocol words it.
+    /// The executor rejected the request as invalid, with this status of the protocol.
     Unfit(u16, Report),
-    /// It ran, and this is what it made.
+    /// The job ran and returned this result.
     Succeeded(Bytes, Report),
 }
 
+/// An event of a watch on the list of executors.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Watched {
-    /// It is followed again, and what changed before that has been told.
+    /// The watch is established, and all earlier changes have been delivered.
     Begun,
     Listed(Listing),
     Lost(Loss),
 }
 
+/// The content of an executor's report on a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Word {
-    /// It has started, or goes on.
+    /// The job has started or is still running.
     Alive,
     Succeeded(Bytes),
     Ended(Outcome),
 }
 
-/// What an executor tells of a job that it has taken.
+/// An executor's report on a job that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
     pub call: String,
@@ -133,8 +138,8 @@
 /// What the host has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Hand the job to the executor, with its last byte written by `write_until` or not at all. The node answers by `end`: how
-    /// long that is has to be read from the clock when the executor is told.
+    /// Send the job to the executor. Its last byte must be written by `write_until`, or it must not be sent at all.
+    /// The node answers by `end`; the host computes the remaining time from the clock when it writes the request.
     Send {
         id: InvId,
         forward: usize,
@@ -142,17 +147,17 @@
         end: f64,
         write_until: f64,
     },
-    /// Stop sending, by closing the connection: the executor has not said that it has the job.
+    /// Close the connection of a forward that the executor has not acknowledged.
     Abort {
         id: InvId,
         forward: usize,
     },
-    /// Stop sending if no byte of the job has been written yet, and say so: the executor wants nothing new.
+    /// Cancel the send if no byte of the job has been written yet, and report that: the executor is draining or gone.
     Recall {
         id: InvId,
         forward: usize,
     },
-    /// Tell the executor, which has the job, to give it up.
+    /// Tell the executor to cancel a job that it has accepted.
     GiveUp {
         tgt: Tgt,
         call: Arc<str>,
@@ -162,17 +167,18 @@
         answer: Answer,
     },
     Probe(Tgt),
-    /// Close idle connections.
+    /// Close the idle connections to the executor.
     Release(Tgt),
-    /// The executor listens there; at a new address nothing of the old connections is kept.
+    /// The executor listens at this address. If the address is new, connections to the old one are dropped.
     At(Tgt, SocketAddr),
+    /// The executor has left the list.
     Gone(Tgt),
-    /// Follow the list from after this version with a watch of this number; an earlier one is dropped.
+    /// Start a watch with this number on the list, from after this version; any earlier watch is dropped.
     Follow {
         watch: u64,
         version: u64,
     },
-    /// Tell another node of the executor with this mark.
+    /// Send another node a message about the executor with this mark.
     Tell {
         to: usize,
         told: Told,
@@ -183,67 +189,75 @@
 
 #[derive(Debug)]
 enum Timer {
+    /// A timer that the decisions have set.
     Decisions(u64),
-    /// An invocation's time is over.
-    End(InvId),
-    Life(Step),
-    /// The list's agent is called again, unless there has been another watch since this one.
+    /// The deadline of an invocation.
+    Deadline(InvId),
+    PhaseStep(Step),
+    /// Start a new watch on the list, unless another one has been started since this one.
     Follow(u64),
 }
 
-/// The number of what comes with no watch: a list that is pushed to the door.
+/// The watch number of a list that was pushed to the node without a watch.
 pub const UNASKED: u64 = 0;
-/// Where lists are pushed, their agent is this node's own and what it has counts as told: it is called again as soon as
-/// a call has had time to fail by itself, a few round trips, and well inside the shortest grace for a drain met (0.1 s).
-const AGENT_AGAIN: f64 = 0.05;
-/// A node that knows a list from before its start, and has not heard of the present one, is ready all the same by then: the
-/// platform wants nine in ten restarted nodes ready within six to ten seconds.
-const READY_WITHIN: f64 = 5.5;
-/// From the stop on: new connections come for 0.4 s at most, and some way more.
-const QUIET_LEAST: f64 = 0.6;
-/// Of the time to stop: half is used as before, half to finish in.
-const QUIET_SHARE: f64 = 0.5;
-/// After that idle connections are closed, and who was about to use one has come again.
-const CLOSED_AFTER: f64 = 0.2;
-/// The platform waits for the longest client timeout, but no longer than this, and 0.7 s more; then it kills.
-const WAITS_MOST: f64 = 3.0;
-/// Of those 0.7 s: the last answers are given, and then the node ends whatever is left.
-const ANSWERED_AFTER: f64 = 0.2;
-const LATE_AFTER: f64 = 0.45;
-
+/// Delay in seconds before a lost watch on a pushed list is started again. The agent that keeps such a list belongs to this
+/// node, and what it holds counts as delivered. The delay is a few round trips, enough for a call to fail by itself, and
+/// well below the shortest drain grace period observed (0.1 s).
+const PUSHED_LIST_RETRY_DELAY: f64 = 0.05;
+/// Seconds after which a node that has a stored list becomes ready even if discovery has not answered: the platform
+/// requires nine in ten restarted nodes to be ready within six to ten seconds.
+const READY_DEADLINE: f64 = 5.5;
+/// Shortest time in seconds that a stopping node serves as before. New connections arrive for at most 0.4 s after the
+/// stop; the rest is margin for their way.
+const MIN_LEAVING_TIME: f64 = 0.6;
+/// Share of the time to stop in which the node serves as before; the rest is for finishing open jobs.
+const LEAVING_SHARE: f64 = 0.5;
+/// Seconds from the start of `Phase::Closing` until the node may exit. Idle connections have been closed by then, and
+/// clients that were about to use one have reconnected.
+const IDLE_CLOSE_TIME: f64 = 0.2;
+/// The platform waits for the longest client timeout, at most this long, plus 0.7 s, and then kills the process.
+const MAX_STOP_WAIT: f64 = 3.0;
+/// Offsets within those 0.7 s: the last answers are due after the first, and the node exits unconditionally after the
+/// second.
+const LAST_ANSWER_OFFSET: f64 = 0.2;
+const FORCED_EXIT_OFFSET: f64 = 0.45;
+
+/// The state machine of one node process. `D` makes the routing decisions.
 pub struct Engine<D = Node> {
     timers: Timers<Timer>,
     phase: Phase,
-    pub(crate) route: Route<D>,
+    pub(crate) queue: DecisionQueue<D>,
     pub(crate) fleet: Fleet,
-    pub(crate) book: Book,
-    /// How many watches on the list there have been: what an earlier one has still told counts no more.
+    pub(crate) records: Records,
+    /// Number of the current watch on the list. Events of earlier watches are ignored.
     watch: u64,
-    /// Of the list of executors that is held.
+    /// Version of the current list of executors.
     version: u64,
-    /// When this process began, and when discovery was first and last heard of since.
-    began: f64,
-    heard: Option<[f64; 2]>,
-    /// The list is pushed: whoever keeps it is followed from the start on, and again at once when that ends.
-    agent: bool,
-    /// The watch of the present number has begun, and has not ended.
+    /// When this process started.
+    started_at: f64,
+    /// When discovery was first and last heard from since then.
+    discovery_heard: Option<[f64; 2]>,
+    /// The list is pushed by an agent. The engine watches it from the start and restarts a lost watch at once.
+    list_pushed: bool,
+    /// The current watch is established and has not been lost.
     followed: bool,
     operations: Operations,
-    /// The entries that the operations have, as the decisions have them.
+    /// The entries of the operations, under the same indices as in the decisions.
     entries: Vec<Operation>,
     counts: Counts,
-    /// Calls that the process before serves.
-    elsewhere: BTreeSet<String>,
-    /// What a cold executor can stand, as the settings say, and this process's part of it.
+    /// Calls that the previous process of this node still serves.
+    served_by_predecessor: BTreeSet<String>,
+    /// The overload factor of cold executors and the budget of forwards, as the settings have them.
     cold_factor: f64,
     budget: Option<Budget>,
-    part: f64,
-    /// By when all must be answered, once the node is to stop.
-    leave_by: f64,
-    /// From when on it may end, once it is idle.
-    end_from: f64,
+    /// This process's share of both.
+    process_share: f64,
+    /// Once the node is stopping: the time by which all invocations must be answered.
+    answer_by: f64,
+    /// Once the node is stopping: the time from which it may exit when idle.
+    exit_from: f64,
     pub(crate) cancelling: bool,
-    /// Kept for the next event's outputs.
+    /// Buffer that is reused for the outputs of each event.
     outputs: Vec<Output>,
 }
 
@@ -255,44 +269,44 @@
 }
 
 impl<D: Decide> Engine<D> {
-    /// An engine with these decisions.
+    /// Creates an engine with the given implementation of the decisions.
     pub fn deciding(now: f64, decide: D, mut setup: Setup, out: &mut Vec<Action>) -> Self {
         let names = std::mem::take(&mut setup.names.operations);
         let mut engine = Engine {
             timers: Timers::new(),
             phase: Phase::Starting,
-            route: Route::new(decide),
+            queue: DecisionQueue::new(decide),
             fleet: Fleet::new(setup.names, setup.settings.only_draining),
-            book: Book::default(),
+            records: Records::default(),
             watch: 0,
             version: 0,
-            began: now,
-            heard: None,
-            agent: !setup.settings.must_ask,
+            started_at: now,
+            discovery_heard: None,
+            list_pushed: !setup.settings.must_ask,
             followed: false,
             operations: Operations::new(names, &setup.timeouts),
             entries: setup.settings.operations,
             counts: Counts::default(),
-            elsewhere: BTreeSet::new(),
+            served_by_predecessor: BTreeSet::new(),
             cold_factor: setup.settings.cold.factor,
             budget: setup.settings.budget,
-            part: 1.0,
-            leave_by: f64::INFINITY,
-            end_from: f64::INFINITY,
+            process_share: 1.0,
+            answer_by: f64::INFINITY,
+            exit_from: f64::INFINITY,
             cancelling: setup.settings.cancelling,
             outputs: Vec::new(),
         };
-        engine.show();
+        engine.register_operations();
         let memory = setup.memory;
         let age = match &memory {
             Some(memory) if memory.current => KeptAge::Current,
             _ => KeptAge::Unknown,
         };
         let known = memory.as_ref().map(|memory| memory.listing.clone()).or(setup.known);
-        engine.begin_with(now, age, known.unwrap_or_default(), out);
-        engine.carry_on(now, out);
-        memory.into_iter().for_each(|memory| engine.recall(now, memory));
-        if engine.agent {
+        engine.apply_initial_list(now, age, known.unwrap_or_default(), out);
+        engine.run_decisions(now, out);
+        memory.into_iter().for_each(|memory| engine.restore_memory(now, memory));
+        if engine.list_pushed {
             engine.follow(out);
         }
         engine
@@ -302,7 +316,7 @@
         self.phase
     }
 
-    /// When `advance` has something to do next.
+    /// The time at which `advance` must be called next.
     pub fn next_due(&self) -> Option<f64> {
         self.timers.next()
     }
@@ -312,22 +326,22 @@
     }
 
     pub fn decisions(&self) -> &D {
-        self.route.decide()
+        self.queue.decide()
     }
 
-    /// Records that are held: bounded by what fronts let in.
+    /// Number of records held. It is bounded by what the fronts admit.
     pub fn held(&self) -> usize {
-        self.book.len()
+        self.records.len()
     }
 
-    /// What operators are shown.
+    /// The figures for the operators' interfaces.
     pub fn figures(&self, now: f64) -> Figures {
         Figures {
             operations: self.counts.operations(),
             forwards: self.counts.forwards,
-            outstanding: self.book.owed(),
-            listed: self.fleet.listed_now(),
-            avoided: self.route.decide().avoided(now),
+            outstanding: self.records.unanswered(),
+            listed: self.fleet.listed_count(),
+            avoided: self.queue.decide().avoided(now),
             list: self.list_figures(now),
             applied: self.counts.applied,
             rejected: self.counts.rejected,
@@ -335,146 +349,146 @@
     }
 
     fn list_figures(&self, now: f64) -> ListFigures {
-        let decide = self.route.decide();
+        let decide = self.queue.decide();
         ListFigures {
             version: self.version,
             state: decide.list_state().name(),
-            first_heard: self.heard.map(|[first, _]| first - self.began),
-            last_heard: self.heard.map(|[_, last]| now - last),
+            first_heard: self.discovery_heard.map(|[first, _]| first - self.started_at),
+            last_heard: self.discovery_heard.map(|[_, last]| now - last),
             refused: decide.refused_without_list(),
         }
     }
 
-    /// Two processes of one node have one budget of forwards: who has the lesser part sends none beyond the first,
-    /// as the other goes on from all that was counted.
-    fn own_budget(&self) -> Option<Budget> {
+    /// Two processes of one node share one budget of forwards. The process with the smaller share gets no forwards
+    /// beyond the first, because the other one continues from everything counted so far.
+    fn process_budget(&self) -> Option<Budget> {
         let none = |budget| Budget { floor: 0.0, share: 0.0, ..budget };
-        self.budget.map(|budget| if self.part < 0.5 { none(budget) } else { budget })
+        self.budget.map(|budget| if self.process_share < 0.5 { none(budget) } else { budget })
     }
 
-    /// What the next process of this node is handed.
+    /// The state that is handed to the next process of this node.
     pub fn memory(&self) -> Memory {
-        let calls = self.book.open_calls().map(|call| call.to_string()).collect();
-        let decide = self.route.decide();
+        let calls = self.records.calls().map(|call| call.to_string()).collect();
+        let decide = self.queue.decide();
         let current = decide.list_state().is_current();
         Memory { current, ..Memory::of(decide.learnt(), &self.fleet, &self.operations, self.version, calls) }
     }
 
-    fn recall(&mut self, now: f64, memory: Memory) {
+    fn restore_memory(&mut self, now: f64, memory: Memory) {
         let learnt = memory.learnt(&self.fleet, &self.operations, now);
-        self.route.decide_mut().recall(&learnt);
-        self.elsewhere = memory.calls.into_iter().collect();
+        self.queue.decide_mut().recall(&learnt);
+        self.served_by_predecessor = memory.calls.into_iter().collect();
     }
 
-    /// Takes the job out, to go on in another process: no answer, and no word to executors. Not before each of its
-    /// forwards has ended or was acknowledged: their connections stay here.
+    /// Removes a job so that another process can continue it, without answering the client or notifying executors.
+    /// Returns `None` while a forward is unacknowledged, because its connection belongs to this process.
     pub fn part_with(&mut self, id: InvId) -> Option<Parcel> {
-        let record = self.book.get(id).filter(|record| record.owed)?;
+        let record = self.records.get(id).filter(|record| record.unanswered)?;
         if record.forwards.iter().any(|forward| forward.stage == Stage::Sending) {
             return None;
         }
         let (call, operation, end) = (record.call.to_string(), record.operation.to_string(), record.due);
         let ids = record.forwards.iter().map(|f| (self.fleet.id(f.tgt).to_owned(), f.sent, f.stage));
         let forwards: Vec<_> = ids.collect();
-        let mut inv = self.route.decide_mut().part_with(id)?;
-        inv.end = end; // There nobody has told it to stop.
+        let mut inv = self.queue.decide_mut().part_with(id)?;
+        inv.end = end; // The other process is not stopping, so the full deadline applies.
         let entry = self.entries[inv.op].clone();
         let (timeout, kind) =
             (self.operations.timeout(inv.op), entry.kind.and_then(|kind| self.fleet.kind(kind)));
         let kind = kind.cloned();
         let parcel = Parcel { call, operation, entry, timeout, kind, end, inv, forwards };
-        if !parcel.is_sound() || !parcel.travels() {
-            self.route.decide_mut().take_in(id, parcel.inv);
+        if !parcel.is_sound() || !parcel.survives_round_trip() {
+            self.queue.decide_mut().take_in(id, parcel.inv);
             return None;
         }
-        self.book.part_with(id);
+        self.records.remove(id);
         Some(parcel)
     }
 
-    /// Goes on with a job of another process, under an id of this one.
+    /// Continues a job of another process, under an id of this one.
     pub fn take_in(&mut self, now: f64, id: InvId, parcel: Parcel, out: &mut Vec<Action>) {
         let Parcel { call, operation, mut entry, timeout, kind, end, mut inv, forwards } = parcel;
-        entry.kind = kind.map(|kind| self.fleet.numbered_kind(&kind));
+        entry.kind = kind.map(|kind| self.fleet.kind_number(&kind));
         let known = self.entries.len();
         inv.op = self.operations.entry(&operation, timeout, &entry, &mut self.entries);
         if self.entries.len() > known {
-            self.route.decide_mut().extend(self.entries.clone());
+            self.queue.decide_mut().extend(self.entries.clone());
         }
         let forwards: Vec<Forward> = forwards
             .into_iter()
             .map(|(executor, sent, stage)| Forward { tgt: self.fleet.number(&executor), sent, stage })
             .collect();
         inv.forwards.iter_mut().zip(&forwards).for_each(|(fwd, forward)| fwd.tgt = forward.tgt);
-        self.elsewhere.remove(&call);
+        self.served_by_predecessor.remove(&call);
         let (call, operation) = (Arc::from(call), self.operations.name(inv.op).clone());
-        self.counts.show(&operation);
-        let (due, end) = (end, end.min(self.leave_by));
-        self.timers.set(end, Timer::End(id));
-        self.book.open(id, Record { call, operation, owed: true, end, due, forwards });
-        self.route.decide_mut().take_in(id, inv);
-        self.route.push(Input::Timer(LOOK));
-        self.carry_on(now, out);
+        self.counts.register(&operation);
+        let (due, end) = (end, end.min(self.answer_by));
+        self.timers.schedule(end, Timer::Deadline(id));
+        self.records.open(id, Record { call, operation, unanswered: true, end, due, forwards });
+        self.queue.decide_mut().take_in(id, inv);
+        self.queue.push(Input::Timer(LOOK));
+        self.run_decisions(now, out);
     }
 
-    /// Whether the call is served here, or was.
+    /// Whether the call is or was served by this process.
     pub fn knows(&self, call: &str) -> bool {
-        self.book.knows(call)
+        self.records.knows(call)
     }
 
-    fn show(&mut self) {
+    fn register_operations(&mut self) {
         let Engine { counts, operations, .. } = self;
-        operations.names().for_each(|name| counts.show(name));
+        operations.names().for_each(|name| counts.register(name));
     }
 
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Taken(id, call) => self.taken(now, id, call, out),
-            Event::Left(id) => self.left(now, id, out),
-            Event::Replied(id, forward, reply) => self.replied(now, id, forward, reply, out),
-            Event::News(news) => self.news(now, news, out),
-            Event::Probed(tgt, outcome, report) => self.route.push(Input::Probed { tgt, outcome, report }),
-            Event::Watch(number, watched) => self.watched(now, number, watched, out),
+            Event::Taken(id, call) => self.accept_call(now, id, call, out),
+            Event::Left(id) => self.client_left(now, id, out),
+            Event::Replied(id, forward, reply) => self.handle_reply(now, id, forward, reply, out),
+            Event::News(news) => self.handle_report(now, news, out),
+            Event::Probed(tgt, outcome, report) => self.queue.push(Input::Probed { tgt, outcome, report }),
+            Event::Watch(number, watched) => self.handle_watch(now, number, watched, out),
             Event::Heard { from, told, mark, count } => {
-                let tgt = self.fleet.marked(mark);
+                let tgt = self.fleet.by_mark(mark);
                 let heard = tgt.map(|tgt| Input::Heard { from, told, tgt, count });
-                heard.into_iter().for_each(|heard| self.route.push(heard));
+                heard.into_iter().for_each(|heard| self.queue.push(heard));
             }
-            Event::Reread { tuning, moved } => self.reread(now, tuning, moved, out),
+            Event::Reread { tuning, moved } => self.reload(now, tuning, moved, out),
             Event::Part(part) => {
-                self.part = part;
-                let budget = self.own_budget();
-                self.route.decide_mut().share(part * self.cold_factor, budget);
+                self.process_share = part;
+                let budget = self.process_budget();
+                self.queue.decide_mut().share(part * self.cold_factor, budget);
             }
             Event::Quotas(quotas) => {
                 let tenants = &self.fleet.names().tenants;
                 let at = |(name, quota)| Some((tenants.iter().position(|known| *known == name)?, quota));
                 let quotas: Vec<(usize, f64)> = quotas.into_iter().filter_map(at).collect();
-                self.route.decide_mut().quotas(&quotas);
+                self.queue.decide_mut().quotas(&quotas);
             }
             Event::NotReread => self.counts.rejected += 1,
-            Event::Ended(operation, verdict) => self.counts.ended(operation, verdict),
+            Event::Ended(operation, verdict) => self.counts.count(operation, verdict),
             Event::Stop => self.stop(now),
             Event::Relieved => {
-                self.step(Step::Quiet);
-                self.end_from = now;
+                self.step(Step::FrontNotified);
+                self.exit_from = now;
             }
-            Event::Idle if now >= self.end_from => drop(self.step(Step::Idle)),
+            Event::Idle if now >= self.exit_from => drop(self.step(Step::Idle)),
             Event::Idle => {}
         }
-        self.carry_on(now, out);
+        self.run_decisions(now, out);
     }
 
-    /// Does what is due.
+    /// Handles all timers that are due.
     pub fn advance(&mut self, now: f64, out: &mut Vec<Action>) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
-                Timer::Decisions(timer) => self.route.push(Input::Timer(timer)),
-                Timer::End(id) => self.over(now, id, out),
-                Timer::Life(step) => drop(self.step(step)),
+                Timer::Decisions(timer) => self.queue.push(Input::Timer(timer)),
+                Timer::Deadline(id) => self.time_out(now, id, out),
+                Timer::PhaseStep(step) => drop(self.step(step)),
                 Timer::Follow(after) if after == self.watch => self.follow(out),
                 Timer::Follow(_) => {}
             }
-            self.carry_on(now, out);
+            self.run_decisions(now, out);
         }
     }
 
@@ -484,16 +498,16 @@
         after.is_some()
     }
 
-    /// Decides and carries out until nothing is left to decide on.
-    pub(crate) fn carry_on(&mut self, now: f64, out: &mut Vec<Action>) {
+    /// Processes the queued inputs and their outputs until the queue is empty.
+    pub(crate) fn run_decisions(&mut self, now: f64, out: &mut Vec<Action>) {
         let mut outputs = std::mem::take(&mut self.outputs);
-        while self.route.next(now, &mut outputs) {
-            outputs.drain(..).for_each(|output| self.carry_out(now, output, out));
+        while self.queue.handle_next(now, &mut outputs) {
+            outputs.drain(..).for_each(|output| self.apply_output(now, output, out));
         }
         self.outputs = outputs;
     }
 
-    fn carry_out(&mut self, now: f64, output: Output, out: &mut Vec<Action>) {
+    fn apply_output(&mut self, now: f64, output: Output, out: &mut Vec<Action>) {
         match output {
             Output::Forward { id, tgt } => self.forward(now, id, tgt, out),
             Output::Withdraw { id, forward } => self.withdraw(now, id, forward, out),
@@ -501,12 +515,12 @@
                 debug!(
                     "{id} is refused, list {} is {}",
                     self.version,
-                    self.route.decide().list_state().name()
+                    self.queue.decide().list_state().name()
                 );
                 self.answer(id, Answer::Throttled { pause }, out);
             }
             Output::Error { id } => self.answer(id, Answer::Errored, out),
-            Output::Wake { after, timer } => self.timers.set(now + after, Timer::Decisions(timer)),
+            Output::Wake { after, timer } => self.timers.schedule(now + after, Timer::Decisions(timer)),
             Output::Probe(tgt) => out.push(Action::Probe(tgt)),
             Output::Release(tgt) => out.push(Action::Release(tgt)),
             Output::Tell { to, told, tgt, count } => {
@@ -517,69 +531,71 @@
         }
     }
 
-    /// Takes over the list that the node begins with. Guards against a node that was dead for seconds or days and serves at once
-    /// by a list of that age: clients come once the present one is there, or when the platform will not wait any longer.
-    fn begin_with(&mut self, now: f64, age: KeptAge, known: Listing, out: &mut Vec<Action>) {
+    /// Applies the list that the node starts with. A node that was down for seconds or days must not serve at once from a
+    /// list of that age: it becomes ready when the current list arrives, or when the platform would not wait any longer.
+    fn apply_initial_list(&mut self, now: f64, age: KeptAge, known: Listing, out: &mut Vec<Action>) {
         let source = match age {
-            KeptAge::Current => "handed over by the process before",
-            KeptAge::Unknown | KeptAge::Unsaid => "from before the start, nothing is sent by it",
+            KeptAge::Current => "handed over by the previous process",
+            KeptAge::Unknown | KeptAge::Unsaid => "from before the start and not used for sending",
         };
         info!("list {} is {source}", known.version);
-        self.listed(now, &known, |_, entries| List::Kept(entries, age), out);
+        self.apply_listing(now, &known, |_, entries| List::Kept(entries, age), out);
         match age {
             _ if known.hosts.is_empty() => {}
-            KeptAge::Unknown => self.timers.set(now + READY_WITHIN, Timer::Life(Step::Ready)),
-            KeptAge::Current | KeptAge::Unsaid => drop(self.step(Step::Ready)),
+            KeptAge::Unknown => {
+                self.timers.schedule(now + READY_DEADLINE, Timer::PhaseStep(Step::ExecutorsKnown))
+            }
+            KeptAge::Current | KeptAge::Unsaid => drop(self.step(Step::ExecutorsKnown)),
         }
     }
 
-    /// Discovery was heard of.
-    fn heard(&mut self, now: f64) {
-        if self.heard.is_none() {
-            info!("discovery is first heard of {:.2} s after the start", now - self.began);
+    /// Records that discovery was heard from.
+    fn record_discovery_contact(&mut self, now: f64) {
+        if self.discovery_heard.is_none() {
+            info!("discovery is first heard of {:.2} s after the start", now - self.started_at);
         }
-        self.heard = Some([self.heard.map_or(now, |[first, _]| first), now]);
+        self.discovery_heard = Some([self.discovery_heard.map_or(now, |[first, _]| first), now]);
     }
 
-    fn watched(&mut self, now: f64, number: u64, watched: Watched, out: &mut Vec<Action>) {
+    fn handle_watch(&mut self, now: f64, number: u64, watched: Watched, out: &mut Vec<Action>) {
         if !matches!(watched, Watched::Lost(_)) && (number == UNASKED || number == self.watch) {
-            self.heard(now);
+            self.record_discovery_contact(now);
         }
         match watched {
-            // Guards against a push that a newer word of the watch has overtaken: who drains by now would be sent to.
+            // A push older than what the watch has delivered is ignored: jobs would go to executors that are draining by now.
             Watched::Listed(listing) if number == UNASKED => {
                 if !self.followed || listing.version >= self.version {
-                    self.current(now, &listing, out);
+                    self.apply_current_list(now, &listing, out);
                 }
             }
             _ if number != self.watch => {}
-            Watched::Listed(listing) => self.current(now, &listing, out),
+            Watched::Listed(listing) => self.apply_current_list(now, &listing, out),
             Watched::Begun => {
                 self.followed = true;
-                self.step(Step::Followed);
-                self.ready();
-                self.route.push(Input::List(List::Changes(Vec::new())));
+                self.step(Step::ListFollowed);
+                self.become_ready_if_listed();
+                self.queue.push(Input::List(List::Changes(Vec::new())));
             }
             Watched::Lost(loss) => {
                 self.followed = false;
-                match self.agent {
-                    true => self.timers.set(now + AGENT_AGAIN, Timer::Follow(number)),
-                    false => self.route.push(Input::List(List::Lost(loss))),
+                match self.list_pushed {
+                    true => self.timers.schedule(now + PUSHED_LIST_RETRY_DELAY, Timer::Follow(number)),
+                    false => self.queue.push(Input::List(List::Lost(loss))),
                 }
             }
         }
     }
 
-    /// Takes over what discovery tells.
-    fn current(&mut self, now: f64, listing: &Listing, out: &mut Vec<Action>) {
-        self.listed(now, listing, Listing::list, out);
-        self.ready();
+    /// Applies a list or changes from discovery.
+    fn apply_current_list(&mut self, now: f64, listing: &Listing, out: &mut Vec<Action>) {
+        self.apply_listing(now, listing, Listing::list, out);
+        self.become_ready_if_listed();
     }
 
-    /// The front may send clients here, once executors are known.
-    fn ready(&mut self) {
-        if self.fleet.listed_now() > 0 {
-            self.step(Step::Ready);
+    /// Becomes ready for clients once executors are known.
+    fn become_ready_if_listed(&mut self) {
+        if self.fleet.listed_count() > 0 {
+            self.step(Step::ExecutorsKnown);
         }
     }
 
@@ -589,19 +605,22 @@
         out.push(Action::Follow { watch: self.watch, version: self.version });
     }
 
-    pub(crate) fn taken(&mut self, now: f64, id: InvId, call: &Call, out: &mut Vec<Action>) {
+    pub(crate) fn accept_call(&mut self, now: f64, id: InvId, call: &Call, out: &mut Vec<Action>) {
         let unfit = |why| Action::Answer { id, answer: Answer::Unfit(why) };
-        // Guards against a second effect, and against clients that take another's id.
-        if self.book.knows(&call.call) || self.elsewhere.contains(&*call.call) {
-            self.counts.ended(&call.class, Verdict::Errored);
+        // Prevents a second effect of the same call, and clients from reusing the id of another one's call.
+        if self.records.knows(&call.call) || self.served_by_predecessor.contains(&*call.call) {
+            self.counts.count(&call.class, Verdict::Errored);
             return out.push(unfit(Unfit::Again));
         }
         let age = now - call.came;
-        debug!("{id} taken: {}, {}, {:.3} s, came {age:.3} s ago", call.call, call.class, call.budget);
+        debug!(
+            "{id} accepted: call {}, {}, budget {:.3} s, received {age:.3} s ago",
+            call.call, call.class, call.budget
+        );
         match admit(id, call, &self.operations, self.fleet.names(), now) {
             Ok(submission) => self.open(now, call.call.clone(), submission),
             Err(why) => {
-                self.counts.ended(&call.class, Verdict::Errored);
+                self.counts.count(&call.class, Verdict::Errored);
                 out.push(unfit(why));
             }
         }
@@ -609,142 +628,152 @@
 
     fn open(&mut self, now: f64, call: Arc<str>, submission: Submission) {
         let due = now + submission.timeout;
-        let end = due.min(self.leave_by);
-        self.timers.set(end, Timer::End(submission.id));
+        let end = due.min(self.answer_by);
+        self.timers.schedule(end, Timer::Deadline(submission.id));
         let operation = self.operations.name(submission.operation).clone();
-        let record = Record { call, operation, owed: true, end, due, forwards: Vec::new() };
-        self.book.open(submission.id, record);
-        self.route.push(Input::Submitted(submission));
+        let record = Record { call, operation, unanswered: true, end, due, forwards: Vec::new() };
+        self.records.open(submission.id, record);
+        self.queue.push(Input::Submitted(submission));
     }
 
-    /// Gives the final answer, once; tells whether it was still owed.
-    fn give(&mut self, id: InvId, answer: Answer, out: &mut Vec<Action>) -> bool {
-        let owed = self.book.answer(id);
-        if let Some(operation) = owed {
-            debug!("{id} ends as {answer:?}");
-            self.counts.ended(operation, Verdict::from(&answer));
+    /// Sends the final answer unless one was sent before; returns whether it was sent.
+    fn send_final_answer(&mut self, id: InvId, answer: Answer, out: &mut Vec<Action>) -> bool {
+        let operation = self.records.mark_answered(id);
+        if let Some(operation) = operation {
+            debug!("{id} answered: {answer:?}");
+            self.counts.count(operation, Verdict::from(&answer));
             out.push(Action::Answer { id, answer });
         }
-        owed.is_some()
+        operation.is_some()
     }
 
     pub(crate) fn answer(&mut self, id: InvId, answer: Answer, out: &mut Vec<Action>) {
-        self.give(id, answer, out);
-        self.book.tidy(id);
+        self.send_final_answer(id, answer, out);
+        self.records.remove_if_finished(id);
     }
 
-    fn left(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
-        if self.book.answer(id).is_some() {
-            self.finished(now, id, out);
+    fn client_left(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+        if self.records.mark_answered(id).is_some() {
+            self.close_invocation(now, id, out);
         }
-        self.book.tidy(id);
+        self.records.remove_if_finished(id);
     }
 
-    /// An invocation has finished otherwise than by the decisions. Guards against a forward that is still
-    /// waiting for its connection: nothing may be sent any more, also where executors can't be told to stop.
-    fn finished(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
-        let forwards = self.book.get(id).map(|record| record.out()).unwrap_or_default();
+    /// Closes an invocation that ended without the decisions. Forwards that still wait for a connection are withdrawn:
+    /// nothing may be sent any more, even where executors do not support cancelling.
+    fn close_invocation(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+        let forwards = self.records.get(id).map(|record| record.open_forwards()).unwrap_or_default();
         for forward in forwards {
-            if self.book.get(id).is_some_and(|record| record.forwards[forward].stage == Stage::Sending) {
+            if self.records.get(id).is_some_and(|record| record.forwards[forward].stage == Stage::Sending) {
                 self.withdraw(now, id, forward, out);
             }
         }
-        self.route.push(Input::Expired(id));
+        self.queue.push(Input::Expired(id));
     }
 
-    /// The client's time is over: what is still out ends as timed out, and the decisions answer.
-    pub(crate) fn over(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
-        let Some(record) = self.book.get(id) else { return };
-        for forward in record.out() {
+    /// Handles the deadline of an invocation: open forwards end as timed out, and the decisions answer.
+    pub(crate) fn time_out(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+        let Some(record) = self.records.get(id) else { return };
+        for forward in record.open_forwards() {
             self.drop_forward(id, forward, out);
-            self.settled(now, id, forward, Outcome::TimedOut, Report::default());
+            self.settle_forward(now, id, forward, Outcome::TimedOut, Report::default());
         }
-        self.carry_on(now, out);
-        // Nobody may be left without an answer, even if the decisions forgot.
-        if self.give(id, Answer::Errored, out) {
+        self.run_decisions(now, out);
+        // Every client gets an answer, even if the decisions gave none.
+        if self.send_final_answer(id, Answer::Errored, out) {
             error!("invocation {id} was left without an answer");
-            self.route.push(Input::Expired(id));
+            self.queue.push(Input::Expired(id));
         }
-        self.book.tidy(id);
+        self.records.remove_if_finished(id);
     }
 
     fn forward(&mut self, now: f64, id: InvId, tgt: Tgt, out: &mut Vec<Action>) {
-        let Some(record) = self.book.get(id) else { return };
+        let Some(record) = self.records.get(id) else { return };
         let forward = record.forwards.len();
         debug!(
-            "forward {forward} of {id}, call {}, goes to {:06x} by list {} ({})",
+            "forward {forward} of {id}, call {}, to executor {:06x}, list {} ({})",
             record.call,
             self.fleet.mark(tgt),
             self.version,
-            self.route.decide().list_state().name()
+            self.queue.decide().list_state().name()
         );
         record.forwards.push(Forward { tgt, sent: now, stage: Stage::Sending });
-        let write_until = self.route.decide().write_until(id);
+        let write_until = self.queue.decide().write_until(id);
         out.push(Action::Send { id, forward, tgt, end: record.end, write_until });
     }
 
-    fn replied(&mut self, now: f64, id: InvId, forward: usize, reply: Reply, out: &mut Vec<Action>) {
+    fn handle_reply(&mut self, now: f64, id: InvId, forward: usize, reply: Reply, out: &mut Vec<Action>) {
         match reply {
-            Reply::Ended(outcome, report) => self.settled(now, id, forward, outcome, report),
+            Reply::Ended(outcome, report) => self.settle_forward(now, id, forward, outcome, report),
             Reply::Unheard => {
                 debug!("forward {forward} of {id} is not acknowledged");
-                self.route.push(Input::Unheard { id, forward });
+                self.queue.push(Input::Unheard { id, forward });
             }
             Reply::Unfit(status, report) => {
-                // No other executor would find it any better, and each that is asked would be doubted for it.
-                info!("invocation {id} was turned away with {status}");
-                self.give(id, Answer::Unfit(Unfit::TurnedAway(status)), out);
-                self.settled(now, id, forward, Outcome::Unfit, report);
+                // Every other executor would reject it too, and each rejection would count against that executor.
+                info!("invocation {id} was rejected by its executor with status {status}");
+                self.send_final_answer(id, Answer::Unfit(Unfit::TurnedAway(status)), out);
+                self.settle_forward(now, id, forward, Outcome::Unfit, report);
             }
             Reply::Written => self.counts.forwards += 1,
             Reply::Taken => {
-                let forward = self.book.get(id).and_then(|record| record.forwards.get_mut(forward));
-                // It may have ended already: executors may tell of the end first.
+                let forward = self.records.get(id).and_then(|record| record.forwards.get_mut(forward));
+                // It may have ended already: an executor may report the end before it acknowledges.
                 if let Some(forward) = forward.filter(|forward| forward.stage == Stage::Sending) {
                     forward.stage = Stage::Taken;
                 }
             }
-            Reply::Succeeded(result, report) => self.succeeded(now, id, forward, result, report, out),
+            Reply::Succeeded(result, report) => self.handle_success(now, id, forward, result, report, out),
         }
     }
 
-    /// Books the end of a forward, once, and tells the decisions.
-    pub(crate) fn settled(&mut self, now: f64, id: InvId, forward: usize, outcome: Outcome, report: Report) {
-        let Some(ended) = self.book.end(id, forward) else { return };
+    /// Records the end of a forward, once, and notifies the decisions.
+    pub(crate) fn settle_forward(
+        &mut self,
+        now: f64,
+        id: InvId,
+        forward: usize,
+        outcome: Outcome,
+        report: Report,
+    ) {
+        let Some(ended) = self.records.end_forward(id, forward) else { return };
         let took = now - ended.sent;
-        debug!("forward {forward} of {id} at {}: {outcome:?} after {took:.3}, {report:?}", ended.tgt);
-        let ended = self.book.get(id).is_none_or(|record| !record.owed);
-        self.route.push(Input::Settled(Settled { id, forward, outcome, took, ended, report }));
-        self.book.tidy(id);
+        debug!(
+            "forward {forward} of {id} at executor {}: {outcome:?} after {took:.3} s, {report:?}",
+            ended.tgt
+        );
+        let ended = self.records.get(id).is_none_or(|record| !record.unanswered);
+        self.queue.push(Input::Settled(Settled { id, forward, outcome, took, ended, report }));
+        self.records.remove_if_finished(id);
     }
 
-    fn news(&mut self, now: f64, news: News, out: &mut Vec<Action>) {
+    fn handle_report(&mut self, now: f64, news: News, out: &mut Vec<Action>) {
         let tgt = self.fleet.known(&news.from);
-        let Some((id, forward)) = tgt.and_then(|tgt| self.book.find(&news.call, tgt)) else {
-            return debug!("news of {} from {} is of nothing held", news.call, news.from);
+        let Some((id, forward)) = tgt.and_then(|tgt| self.records.find(&news.call, tgt)) else {
+            return debug!("report on call {} from {} matches no open forward", news.call, news.from);
         };
         match news.word {
-            Word::Ended(Outcome::Full) if self.book.was_returned(id, forward) => {
-                // Guards against a second effect: a repeat of what ended an earlier forward there would prove
-                // that this one never ran.
-                debug!("{} returned by {} again", news.call, news.from);
+            Word::Ended(Outcome::Full) if self.records.has_earlier_return(id, forward) => {
+                // Prevents a second effect: a repeated return of an earlier forward to this executor would be taken
+                // as proof that the current one never ran.
+                debug!("call {} returned again by {}", news.call, news.from);
             }
             Word::Alive => {
-                // It may come before the executor has answered for it.
-                self.replied(now, id, forward, Reply::Taken, out);
-                self.route.push(Input::Alive { id, forward });
+                // The report may arrive before the executor's acknowledgement.
+                self.handle_reply(now, id, forward, Reply::Taken, out);
+                self.queue.push(Input::Alive { id, forward });
             }
             Word::Ended(outcome) => {
-                self.settled(now, id, forward, outcome, news.report);
+                self.settle_forward(now, id, forward, outcome, news.report);
                 if outcome == Outcome::Full {
-                    self.book.returned(id, forward);
+                    self.records.mark_returned(id, forward);
                 }
             }
-            Word::Succeeded(result) => self.succeeded(now, id, forward, result, news.report, out),
+            Word::Succeeded(result) => self.handle_success(now, id, forward, result, news.report, out),
         }
     }
 
-    fn succeeded(
+    fn handle_success(
         &mut self,
         now: f64,
         id: InvId,
@@ -753,19 +782,19 @@
         report: Report,
         out: &mut Vec<Action>,
     ) {
-        let owed = self.give(id, Answer::Succeeded(result), out);
-        if self.book.is_out(id, forward) {
-            self.settled(now, id, forward, Outcome::Succeeded, report);
-        } else if owed {
-            // A forward that was given up for lost did it after all.
-            self.finished(now, id, out);
+        let answered = self.send_final_answer(id, Answer::Succeeded(result), out);
+        if self.records.is_open(id, forward) {
+            self.settle_forward(now, id, forward, Outcome::Succeeded, report);
+        } else if answered {
+            // A forward that was considered lost has succeeded after all.
+            self.close_invocation(now, id, out);
         }
-        self.book.tidy(id);
+        self.records.remove_if_finished(id);
     }
 
-    /// Stops waiting for a forward: by closing its connection, or by telling the executor that has it.
+    /// Abandons a forward: closes its connection, or cancels it at the executor that has accepted it.
     fn drop_forward(&mut self, id: InvId, forward: usize, out: &mut Vec<Action>) {
-        let Some(record) = self.book.get(id) else { return };
+        let Some(record) = self.records.get(id) else { return };
         let Forward { tgt, stage, .. } = record.forwards[forward];
         match stage {
             Stage::Sending => out.push(Action::Abort { id, forward }),
@@ -779,10 +808,10 @@
 
     pub(crate) fn withdraw(&mut self, now: f64, id: InvId, forward: usize, out: &mut Vec<Action>) {
         self.drop_forward(id, forward, out);
-        self.settled(now, id, forward, Outcome::Cancelled, Report::default());
+        self.settle_forward(now, id, forward, Outcome::Cancelled, Report::default());
     }
 
-    fn listed(
+    fn apply_listing(
         &mut self,
         now: f64,
         listing: &Listing,
@@ -791,76 +820,81 @@
     ) {
         self.version = listing.version;
         let (version, many) = (listing.version, listing.hosts.len());
-        match self.fleet.empties(listing) {
-            Some(before) => warn!("{before}"),
+        match self.fleet.emptied_warning(listing) {
+            Some(warning) => warn!("{warning}"),
             None => info!("list {version}: {many} {}", if listing.full { "executors" } else { "changes" }),
         }
         let drains = listing.hosts.iter().filter(|host| host.standing == Standing::Draining);
-        drains.for_each(|host| info!("executor {:06x} drains", coveroute_shared::mark(&host.id)));
-        let (told, moves) = self.fleet.listed(now, listing);
-        // Guards against a connection that comes up after the grace: what was decided before would be written then.
-        let drains = told.iter().filter(|entry| entry.standing == Standing::Draining).map(|entry| entry.tgt);
-        let gone = moves.iter().filter_map(|to| if let Move::Gone(tgt) = to { Some(*tgt) } else { None });
+        drains.for_each(|host| info!("executor {:06x} is draining", coveroute_shared::mark(&host.id)));
+        let (entries, changes) = self.fleet.apply(now, listing);
+        // A connection may come up after the grace period, and forwards decided before would be written then: recall them.
+        let drains =
+            entries.iter().filter(|entry| entry.standing == Standing::Draining).map(|entry| entry.tgt);
+        let gone =
+            changes.iter().filter_map(|to| if let AddressChange::Gone(tgt) = to { Some(*tgt) } else { None });
         let closed: Vec<Tgt> = drains.chain(gone).collect();
-        let recalls =
-            self.book.sending(&closed).into_iter().map(|(id, forward)| Action::Recall { id, forward });
+        let recalls = self
+            .records
+            .unacknowledged(&closed)
+            .into_iter()
+            .map(|(id, forward)| Action::Recall { id, forward });
         out.extend(recalls);
-        out.extend(moves.into_iter().map(|to| match to {
-            Move::At(tgt, addr) => Action::At(tgt, addr),
-            Move::Gone(tgt) => Action::Gone(tgt),
+        out.extend(changes.into_iter().map(|to| match to {
+            AddressChange::At(tgt, addr) => Action::At(tgt, addr),
+            AddressChange::Gone(tgt) => Action::Gone(tgt),
         }));
-        self.route.push(Input::List(list(listing, told)));
+        self.queue.push(Input::List(list(listing, entries)));
     }
 
-    /// Settings are taken over in one step; requests, connections and what was learnt stay. A stop goes before them.
-    fn reread(&mut self, now: f64, tuning: Option<Box<Tuning>>, moved: bool, out: &mut Vec<Action>) {
+    /// Applies a reloaded configuration in one step; requests, connections and learned state stay. A stopping node ignores it.
+    fn reload(&mut self, now: f64, tuning: Option<Box<Tuning>>, moved: bool, out: &mut Vec<Action>) {
         if !self.phase.takes_settings() {
             self.counts.rejected += 1;
-            return info!("not reloaded: the node is about to stop");
+            return info!("not reloaded: the node is stopping");
         }
         self.counts.applied += 1;
-        tuning.into_iter().for_each(|tuning| self.adopt(now, *tuning));
-        // Guards against a node that goes on with a list which nobody keeps: the old service may close at any
-        // moment from now on. The new one's versions may count otherwise: the whole list is asked for.
-        if moved && self.step(Step::Reread) {
+        tuning.into_iter().for_each(|tuning| self.apply_settings(now, *tuning));
+        // The old discovery service may close at any moment, so the node must not stay on its list. The new service
+        // may number versions differently, so the whole list is requested.
+        if moved && self.step(Step::Reload) {
             self.version = 0;
             self.follow(out);
         }
     }
 
-    fn adopt(&mut self, now: f64, tuning: Tuning) {
+    fn apply_settings(&mut self, now: f64, tuning: Tuning) {
         let Tuning { mut settings, mut names, timeouts } = tuning;
         let operations = std::mem::take(&mut names.operations);
         let old = &self.fleet.names().tenants;
         let tenants: Vec<_> =
             names.tenants.iter().map(|name| old.iter().position(|known| known == name)).collect();
-        self.fleet.adopt(names, &mut settings);
+        self.fleet.apply_settings(names, &mut settings);
         self.cancelling = settings.cancelling;
-        let news = operations.into_iter().zip(timeouts).zip(std::mem::take(&mut settings.operations));
-        let news = news.map(|((name, timeout), operation)| (name, timeout, operation)).collect();
-        let decide = self.route.decide();
-        let moved = self.operations.adopt(now, news, &mut self.entries, |at| decide.has(at));
+        let entries = operations.into_iter().zip(timeouts).zip(std::mem::take(&mut settings.operations));
+        let entries = entries.map(|((name, timeout), operation)| (name, timeout, operation)).collect();
+        let decide = self.queue.decide();
+        let moved = self.operations.apply_settings(now, entries, &mut self.entries, |at| decide.has(at));
         settings.operations = self.entries.clone();
         (self.cold_factor, self.budget) = (settings.cold.factor, settings.budget);
-        settings.cold.factor *= self.part;
-        settings.budget = self.own_budget();
-        self.route.decide_mut().adopt(settings, &moved, &tenants);
-        self.show();
-        info!("settings taken over: {} operations new or changed", moved.len());
+        settings.cold.factor *= self.process_share;
+        settings.budget = self.process_budget();
+        self.queue.decide_mut().adopt(settings, &moved, &tenants);
+        self.register_operations();
+        info!("settings applied: {} operations new or changed", moved.len());
     }
 
     fn stop(&mut self, now: f64) {
-        if !self.step(Step::Told) {
+        if !self.step(Step::StopRequested) {
             return;
         }
-        let span = self.operations.longest().min(WAITS_MOST);
-        let (quiet, waits) = (now + QUIET_LEAST.max(QUIET_SHARE * span), now + span);
-        (self.leave_by, self.end_from) = (waits + ANSWERED_AFTER, quiet + CLOSED_AFTER);
-        self.timers.set(quiet, Timer::Life(Step::Quiet));
-        self.timers.set(waits + LATE_AFTER, Timer::Life(Step::Late));
-        for (id, end) in self.book.cut(self.leave_by) {
-            self.timers.set(end, Timer::End(id));
+        let span = self.operations.longest_timeout().min(MAX_STOP_WAIT);
+        let (closing, wait_end) = (now + MIN_LEAVING_TIME.max(LEAVING_SHARE * span), now + span);
+        (self.answer_by, self.exit_from) = (wait_end + LAST_ANSWER_OFFSET, closing + IDLE_CLOSE_TIME);
+        self.timers.schedule(closing, Timer::PhaseStep(Step::FrontNotified));
+        self.timers.schedule(wait_end + FORCED_EXIT_OFFSET, Timer::PhaseStep(Step::StopTimedOut));
+        for (id, end) in self.records.shorten_deadlines(self.answer_by) {
+            self.timers.schedule(end, Timer::Deadline(id));
         }
-        self.route.push(Input::Leaving(self.leave_by));
+        self.queue.push(Input::Leaving(self.answer_by));
     }
 }
--- a/crates/coveroute-engine/src/lib.rs
+++ b/crates/coveroute-engine/src/lib.rs
@@ -1,24 +1,23 @@
-//! What a coveroute node does, on any wire and in any time: the engine takes (now, event) and gives actions, which
-//! its host carries out in order. It owns the decisions, the book of records, the timers, the list of executors
-//! and the node's phases; it does no I/O, reads no clock and knows no protocol. Times are seconds, on whichever
-//! clock the host keeps to.
+//! The protocol-independent core of a coveroute node. The engine takes the time and an event and returns actions, which
+//! its host carries out in order. It owns the decisions, the records of invocations, the timers, the list of
+//! executors and the node's phase. It does no I/O, reads no clock and knows no protocol. Times are in seconds on the
+//! host's clock.
 mod admit;
 mod answer;
-mod book;
 mod counts;
 mod decide;
+mod decision_queue;
 mod engine;
 mod list;
 mod memory;
 mod operations;
 mod parcel;
 mod phase;
-mod route;
+mod records;
 mod timers;
 
 pub use admit::{Call, ANSWER_TAKES};
 pub use answer::{Answer, Unfit};
-pub use book::Stage;
 pub use counts::{Figures, ListFigures, Tally, Verdict};
 pub use decide::Decide;
 pub use engine::{Action, Engine, Event, News, Reply, Setup, Tuning, Watched, Word, UNASKED};
@@ -26,6 +25,7 @@
 pub use memory::Memory;
 pub use parcel::Parcel;
 pub use phase::{Phase, Step};
+pub use records::Stage;
 
 #[cfg(test)]
 mod tests;
--- a/crates/coveroute-engine/src/list.rs
+++ b/crates/coveroute-engine/src/list.rs
@@ -1,4 +1,5 @@
-//! The list of executors, in no protocol's words: who is listed, where, and who has gone since when.
+//! The list of executors, independent of any protocol: the listed executors and their addresses, and when others were
+//! removed.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -6,10 +7,10 @@
 use coveroute_shared::{position, Listed, Names, Roster};
 use serde::{Deserialize, Serialize};
 
-/// After this nothing can come from an executor that has gone: many times the longest client timeouts.
-const FORGET_AFTER: f64 = 600.0;
+/// Seconds after its removal from which nothing more can arrive from an executor: many times the longest client timeouts.
+const NUMBER_KEPT_FOR: f64 = 600.0;
 
-/// One executor, as a source of the list words it.
+/// An entry of the list, as its source gives it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Host {
     pub id: String,
@@ -17,14 +18,14 @@
     pub zone: String,
     pub kind: String,
     pub cell: i64,
-    /// When its process started, 0 for long ago.
+    /// When its process started; 0 means long ago.
     pub started: f64,
-    /// What the list says of its size, in no unit.
+    /// The size that the list gives, without a unit.
     pub size: f64,
     pub standing: Standing,
 }
 
-/// A whole list, or the entries that changed.
+/// The whole list or only its changed entries, depending on `full`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Listing {
     pub version: u64,
@@ -42,36 +43,38 @@
     }
 }
 
-/// What became of one executor's address with a listing.
+/// A change to the address of an executor.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Move {
+pub enum AddressChange {
     At(Tgt, SocketAddr),
     Gone(Tgt),
 }
 
+/// The executors that the node knows.
 #[derive(Debug)]
 pub struct Fleet {
     names: Names,
     roster: Roster,
-    /// By number; none for who has no address, or has gone.
+    /// By number; `None` for executors that have no address or were removed.
     addrs: Vec<Option<SocketAddr>>,
-    /// Those that are listed, as the list last told of them.
+    /// The listed executors with their latest entries.
     listed: BTreeMap<Tgt, Host>,
-    /// Executors that are not listed any more, and since when.
+    /// Executors that were removed from the list, and when.
     gone: BTreeMap<Tgt, f64>,
-    /// Where only a drain binds, who is not listed any more may still be sent to: its address is kept.
-    keeps: bool,
+    /// Whether executors keep their address when they are removed from the list. They do where only draining forbids
+    /// sending (`Settings::only_draining`).
+    keeps_addresses: bool,
 }
 
 impl Fleet {
-    pub fn new(names: Names, keeps: bool) -> Self {
+    pub fn new(names: Names, keeps_addresses: bool) -> Self {
         Fleet {
             names,
             roster: Roster::default(),
             addrs: Vec::new(),
             listed: BTreeMap::new(),
             gone: BTreeMap::new(),
-            keeps,
+            keeps_addresses,
         }
     }
 
@@ -79,41 +82,41 @@
         &self.names
     }
 
-    /// Takes other names and rules over. Zones and kinds keep their numbers: what stands in the settings by
-    /// the new file's numbers gets these.
-    pub fn adopt(&mut self, mut names: Names, settings: &mut Settings) {
+    /// Applies new names and settings. Zones and kinds keep their numbers, and `settings` is converted from the new
+    /// file's numbers to these.
+    pub fn apply_settings(&mut self, mut names: Names, settings: &mut Settings) {
         let kept = &mut self.names;
         settings.zone = position(&mut kept.zones, &names.zones[settings.zone]);
         for operation in &mut settings.operations {
-            // A number beyond the file's own names is no kind that any executor has: nor is it here.
-            let mut named = |kind: usize| names.kinds.get(kind).map(|name| position(&mut kept.kinds, name));
-            operation.kind = operation.kind.map(|kind| named(kind).unwrap_or(usize::MAX));
+            // A number outside the file's names matches no executor there, so it must not match one here either.
+            let mut number = |kind: usize| names.kinds.get(kind).map(|name| position(&mut kept.kinds, name));
+            operation.kind = operation.kind.map(|kind| number(kind).unwrap_or(usize::MAX));
         }
         kept.tenants = std::mem::take(&mut names.tenants);
-        self.keeps = settings.only_draining;
+        self.keeps_addresses = settings.only_draining;
     }
 
-    /// Executors that are listed now.
-    pub fn listed_now(&self) -> usize {
+    /// Number of listed executors.
+    pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// A line on a list that takes everything away: whoever made it may have forgotten all, and jobs under way go on.
-    pub fn empties(&self, listing: &Listing) -> Option<String> {
-        let empties = listing.full && listing.hosts.is_empty() && !self.listed.is_empty();
+    /// A warning if the listing removes every executor. Its source may have lost its data, so running jobs continue.
+    pub fn emptied_warning(&self, listing: &Listing) -> Option<String> {
+        let emptied = listing.full && listing.hosts.is_empty() && !self.listed.is_empty();
         let (version, before) = (listing.version, self.listed.len());
-        empties.then(|| {
-            let then = if self.keeps { "all may still be called" } else { "nothing new goes out" };
-            format!("list {version} is empty, {before} executors were listed: what runs goes on, {then} until one is listed")
+        emptied.then(|| {
+            let sending = if self.keeps_addresses { "new jobs may still be sent to them" } else { "no new job is sent" };
+            format!("list {version} is empty, {before} executors were listed before: running jobs continue, {sending} until an executor is listed")
         })
     }
 
-    /// The list as it is held.
+    /// The current list.
     pub fn listing(&self, version: u64) -> Listing {
         Listing { version, full: true, hosts: self.listed.values().cloned().collect() }
     }
 
-    /// The executor's number, also of one that was never listed here.
+    /// The executor's number. Executors that were never listed get one too.
     pub fn number(&mut self, id: &str) -> Tgt {
         self.roster.number(id)
     }
@@ -122,7 +125,7 @@
         self.names.kinds.get(kind)
     }
 
-    pub fn numbered_kind(&mut self, kind: &str) -> usize {
+    pub fn kind_number(&mut self, kind: &str) -> usize {
         position(&mut self.names.kinds, kind)
     }
 
@@ -138,7 +141,7 @@
         coveroute_shared::mark(self.roster.id(tgt))
     }
 
-    pub fn marked(&self, mark: u32) -> Option<Tgt> {
+    pub fn by_mark(&self, mark: u32) -> Option<Tgt> {
         self.roster.marked(mark)
     }
 
@@ -146,9 +149,9 @@
         self.addrs.get(tgt).copied().flatten()
     }
 
-    /// Takes a listing over; what the decisions are told, and what moves.
-    pub fn listed(&mut self, now: f64, listing: &Listing) -> (Vec<Entry>, Vec<Move>) {
-        let (mut told, mut moves) = (self.forget(now), Vec::new());
+    /// Applies a listing; returns the entries for the decisions and the changed addresses.
+    pub fn apply(&mut self, now: f64, listing: &Listing) -> (Vec<Entry>, Vec<AddressChange>) {
+        let (mut for_decisions, mut changes) = (self.release_numbers(now), Vec::new());
         if listing.full {
             self.listed.clear();
         }
@@ -159,24 +162,24 @@
             entries.push((entry, host.addr));
         }
         if listing.full {
-            // What a whole list lacks is gone.
-            let mut named = vec![false; self.addrs.len()];
-            entries.iter().for_each(|(e, _)| named.iter_mut().skip(e.tgt).take(1).for_each(|n| *n = true));
-            let lacking = |&tgt: &Tgt| self.addrs[tgt].is_some() && !named[tgt];
+            // Executors that a whole list lacks are removed.
+            let mut present = vec![false; self.addrs.len()];
+            entries.iter().for_each(|(e, _)| present.iter_mut().skip(e.tgt).take(1).for_each(|n| *n = true));
+            let lacking = |&tgt: &Tgt| self.addrs[tgt].is_some() && !present[tgt];
             let lacking: Vec<Tgt> = (0..self.addrs.len()).filter(lacking).collect();
-            lacking.into_iter().for_each(|tgt| self.leave(now, tgt, &mut moves));
+            lacking.into_iter().for_each(|tgt| self.remove(now, tgt, &mut changes));
         }
         for (entry, addr) in entries {
             match (entry.standing, addr) {
-                (Standing::Gone, _) => self.leave(now, entry.tgt, &mut moves),
+                (Standing::Gone, _) => self.remove(now, entry.tgt, &mut changes),
                 (Standing::Ready | Standing::Missing | Standing::Draining, addr) => {
                     self.gone.remove(&entry.tgt);
-                    addr.into_iter().for_each(|addr| self.settle(entry.tgt, addr, &mut moves));
+                    addr.into_iter().for_each(|addr| self.set_address(entry.tgt, addr, &mut changes));
                 }
             }
-            told.push(entry);
+            for_decisions.push(entry);
         }
-        (told, moves)
+        (for_decisions, changes)
     }
 
     fn entry(&mut self, host: &Host) -> Entry {
@@ -186,31 +189,31 @@
         self.roster.entry(&mut self.names, &listed)
     }
 
-    fn settle(&mut self, tgt: Tgt, addr: SocketAddr, moves: &mut Vec<Move>) {
+    fn set_address(&mut self, tgt: Tgt, addr: SocketAddr, changes: &mut Vec<AddressChange>) {
         if self.addrs.len() <= tgt {
             self.addrs.resize(tgt + 1, None);
         }
         if self.addrs[tgt].replace(addr) != Some(addr) {
-            moves.push(Move::At(tgt, addr));
+            changes.push(AddressChange::At(tgt, addr));
         }
     }
 
-    fn leave(&mut self, now: f64, tgt: Tgt, moves: &mut Vec<Move>) {
+    fn remove(&mut self, now: f64, tgt: Tgt, changes: &mut Vec<AddressChange>) {
         self.listed.remove(&tgt);
-        if self.keeps {
+        if self.keeps_addresses {
             self.gone.entry(tgt).or_insert(now);
             return;
         }
         self.addrs.iter_mut().skip(tgt).take(1).for_each(|addr| *addr = None);
         self.gone.insert(tgt, now);
-        moves.push(Move::Gone(tgt));
+        changes.push(AddressChange::Gone(tgt));
     }
 
-    /// Gives back the numbers of executors that have long gone. Guards against growth without end where
-    /// machines are replaced by new ones. The decisions get a start time that is none, and so forget what
-    /// they knew.
-    fn forget(&mut self, now: f64) -> Vec<Entry> {
-        let long = |since: &f64| now - since > FORGET_AFTER;
+    /// Releases the numbers of executors that were removed long ago, so that memory does not grow without bound where
+    /// machines are replaced by new ones. The returned entries have NaN as their start time, which makes the decisions
+    /// discard what they have learned of them.
+    fn release_numbers(&mut self, now: f64) -> Vec<Entry> {
+        let long = |since: &f64| now - since > NUMBER_KEPT_FOR;
         let old: Vec<Tgt> = self.gone.iter().filter(|gone| long(gone.1)).map(|gone| *gone.0).collect();
         let blank = |&tgt: &Tgt| {
             self.gone.remove(&tgt);
--- a/crates/coveroute-engine/src/memory.rs
+++ b/crates/coveroute-engine/src/memory.rs
@@ -1,4 +1,5 @@
-//! Memory: what one process of a node hands to the next, by names, as both number things by themselves.
+//! The state that one process of a node hands to the next. It uses names, because each process assigns its own
+//! numbers.
 use coveroute::learnt::{Learnt, Row};
 use coveroute_shared::Names;
 use serde::{Deserialize, Serialize};
@@ -11,10 +12,10 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Memory {
     pub listing: Listing,
-    /// The list was followed up to now; one from an older program does not say so.
+    /// The list was watched until the handover. State from older versions of the program lacks this field.
     #[serde(default)]
     pub current: bool,
-    /// Ids of calls that the process before still serves.
+    /// Ids of calls that the previous process still serves.
     pub calls: Vec<String>,
     pub executors: Rows,
     pub operations: Rows,
@@ -27,13 +28,13 @@
     pub further: Row,
 }
 
-/// Rows by number become rows by name; what has none is left out.
-fn named<'a>(rows: Vec<(usize, Row)>, name: impl Fn(usize) -> Option<&'a str>) -> Rows {
+/// Converts rows by number to rows by name; rows without a name are left out.
+fn by_name<'a>(rows: Vec<(usize, Row)>, name: impl Fn(usize) -> Option<&'a str>) -> Rows {
     rows.into_iter().filter_map(|(at, row)| Some((name(at)?.to_owned(), row))).collect()
 }
 
-/// And back; what is not known here is left out.
-fn numbered(rows: &Rows, number: impl Fn(&str) -> Option<usize>) -> Vec<(usize, Row)> {
+/// Converts rows by name to rows by number; names unknown here are left out.
+fn by_number(rows: &Rows, number: impl Fn(&str) -> Option<usize>) -> Vec<(usize, Row)> {
     rows.iter().filter_map(|(name, row)| Some((number(name)?, row.clone()))).collect()
 }
 
@@ -50,10 +51,10 @@
             listing: fleet.listing(version),
             current: false,
             calls,
-            executors: named(learnt.executors, |tgt| Some(fleet.id(tgt)).filter(|id| !id.is_empty())),
-            operations: named(learnt.operations, |at| operations.current(at)),
-            tenants: named(learnt.tenants, |at| names.tenants.get(at).map(String::as_str)),
-            kinds: named(learnt.kinds, |at| names.kinds.get(at).map(String::as_str)),
+            executors: by_name(learnt.executors, |tgt| Some(fleet.id(tgt)).filter(|id| !id.is_empty())),
+            operations: by_name(learnt.operations, |at| operations.current(at)),
+            tenants: by_name(learnt.tenants, |at| names.tenants.get(at).map(String::as_str)),
+            kinds: by_name(learnt.kinds, |at| names.kinds.get(at).map(String::as_str)),
             node: learnt.node,
             taken: learnt.taken,
             further: learnt.further,
@@ -64,10 +65,10 @@
         let Names { tenants, kinds, .. } = fleet.names();
         let at = |names: &[String], name: &str| names.iter().position(|known| known == name);
         Learnt {
-            executors: numbered(&self.executors, |id| fleet.known(id)),
-            operations: numbered(&self.operations, |name| operations.find(name, now)),
-            tenants: numbered(&self.tenants, |name| at(tenants, name)),
-            kinds: numbered(&self.kinds, |name| at(kinds, name)),
+            executors: by_number(&self.executors, |id| fleet.known(id)),
+            operations: by_number(&self.operations, |name| operations.find(name, now)),
+            tenants: by_number(&self.tenants, |name| at(tenants, name)),
+            kinds: by_number(&self.kinds, |name| at(kinds, name)),
             node: self.node.clone(),
             taken: self.taken.clone(),
             further: self.further.clone(),
--- a/crates/coveroute-engine/src/operations.rs
+++ b/crates/coveroute-engine/src/operations.rs
@@ -1,126 +1,128 @@
-//! Operations: the entry that a name stands for now, and those that jobs under way still have. An entry never
-//! changes while a job has it: new settings make a new one, and the name points there.
+//! The entries of operations: the current one of each name, and older ones that running jobs still use. An entry
+//! never changes while a job uses it: new settings add an entry, and the name then refers to that one.
 use std::sync::Arc;
 
 use coveroute::adopt::Moved;
 use coveroute::types::Operation;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Standing {
-    /// The name points here.
+enum EntryState {
+    /// The name refers to this entry.
     Current,
-    /// The settings lack the name; who was told to come back may until then.
-    Vanished(f64),
-    /// Jobs under way have it, if any.
+    /// The settings no longer have the name. Clients that were throttled may retry until this time.
+    Removed(f64),
+    /// Only running jobs may still use it.
     Replaced,
+    /// Unused, and available for another operation.
     Free,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Entry {
     name: Arc<str>,
-    /// Its client timeout.
+    /// Client timeout in seconds.
     timeout: f64,
-    standing: Standing,
+    state: EntryState,
 }
 
 #[derive(Debug)]
 pub struct Operations {
-    kept: Vec<Kept>,
+    entries: Vec<Entry>,
 }
 
 impl Operations {
     pub fn new(names: Vec<String>, timeouts: &[f64]) -> Self {
-        let kept = |(name, timeout): (String, &f64)| {
+        let entry = |(name, timeout): (String, &f64)| {
             let (name, timeout) = (name.into(), *timeout);
-            Kept { name, timeout, standing: Standing::Current }
+            Entry { name, timeout, state: EntryState::Current }
         };
-        Operations { kept: names.into_iter().zip(timeouts).map(kept).collect() }
+        Operations { entries: names.into_iter().zip(timeouts).map(entry).collect() }
     }
 
-    /// The entry of the name, where a job of it is taken now.
+    /// The entry for a new job of this operation; `None` if such jobs are not accepted now.
     pub fn find(&self, name: &str, now: f64) -> Option<usize> {
-        let open = |kept: &Kept| match kept.standing {
-            Standing::Current => true,
-            Standing::Vanished(until) => now < until,
-            Standing::Replaced | Standing::Free => false,
+        let open = |entry: &Entry| match entry.state {
+            EntryState::Current => true,
+            EntryState::Removed(until) => now < until,
+            EntryState::Replaced | EntryState::Free => false,
         };
-        self.kept.iter().position(|kept| open(kept) && &*kept.name == name)
+        self.entries.iter().position(|entry| open(entry) && &*entry.name == name)
     }
 
     pub fn name(&self, at: usize) -> &Arc<str> {
-        &self.kept[at].name
+        &self.entries[at].name
     }
 
-    /// The name, if it points there.
+    /// The name that currently refers to this entry, if any.
     pub fn current(&self, at: usize) -> Option<&str> {
-        let kept = self.kept.get(at).filter(|kept| kept.standing == Standing::Current);
-        kept.map(|kept| &*kept.name)
+        let entry = self.entries.get(at).filter(|entry| entry.state == EntryState::Current);
+        entry.map(|entry| &*entry.name)
     }
 
     pub fn timeout(&self, at: usize) -> f64 {
-        self.kept[at].timeout
+        self.entries[at].timeout
     }
 
     pub fn names(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.kept.iter().filter(|kept| kept.standing == Standing::Current).map(|kept| &kept.name)
+        self.entries.iter().filter(|entry| entry.state == EntryState::Current).map(|entry| &entry.name)
     }
 
-    /// The longest client timeout of all that jobs may have.
-    pub fn longest(&self) -> f64 {
-        let used = self.kept.iter().filter(|kept| kept.standing != Standing::Free);
-        used.map(|kept| kept.timeout).fold(0.0, f64::max)
+    /// The longest client timeout of all entries that jobs may use.
+    pub fn longest_timeout(&self) -> f64 {
+        let used = self.entries.iter().filter(|entry| entry.state != EntryState::Free);
+        used.map(|entry| entry.timeout).fold(0.0, f64::max)
     }
 
-    /// Takes new settings over: `news` by name, `held` what stands in the entries, also afterwards. Guards
-    /// against memory that grows with each file: entries that no job has (`busy`) are used again.
-    pub fn adopt(
+    /// Applies new settings. `new` has the operations by name, and `held` the contents of the entries, which it updates.
+    /// Entries that no job uses according to `busy` are reused, so that memory does not grow with each reload.
+    pub fn apply_settings(
         &mut self,
         now: f64,
-        news: Vec<(String, f64, Operation)>,
+        new: Vec<(String, f64, Operation)>,
         held: &mut Vec<Operation>,
         busy: impl Fn(usize) -> bool,
     ) -> Vec<Moved> {
-        for (at, kept) in self.kept.iter_mut().enumerate() {
-            let over = match kept.standing {
-                Standing::Vanished(until) => now >= until,
-                Standing::Replaced => true,
-                Standing::Current | Standing::Free => false,
+        for (at, entry) in self.entries.iter_mut().enumerate() {
+            let unused_name = match entry.state {
+                EntryState::Removed(until) => now >= until,
+                EntryState::Replaced => true,
+                EntryState::Current | EntryState::Free => false,
             };
-            if over && !busy(at) {
-                kept.standing = Standing::Free;
-                held[at].kind = None; // Or its kind would go on being solved apart.
+            if unused_name && !busy(at) {
+                entry.state = EntryState::Free;
+                held[at].kind = None; // Otherwise the split would still be solved separately for its kind.
             }
         }
-        let before: Vec<Option<usize>> = news.iter().map(|new| self.named(&new.0)).collect();
-        for (at, kept) in self.kept.iter_mut().enumerate() {
-            if kept.standing == Standing::Current && !before.contains(&Some(at)) {
-                kept.standing = Standing::Vanished(now + kept.timeout);
+        let before: Vec<Option<usize>> = new.iter().map(|new| self.reusable(&new.0)).collect();
+        for (at, entry) in self.entries.iter_mut().enumerate() {
+            if entry.state == EntryState::Current && !before.contains(&Some(at)) {
+                entry.state = EntryState::Removed(now + entry.timeout);
             }
         }
         let mut moved = Vec::new();
-        for ((name, timeout, operation), from) in news.into_iter().zip(before) {
-            if let Some(at) = from.filter(|&at| held[at] == operation && self.kept[at].timeout == timeout) {
-                self.kept[at].standing = Standing::Current;
+        for ((name, timeout, operation), from) in new.into_iter().zip(before) {
+            if let Some(at) = from.filter(|&at| held[at] == operation && self.entries[at].timeout == timeout)
+            {
+                self.entries[at].state = EntryState::Current;
                 continue;
             }
-            from.into_iter().for_each(|at| self.kept[at].standing = Standing::Replaced);
-            let kept = Kept { name: name.into(), timeout, standing: Standing::Current };
-            let free = self.kept.iter().position(|kept| kept.standing == Standing::Free);
-            let to = free.unwrap_or(self.kept.len());
-            if to == self.kept.len() {
-                self.kept.push(kept);
+            from.into_iter().for_each(|at| self.entries[at].state = EntryState::Replaced);
+            let entry = Entry { name: name.into(), timeout, state: EntryState::Current };
+            let free = self.entries.iter().position(|entry| entry.state == EntryState::Free);
+            let to = free.unwrap_or(self.entries.len());
+            if to == self.entries.len() {
+                self.entries.push(entry);
                 held.push(operation);
             } else {
-                (self.kept[to], held[to]) = (kept, operation);
+                (self.entries[to], held[to]) = (entry, operation);
             }
             moved.push(Moved { from, to });
         }
         moved
     }
 
-    /// An entry of the name that holds just this, for a job that comes from another process: one that is there, or
-    /// one of its own.
+    /// An entry with exactly this name and content, for a job that comes from another process: an existing one, or a
+    /// new one that only this job uses.
     pub fn entry(
         &mut self,
         name: &str,
@@ -128,23 +130,23 @@
         operation: &Operation,
         held: &mut Vec<Operation>,
     ) -> usize {
-        let same = |(at, kept): (usize, &Kept)| {
-            kept.standing != Standing::Free
-                && &*kept.name == name
-                && kept.timeout == timeout
+        let same = |(at, entry): (usize, &Entry)| {
+            entry.state != EntryState::Free
+                && &*entry.name == name
+                && entry.timeout == timeout
                 && held[at] == *operation
         };
-        if let Some(at) = (0..self.kept.len()).find(|&at| same((at, &self.kept[at]))) {
+        if let Some(at) = (0..self.entries.len()).find(|&at| same((at, &self.entries[at]))) {
             return at;
         }
-        self.kept.push(Kept { name: name.into(), timeout, standing: Standing::Replaced });
+        self.entries.push(Entry { name: name.into(), timeout, state: EntryState::Replaced });
         held.push(operation.clone());
-        self.kept.len() - 1
+        self.entries.len() - 1
     }
 
-    /// The entry that last had the name, if it can be taken up again.
-    fn named(&self, name: &str) -> Option<usize> {
-        let last = |kept: &Kept| matches!(kept.standing, Standing::Current | Standing::Vanished(_));
-        self.kept.iter().position(|kept| last(kept) && &*kept.name == name)
+    /// The latest entry of the name, if it can become current again.
+    fn reusable(&self, name: &str) -> Option<usize> {
+        let last = |entry: &Entry| matches!(entry.state, EntryState::Current | EntryState::Removed(_));
+        self.entries.iter().position(|entry| last(entry) && &*entry.name == name)
     }
 }
--- a/crates/coveroute-engine/src/parcel.rs
+++ b/crates/coveroute-engine/src/parcel.rs
@@ -1,34 +1,34 @@
-//! Parcel: a job under way, as one process of a node hands it to another: by names, as both number things by
-//! themselves. The client's connection and the job's bytes go beside it.
+//! A running job in the form in which one process of a node hands it to another. It uses names, because each process
+//! assigns its own numbers. The client's connection and the job's body are transferred separately.
 use coveroute::types::{Inv, Operation};
 use serde::{Deserialize, Serialize};
 
-use crate::book::Stage;
+use crate::records::Stage;
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Parcel {
     pub call: String,
-    /// Its operation, as it was taken: the name, what holds of it, its client timeout and the kind it needs.
+    /// The operation as of the job's admission: name, settings, client timeout and required kind of executor.
     pub operation: String,
     pub entry: Operation,
     pub timeout: f64,
     pub kind: Option<String>,
-    /// By when the client has its answer.
+    /// Deadline of the client.
     pub end: f64,
     pub inv: Inv,
-    /// Each forward's executor, and where it stands there.
+    /// Executor, time of sending and stage of each forward.
     pub forwards: Vec<(String, f64, Stage)>,
 }
 
 impl Parcel {
-    /// Whether it is of one piece. Guards against a link that says what no engine has parted with.
+    /// Whether the parts are consistent. A parcel received over a link may not come from an engine.
     pub fn is_sound(&self) -> bool {
         self.inv.forwards.len() == self.forwards.len() && self.timeout > 0.0
     }
 
-    /// Whether it comes out of its words as it went in. Guards against a figure that they can't hold: the job stays.
-    pub fn travels(&self) -> bool {
-        let words = serde_json::to_vec(self);
-        words.is_ok_and(|words| serde_json::from_slice::<Parcel>(&words).is_ok())
+    /// Whether the parcel can be read back from its JSON form. A job with a number that JSON cannot represent stays here.
+    pub fn survives_round_trip(&self) -> bool {
+        let json = serde_json::to_vec(self);
+        json.is_ok_and(|json| serde_json::from_slice::<Parcel>(&json).is_ok())
     }
 }
--- a/crates/coveroute-engine/src/phase.rs
+++ b/crates/coveroute-engine/src/phase.rs
@@ -1,16 +1,16 @@
-//! The node's life from start to exit.
+//! The phases of a node from start to exit.
 use log::info;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// Not yet able to serve.
+    /// Not yet ready to serve.
     Starting,
     Serving,
-    /// Serving, while the list is not yet followed as the configuration that was read anew says.
+    /// Serving, while the watch on the list that a reloaded configuration names is not yet established.
     Reloading,
-    /// Told to stop: takes what still comes, and closes a connection only with what it gives back.
+    /// Stopping: still accepts calls, and closes a connection only together with a call that it refuses.
     Leaving,
-    /// Closes connections with their answers and those that stand idle, finishes the rest.
+    /// Closes connections when they are idle or with their next answer, and finishes open calls.
     Closing,
     Ended,
 }
@@ -21,14 +21,14 @@
         matches!(self, Phase::Serving | Phase::Reloading)
     }
 
-    /// Whether a configuration that is read anew still counts.
+    /// Whether a reloaded configuration is still applied.
     pub fn takes_settings(self) -> bool {
         matches!(self, Phase::Starting | Phase::Serving | Phase::Reloading)
     }
 
-    /// The phase after the step, where the table knows it from here.
+    /// The phase after the step; `None` if the step has no effect in this phase.
     pub fn after(self, step: Step) -> Option<Phase> {
-        let row = TABLE.iter().find(|row| row.0 == self && row.1 == step)?;
+        let row = TRANSITIONS.iter().find(|row| row.0 == self && row.1 == step)?;
         info!("{:?} -> {:?}", row.0, row.2);
         Some(row.2)
     }
@@ -37,32 +37,32 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
     /// Executors are known.
-    Ready,
-    /// A configuration was read anew.
-    Reread,
-    /// The list of executors is followed.
-    Followed,
-    /// Asked to stop.
-    Told,
-    /// The front has had time to notice, and what comes now may not be finished.
-    Quiet,
-    /// Nothing is owed any more.
+    ExecutorsKnown,
+    /// A configuration was reloaded that changes the source of the list.
+    Reload,
+    /// The watch on the list of executors is established.
+    ListFollowed,
+    /// A stop was requested.
+    StopRequested,
+    /// The front has had time to notice the stop, and calls that arrive now may not finish.
+    FrontNotified,
+    /// No call is open.
     Idle,
     /// The time for stopping is over.
-    Late,
+    StopTimedOut,
 }
 
-const TABLE: [(Phase, Step, Phase); 12] = [
-    (Phase::Starting, Step::Ready, Phase::Serving),
-    (Phase::Starting, Step::Told, Phase::Leaving),
-    (Phase::Starting, Step::Reread, Phase::Starting),
-    (Phase::Serving, Step::Told, Phase::Leaving),
-    (Phase::Serving, Step::Reread, Phase::Reloading),
-    (Phase::Reloading, Step::Reread, Phase::Reloading),
-    (Phase::Reloading, Step::Followed, Phase::Serving),
-    (Phase::Reloading, Step::Told, Phase::Leaving),
-    (Phase::Leaving, Step::Quiet, Phase::Closing),
-    (Phase::Leaving, Step::Late, Phase::Ended),
+const TRANSITIONS: [(Phase, Step, Phase); 12] = [
+    (Phase::Starting, Step::ExecutorsKnown, Phase::Serving),
+    (Phase::Starting, Step::StopRequested, Phase::Leaving),
+    (Phase::Starting, Step::Reload, Phase::Starting),
+    (Phase::Serving, Step::StopRequested, Phase::Leaving),
+    (Phase::Serving, Step::Reload, Phase::Reloading),
+    (Phase::Reloading, Step::Reload, Phase::Reloading),
+    (Phase::Reloading, Step::ListFollowed, Phase::Serving),
+    (Phase::Reloading, Step::StopRequested, Phase::Leaving),
+    (Phase::Leaving, Step::FrontNotified, Phase::Closing),
+    (Phase::Leaving, Step::StopTimedOut, Phase::Ended),
     (Phase::Closing, Step::Idle, Phase::Ended),
-    (Phase::Closing, Step::Late, Phase::Ended),
+    (Phase::Closing, Step::StopTimedOut, Phase::Ended),
 ];
--- /dev/null
+++ b/crates/coveroute-engine/src/records.rs
@@ -0,0 +1,182 @@
+//! Records of all invocations that still need an answer or have an open forward, indexed by invocation id and by call
+//! id. A record is removed once the answer is given and every forward has ended.
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::sync::Arc;
+
+use coveroute::types::{InvId, Tgt};
+use serde::{Deserialize, Serialize};
+
+/// Progress of a forward.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
+pub enum Stage {
+    /// The executor has not acknowledged it yet.
+    Sending,
+    /// The executor has accepted it.
+    Taken,
+    /// The executor has reported that it returned the job without starting it.
+    Returned,
+    Ended,
+}
+
+impl Stage {
+    pub fn is_open(self) -> bool {
+        matches!(self, Stage::Sending | Stage::Taken)
+    }
+}
+
+#[derive(Debug)]
+pub struct Forward {
+    pub tgt: Tgt,
+    pub sent: f64,
+    pub stage: Stage,
+}
+
+#[derive(Debug)]
+pub struct Record {
+    pub call: Arc<str>,
+    /// Name of the operation.
+    pub operation: Arc<str>,
+    /// Whether the client still waits for its final answer.
+    pub unanswered: bool,
+    /// Deadline in this process.
+    pub end: f64,
+    /// Deadline without regard to a stop of this process.
+    pub due: f64,
+    pub forwards: Vec<Forward>,
+}
+
+impl Record {
+    /// Indices of the forwards that have not ended.
+    pub fn open_forwards(&self) -> Vec<usize> {
+        let open = |&at: &usize| self.forwards[at].stage.is_open();
+        (0..self.forwards.len()).filter(open).collect()
+    }
+}
+
+/// Number of ids of ended calls that are remembered. Clients give every request a new id, so a repeated id comes from
+/// another client. This covers the last minute of a busy node and takes half a megabyte.
+const MAX_ENDED_CALLS: usize = 4096;
+
+#[derive(Debug, Default)]
+pub struct Records {
+    by_id: BTreeMap<InvId, Record>,
+    /// By call id; `None` for calls that have ended.
+    calls: HashMap<Arc<str>, Option<InvId>>,
+    /// Call ids of ended calls, oldest first.
+    ended: VecDeque<Arc<str>>,
+}
+
+impl Records {
+    pub fn open(&mut self, id: InvId, record: Record) {
+        self.calls.insert(record.call.clone(), Some(id));
+        self.by_id.insert(id, record);
+    }
+
+    /// Whether the call is open or among the remembered ended ones.
+    pub fn knows(&self, call: &str) -> bool {
+        self.calls.contains_key(call)
+    }
+
+    pub fn get(&mut self, id: InvId) -> Option<&mut Record> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// Marks the invocation as answered and returns its operation; `None` if it was answered before.
+    pub fn mark_answered(&mut self, id: InvId) -> Option<&Arc<str>> {
+        let record = self.by_id.get_mut(&id).filter(|record| record.unanswered)?;
+        record.unanswered = false;
+        Some(&record.operation)
+    }
+
+    /// The ids of calls that have a record.
+    pub fn calls(&self) -> impl Iterator<Item = &Arc<str>> {
+        self.by_id.values().map(|record| &record.call)
+    }
+
+    /// Removes the record without remembering its call id.
+    pub fn remove(&mut self, id: InvId) -> Option<Record> {
+        let record = self.by_id.remove(&id)?;
+        self.calls.remove(&record.call);
+        Some(record)
+    }
+
+    /// Number of jobs whose clients wait for a final answer.
+    pub fn unanswered(&self) -> usize {
+        self.by_id.values().filter(|record| record.unanswered).count()
+    }
+
+    /// Number of records.
+    pub fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    /// Forwards to these executors that have not been acknowledged yet.
+    pub fn unacknowledged(&self, tgts: &[Tgt]) -> Vec<(InvId, usize)> {
+        let all = self.by_id.iter().flat_map(|(id, record)| {
+            record.forwards.iter().enumerate().map(|(at, forward)| (*id, at, forward))
+        });
+        let matches = |forward: &Forward| forward.stage == Stage::Sending && tgts.contains(&forward.tgt);
+        all.filter(|(.., forward)| matches(forward)).map(|(id, at, _)| (id, at)).collect()
+    }
+
+    /// Ends a forward and returns it; `None` if it had ended before.
+    pub fn end_forward(&mut self, id: InvId, forward: usize) -> Option<&mut Forward> {
+        let forward = self.by_id.get_mut(&id)?.forwards.get_mut(forward)?;
+        let open = forward.stage.is_open();
+        forward.stage = if open { Stage::Ended } else { forward.stage };
+        open.then_some(forward)
+    }
+
+    pub fn is_open(&self, id: InvId, forward: usize) -> bool {
+        self.by_id.get(&id).is_some_and(|record| record.forwards[forward].stage.is_open())
+    }
+
+    /// The forward that an executor's report on a call refers to: the latest one at that executor. Reports on calls of
+    /// an earlier process match none.
+    pub fn find(&self, call: &str, tgt: Tgt) -> Option<(InvId, usize)> {
+        let id = (*self.calls.get(call)?)?;
+        let forwards = &self.by_id.get(&id)?.forwards;
+        Some((id, forwards.iter().rposition(|forward| forward.tgt == tgt)?))
+    }
+
+    /// Records that the executor has returned the forward without starting it.
+    pub fn mark_returned(&mut self, id: InvId, forward: usize) {
+        if let Some(record) = self.by_id.get_mut(&id) {
+            record.forwards[forward].stage = Stage::Returned;
+        }
+    }
+
+    /// Whether the same executor has returned an earlier forward of the invocation.
+    pub fn has_earlier_return(&self, id: InvId, forward: usize) -> bool {
+        let forwards = self.by_id.get(&id).map_or(&[][..], |record| &record.forwards);
+        let same_executor = |earlier: &Forward| earlier.tgt == forwards[forward].tgt;
+        forwards
+            .iter()
+            .take(forward)
+            .any(|earlier| earlier.stage == Stage::Returned && same_executor(earlier))
+    }
+
+    /// Removes the record if the client has its answer and no forward is open.
+    pub fn remove_if_finished(&mut self, id: InvId) {
+        let done = |record: &Record| !record.unanswered && record.open_forwards().is_empty();
+        if self.by_id.get(&id).is_some_and(done) {
+            if let Some(record) = self.by_id.remove(&id) {
+                self.remember_ended(record.call.clone());
+            }
+        }
+    }
+
+    fn remember_ended(&mut self, call: Arc<str>) {
+        if self.ended.len() == MAX_ENDED_CALLS {
+            self.ended.pop_front().and_then(|oldest| self.calls.remove(&oldest));
+        }
+        self.calls.insert(call.clone(), None);
+        self.ended.push_back(call);
+    }
+
+    /// Moves all later deadlines to `end`; returns the changed invocations with their new deadlines.
+    pub fn shorten_deadlines(&mut self, end: f64) -> Vec<(InvId, f64)> {
+        let later = self.by_id.iter_mut().filter(|record| record.1.end > end);
+        later.map(|(id, record)| (*id, std::mem::replace(&mut record.end, end).min(end))).collect()
+    }
+}
--- a/crates/coveroute-engine/src/timers.rs
+++ b/crates/coveroute-engine/src/timers.rs
@@ -1,23 +1,25 @@
-//! What is due when; of the same moment, in the order in which it was set.
+//! A queue of timers ordered by due time; timers with the same due time keep the order in which they were scheduled.
 use std::collections::BTreeMap;
 
 #[derive(Debug)]
 pub struct Timers<T> {
+    /// By the bits of the due time and the sequence number.
     due: BTreeMap<(u64, u64), T>,
-    set: u64,
+    /// Number of timers scheduled so far.
+    scheduled: u64,
 }
 
 impl<T> Timers<T> {
     pub fn new() -> Self {
-        Timers { due: BTreeMap::new(), set: 0 }
+        Timers { due: BTreeMap::new(), scheduled: 0 }
     }
 
-    /// What has no moment is due at once: times that are no number must not be lost, nor wait for ever.
-    pub fn set(&mut self, at: f64, what: T) {
-        self.set += 1;
-        // Of numbers that are not negative the bits order as the numbers do.
+    /// Schedules a timer. One whose time is NaN is due at once, so that it is neither lost nor waits forever.
+    pub fn schedule(&mut self, at: f64, timer: T) {
+        self.scheduled += 1;
+        // The bit patterns of non-negative floats order like the numbers.
         let at = if at.is_nan() { 0.0 } else { at.max(0.0) };
-        self.due.insert((at.to_bits(), self.set), what);
+        self.due.insert((at.to_bits(), self.scheduled), timer);
     }
 
     pub fn next(&self) -> Option<f64> {
