--- a/crates/coveroute-drill/src/main.rs
+++ b/crates/coveroute-drill/src/main.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire before coveroute's decisions: reads batches, hosts instances that share nothing,
-//! and writes one reply a batch. Words, units and ids are translated here; nothing is decided.
+//! Adapter between the simulator's line protocol and coveroute's decisions. It reads batches of events, hosts
+//! independent instances and writes one reply per batch. It translates terms, units and ids and makes no decisions.
 mod wire;
 
 use std::collections::BTreeMap;
@@ -14,9 +14,10 @@
 use coveroute_shared::{decode, mark, message, position, words, Listed, Names, Roster};
 use wire::{Event, Line, Record};
 
-type Fault = String;
+/// A message for standard error that ends the process.
+type Error = String;
 
-/// One instance: its decisions, and its own numbering of what the wire names.
+/// One instance: its decisions, and its own numbering of the names in the protocol.
 struct Instance {
     node: Node,
     names: Names,
@@ -24,7 +25,7 @@
 }
 
 impl Instance {
-    fn entry(&mut self, record: &Record) -> Result<Entry, Fault> {
+    fn entry(&mut self, record: &Record) -> Result<Entry, Error> {
         let standing = match record.availability.as_deref() {
             Some("U") | None => Standing::Ready,
             Some("L") => Standing::Draining,
@@ -43,7 +44,7 @@
         Ok(self.roster.entry(&mut self.names, &listed))
     }
 
-    fn input(&mut self, line: &Line, event: Event, pages: &[Vec<Record>]) -> Result<Input, Fault> {
+    fn input(&mut self, line: &Line, event: Event, pages: &[Vec<Record>]) -> Result<Input, Error> {
         let id = || line.job.ok_or("no job");
         Ok(match event {
             Event::Submit => Input::Submitted(Submission {
@@ -78,10 +79,10 @@
             },
             Event::Heard => {
                 let from = line.by.ok_or("no by")?;
-                // What does not read as ours names no executor: it is heard, and changes nothing.
-                let unread = (Told::Held, u32::MAX, 0);
-                let (told, mark, count) = message(line.contents.as_deref().unwrap_or("")).unwrap_or(unread);
-                let tgt = self.roster.marked(mark).unwrap_or(Tgt::MAX);
+                // A message that cannot be parsed refers to no executor: it is passed on and has no effect.
+                let unparsed = (Told::Held, u32::MAX, 0);
+                let (told, mark, count) = message(line.contents.as_deref().unwrap_or("")).unwrap_or(unparsed);
+                let tgt = self.roster.by_mark(mark).unwrap_or(Tgt::MAX);
                 Input::Heard { from, told, tgt, count }
             }
             Event::Members => {
@@ -99,12 +100,12 @@
                 })
             }
             Event::Init | Event::Kill | Event::Catalog | Event::BeginBatch | Event::OverToYou => {
-                return Err("not an instance's event".to_owned())
+                return Err("not an event of an instance".to_owned())
             }
         })
     }
 
-    fn write(&self, me: i64, output: &Output, reply: &mut String) {
+    fn write_output(&self, me: i64, output: &Output, reply: &mut String) {
         let _ = match output {
             Output::Forward { id, tgt } => {
                 let executor = self.roster.id(*tgt);
@@ -144,7 +145,7 @@
     }
 }
 
-fn outcome(verdict: Option<&str>) -> Result<Outcome, Fault> {
+fn outcome(verdict: Option<&str>) -> Result<Outcome, Error> {
     Ok(match verdict.ok_or("no verdict")? {
         "Ok" => Outcome::Succeeded,
         "Failed" => Outcome::Errored,
@@ -158,7 +159,7 @@
     })
 }
 
-/// All instances of this process, and the lists that their events refer to.
+/// All instances of this process, and the catalog pages that their events refer to.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<i64, Instance>,
@@ -168,8 +169,8 @@
 }
 
 impl Host {
-    /// Takes one line; answers true when the batch ends and the reply is due.
-    fn line(&mut self, text: &str, reply: &mut String) -> Result<bool, Fault> {
+    /// Handles one line; returns true at the end of a batch, when the reply is due.
+    fn handle_line(&mut self, text: &str, reply: &mut String) -> Result<bool, Error> {
         let mut line: Line = serde_json::from_str(text).map_err(|e| e.to_string())?;
         match line.what {
             Event::BeginBatch => self.now = line.time.ok_or("no time")? / 1e3,
@@ -191,12 +192,12 @@
                 let instance = Instance { node, names, roster: Roster::default() };
                 self.instances.insert(line.node_id.ok_or("no nodeId")?, instance);
             }
-            event => self.event(&line, event, reply)?,
+            event => self.handle_event(&line, event, reply)?,
         }
         Ok(false)
     }
 
-    fn event(&mut self, line: &Line, event: Event, reply: &mut String) -> Result<(), Fault> {
+    fn handle_event(&mut self, line: &Line, event: Event, reply: &mut String) -> Result<(), Error> {
         let me = line.node_id.ok_or("no nodeId")?;
         let Some(instance) = self.instances.get_mut(&me) else {
             eprintln!("event for instance {me}, which is not running");
@@ -207,7 +208,7 @@
         let (now, outputs) = (self.now, &mut self.outputs);
         let ran = panic::catch_unwind(AssertUnwindSafe(|| instance.node.handle(now, input, outputs)));
         match ran {
-            Ok(()) => self.outputs.iter().for_each(|output| instance.write(me, output, reply)),
+            Ok(()) => self.outputs.iter().for_each(|output| instance.write_output(me, output, reply)),
             Err(cause) => {
                 let words = cause.downcast_ref::<String>().map(String::as_str);
                 let words = words.or(cause.downcast_ref::<&str>().copied()).unwrap_or("panic without words");
@@ -220,11 +221,13 @@
     }
 }
 
-fn run(input: &mut impl BufRead, output: &mut impl io::Write) -> Result<(), Fault> {
+fn run(input: &mut impl BufRead, output: &mut impl io::Write) -> Result<(), Error> {
     let (mut host, mut text, mut reply) = (Host::default(), String::new(), String::new());
     while input.read_line(&mut text).map_err(|e| e.to_string())? > 0 {
         if !text.trim().is_empty()
-            && host.line(&text, &mut reply).map_err(|e| format!("bad line: {e}: {}", text.trim_end()))?
+            && host
+                .handle_line(&text, &mut reply)
+                .map_err(|e| format!("bad line: {e}: {}", text.trim_end()))?
         {
             reply.push_str("{\"what\":\"OK\"}\n");
             output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
@@ -236,8 +239,8 @@
 }
 
 fn main() {
-    if let Err(fault) = run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
-        let _ = writeln!(io::stderr(), "coveroute-drill: {fault}");
+    if let Err(error) = run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
+        let _ = writeln!(io::stderr(), "coveroute-drill: {error}");
         std::process::exit(1);
     }
 }
--- a/crates/coveroute-drill/src/wire.rs
+++ b/crates/coveroute-drill/src/wire.rs
@@ -1,10 +1,11 @@
-//! The lines of the wire as they stand; unknown keys are skipped.
+//! The lines of the simulator's protocol; unknown keys are ignored.
 use std::borrow::Cow;
 
 use coveroute_shared::Gauge;
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 
+/// The kind of a line, from its `what` key.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Event {
@@ -24,6 +25,7 @@
     Heard,
 }
 
+/// One input line. Each kind uses some of the fields; times are in milliseconds.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Line<'a> {
@@ -64,7 +66,7 @@
     pub info: Option<&'a RawValue>,
 }
 
-/// A tenant's name; sites without tenants may write 0.
+/// A tenant's name. Deployments without tenants may send 0 instead.
 #[derive(Debug)]
 pub struct Org<'a>(pub Option<Cow<'a, str>>);
 
@@ -72,17 +74,18 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Either<'a> {
+        enum NameOrNumber<'a> {
             Name(#[serde(borrow)] Cow<'a, str>),
             Number(#[allow(dead_code)] f64),
         }
-        Ok(match Either::deserialize(deserializer)? {
-            Either::Name(name) => Org(Some(name)),
-            Either::Number(_) => Org(None),
+        Ok(match NameOrNumber::deserialize(deserializer)? {
+            NameOrNumber::Name(name) => Org(Some(name)),
+            NameOrNumber::Number(_) => Org(None),
         })
     }
 }
 
+/// An executor on a catalog page.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Record {
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -250,7 +250,7 @@
     /// The overload factor of cold executors and the budget of forwards, as the settings have them.
     cold_factor: f64,
     budget: Option<Budget>,
-    /// This process's share of both.
+    /// This process's share of the cold executors' capacity. It also decides whether it has the budget of forwards.
     process_share: f64,
     /// Once the node is stopping: the time by which all invocations must be answered.
     answer_by: f64,
@@ -750,7 +750,7 @@
     fn handle_report(&mut self, now: f64, news: News, out: &mut Vec<Action>) {
         let tgt = self.fleet.known(&news.from);
         let Some((id, forward)) = tgt.and_then(|tgt| self.records.find(&news.call, tgt)) else {
-            return debug!("report on call {} from {} matches no open forward", news.call, news.from);
+            return debug!("report on call {} from {} matches no forward", news.call, news.from);
         };
         match news.word {
             Word::Ended(Outcome::Full) if self.records.has_earlier_return(id, forward) => {
@@ -850,7 +850,7 @@
     fn reload(&mut self, now: f64, tuning: Option<Box<Tuning>>, moved: bool, out: &mut Vec<Action>) {
         if !self.phase.takes_settings() {
             self.counts.rejected += 1;
-            return info!("not reloaded: the node is stopping");
+            return info!("not reloaded: the node is about to stop");
         }
         self.counts.applied += 1;
         tuning.into_iter().for_each(|tuning| self.apply_settings(now, *tuning));
--- a/crates/coveroute-engine/src/list.rs
+++ b/crates/coveroute-engine/src/list.rs
@@ -142,7 +142,7 @@
     }
 
     pub fn by_mark(&self, mark: u32) -> Option<Tgt> {
-        self.roster.marked(mark)
+        self.roster.by_mark(mark)
     }
 
     pub fn addr(&self, tgt: Tgt) -> Option<SocketAddr> {
@@ -218,7 +218,7 @@
         let blank = |&tgt: &Tgt| {
             self.gone.remove(&tgt);
             self.addrs.iter_mut().skip(tgt).take(1).for_each(|addr| *addr = None);
-            self.roster.retire(tgt);
+            self.roster.release(tgt);
             Entry { tgt, started: f64::NAN, ..Entry::default() }
         };
         old.iter().map(blank).collect()
--- a/crates/coveroute-engine/src/tests.rs
+++ b/crates/coveroute-engine/src/tests.rs
@@ -398,7 +398,7 @@
     assert!(!out.iter().any(|a| matches!(a, Action::Follow { .. })), "{out:?}");
 }
 
-// Rule 3 would be broken by a list that was pushed before a drain and is read after the watch has reported the drain.
+// A list that was pushed before a drain, and is read after the watch has reported the drain, must not undo it (rule 3).
 #[test_case(true, Standing::Draining; "the watch has a newer version")]
 #[test_case(false, Standing::Ready; "without a watch the push is applied")]
 fn a_push_older_than_the_watch_is_ignored(watched: bool, expected: Standing) {
--- a/crates/coveroute-shared/src/lib.rs
+++ b/crates/coveroute-shared/src/lib.rs
@@ -1,17 +1,17 @@
-//! What every adapter of coveroute shares: the settings object, names and ids turned into indices, entries of
-//! the list of executors, and load reports. No I/O, no decision.
+//! Code shared by all adapters of coveroute: the settings object, the mapping of names and ids to indices, entries of
+//! the list of executors, and load reports. It does no I/O and makes no decisions.
+mod message;
 mod roster;
 mod settings;
-mod words;
 
+pub use message::{message, words};
 pub use roster::{mark, Listed, Roster};
 pub use settings::{decode, Names};
-pub use words::{message, words};
 
 use coveroute::types::Report;
 use serde::Deserialize;
 
-/// The index of a name, which is added when it is new.
+/// The index of a name; a new name is appended.
 pub fn position(names: &mut Vec<String>, name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or_else(|| {
         names.push(name.to_owned());
@@ -19,7 +19,7 @@
     })
 }
 
-/// A load report as it came, under the simulator's names or those of the sockets.
+/// A load report as received, with the simulator's field names or those of the socket protocol.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 pub struct Gauge {
     pub x0: Option<f64>,
@@ -34,13 +34,13 @@
 
 impl From<Gauge> for Report {
     fn from(gauge: Gauge) -> Report {
-        let sane = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
+        let valid = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
         Report {
-            free: sane(gauge.x0),
-            queue: sane(gauge.depth),
-            inflight: sane(gauge.concurrent),
-            util: sane(gauge.load_share),
-            memory: sane(gauge.x1),
+            free: valid(gauge.x0),
+            queue: valid(gauge.depth),
+            inflight: valid(gauge.concurrent),
+            util: valid(gauge.load_share),
+            memory: valid(gauge.x1),
         }
     }
 }
--- a/crates/coveroute-shared/src/roster.rs
+++ b/crates/coveroute-shared/src/roster.rs
@@ -1,34 +1,37 @@
-//! The executors that an adapter has heard of, numbered in the order in which it did.
+//! Assigns numbers to the executors that an adapter has encountered, in the order of their first appearance.
 use std::collections::HashMap;
 
 use coveroute::types::{Entry, Standing, Tgt};
 
 use crate::{position, Names};
 
-/// One line of a list of executors, in no protocol's words.
+/// An entry of a list of executors, independent of any protocol.
 #[derive(Clone, Debug)]
 pub struct Listed<'a> {
     pub id: &'a str,
     pub zone: &'a str,
     pub kind: &'a str,
     pub cell: i64,
-    /// Seconds on the adapter's clock, 0 for long ago.
+    /// Start time of its process, in seconds on the adapter's clock; 0 means long ago.
     pub started: f64,
     pub size: f64,
     pub standing: Standing,
 }
 
+/// The numbers of executors by id and by mark.
 #[derive(Debug, Default)]
 pub struct Roster {
+    /// By number; empty for released numbers.
     ids: Vec<String>,
     numbers: HashMap<String, Tgt>,
-    /// By the mark that messages name executors by.
+    /// By mark, the short hash that identifies executors in messages.
     marks: HashMap<u32, Tgt>,
-    /// Numbers that may be given again.
+    /// Released numbers, available for reuse.
     free: Vec<Tgt>,
 }
 
 impl Roster {
+    /// The number of the executor; a new id gets a free one.
     pub fn number(&mut self, id: &str) -> Tgt {
         if let Some(&tgt) = self.numbers.get(id) {
             return tgt;
@@ -43,8 +46,8 @@
         tgt
     }
 
-    /// Gives a number back, of an executor of which nothing more will be heard.
-    pub fn retire(&mut self, tgt: Tgt) {
+    /// Releases the number of an executor from which no more messages can arrive.
+    pub fn release(&mut self, tgt: Tgt) {
         let id = std::mem::take(&mut self.ids[tgt]);
         if self.numbers.remove(&id).is_some() {
             self.marks.remove(&mark(&id));
@@ -56,15 +59,17 @@
         &self.ids[tgt]
     }
 
-    /// The executor of that id, if it was ever listed.
+    /// The number of the executor with this id, if it has one.
     pub fn known(&self, id: &str) -> Option<Tgt> {
         self.numbers.get(id).copied()
     }
 
-    pub fn marked(&self, mark: u32) -> Option<Tgt> {
+    /// The number of the executor with this mark, if there is one.
+    pub fn by_mark(&self, mark: u32) -> Option<Tgt> {
         self.marks.get(&mark).copied()
     }
 
+    /// Converts a list entry for the decisions, replacing names by their numbers.
     pub fn entry(&mut self, names: &mut Names, listed: &Listed) -> Entry {
         Entry {
             tgt: self.number(listed.id),
@@ -79,8 +84,8 @@
     }
 }
 
-/// A short name for an executor that every node works out alike (FNV-1a, folded to 24 bits: with 300
-/// executors two share one once in 370 fleets).
+/// A short hash of an executor's id that is the same at every node (FNV-1a, folded to 24 bits). With 300 executors, one
+/// fleet in 370 has two executors with the same mark.
 pub fn mark(executor: &str) -> u32 {
     let hash = executor.bytes().fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
     (hash ^ (hash >> 24)) & 0xff_ffff
@@ -91,13 +96,13 @@
     use super::*;
 
     #[test]
-    fn numbers_are_given_again_once_they_are_given_back() {
+    fn released_numbers_are_reused() {
         let mut roster = Roster::default();
         assert_eq!(["a", "b", "a"].map(|id| roster.number(id)), [0, 1, 0]);
-        roster.retire(0);
-        roster.retire(0);
-        assert_eq!((roster.known("a"), roster.marked(mark("a")), roster.known("b")), (None, None, Some(1)));
+        roster.release(0);
+        roster.release(0);
+        assert_eq!((roster.known("a"), roster.by_mark(mark("a")), roster.known("b")), (None, None, Some(1)));
         assert_eq!(["c", "a"].map(|id| roster.number(id)), [0, 2]);
-        assert_eq!((roster.id(0), roster.marked(mark("c"))), ("c", Some(0)));
+        assert_eq!((roster.id(0), roster.by_mark(mark("c"))), ("c", Some(0)));
     }
 }
--- a/crates/coveroute-shared/src/settings.rs
+++ b/crates/coveroute-shared/src/settings.rs
@@ -1,11 +1,12 @@
-//! Reads the settings object once at an instance's start: its words and milliseconds become ours and seconds.
+//! Decodes the settings object that an instance is started with, converting its terms and its milliseconds to the terms
+//! of `coveroute::types` and to seconds.
 use coveroute::types::{Budget, Cold, Effect, Group, Operation, Reports, Settings, Sizes};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
 use crate::position;
 
-/// The names that the settings number; one that turns up later gets the next number.
+/// The names that the settings refer to by number. Names that appear later get the next numbers.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub operations: Vec<String>,
@@ -124,17 +125,17 @@
 #[derive(Deserialize)]
 struct ReportInfo {
     source: String,
-    /// What reports hold, where that is said.
+    /// The fields that reports contain, if stated.
     names: Option<Vec<String>>,
 }
 
-/// Guards against a deployment whose reports leave out what room there is: by them none would ever be seen, and
-/// nothing would be sent.
 impl ReportInfo {
+    /// When executors send load reports. Reports that lack the free capacity are not used: no executor would ever appear
+    /// to have any, and nothing would be sent.
     fn reports(&self) -> Reports {
-        const ROOM: &str = "x0"; // As the settings name it, whatever else a report calls its figures.
+        const FREE_CAPACITY: &str = "x0"; // Its name in the settings, whatever names the reports use.
         match self.source.as_str() {
-            _ if self.names.as_ref().is_some_and(|names| names.iter().all(|name| name != ROOM)) => {
+            _ if self.names.as_ref().is_some_and(|names| names.iter().all(|name| name != FREE_CAPACITY)) => {
                 Reports::Never
             }
             "answers" => Reports::Answers,
@@ -188,21 +189,22 @@
     })
 }
 
-/// A budget stands where one of its two parts does, and is nothing without its span.
+/// The budget of forwards, if the settings have at least one of its two parts. It then also requires its time span.
 fn budget(rules: &Rules) -> Result<Option<Budget>, String> {
     let parts = [("extraFloor", rules.extra_floor), ("extraPerRequest", rules.extra_per_request)];
     if parts.iter().all(|part| part.1.is_none()) {
         return Ok(None);
     }
-    let fit = |name: &str, value: f64, least: f64| match value.is_finite() && value >= least {
+    let checked = |name: &str, value: f64, least: f64| match value.is_finite() && value >= least {
         true => Ok(value),
-        false => Err(format!("settings.rules.{name}: {value} is not fit for a budget of forwards")),
+        false => Err(format!("settings.rules.{name}: {value} is out of range for the budget of forwards")),
     };
-    let [floor, share] = parts.map(|(name, value)| fit(name, value.unwrap_or(0.0), 0.0));
-    let span = rules.look_back.ok_or("settings.rules.lookBack: a budget of forwards needs it")?;
-    Ok(Some(Budget { floor: floor?, share: share?, span: fit("lookBack", span, 1.0)? / 1e3 }))
+    let [floor, share] = parts.map(|(name, value)| checked(name, value.unwrap_or(0.0), 0.0));
+    let span = rules.look_back.ok_or("settings.rules.lookBack: required for the budget of forwards")?;
+    Ok(Some(Budget { floor: floor?, share: share?, span: checked("lookBack", span, 1.0)? / 1e3 }))
 }
 
+/// Decodes the settings object into settings and the names behind their numbers.
 pub fn decode(info: &RawValue) -> Result<(Settings, Names), String> {
     let mut info: Info = serde_json::from_str(info.get()).map_err(|e| format!("settings: {e}"))?;
     let numbered = info.categories.iter().enumerate();
