--- a/crates/coveroute-fleet/src/detector.rs
+++ b/crates/coveroute-fleet/src/detector.rs
@@ -29,29 +29,35 @@
 }
 
 /// Ticks in `every`: probes are looked at, and suspicions end, by the tick.
-pub const TICKS: u64 = 4;
+pub const TICKS_PER_PERIOD: u64 = 4;
 /// Others beyond the first who must share a suspicion for it to end early (Lifeguard's K).
-pub const SHARED: usize = 3;
+pub const MAX_CONFIRMATIONS: usize = 3;
 /// The most that a node doubts itself: its probes wait up to four times longer then.
-const HEALTH_MOST: u8 = 3;
+const MAX_HEALTH_SCORE: u8 = 3;
 
 impl Detector {
     pub fn tick(&self) -> f64 {
-        self.every / TICKS as f64
+        self.every / TICKS_PER_PERIOD as f64
     }
 
     /// From a suspicion's beginning to its end, when `others` beyond the first share it, of `could` who are not suspected
     /// themselves, among `members` in all. Guards against the smaller side of a cut, where too few are left to share
     /// what they all see: of 5 cut in 3 and 2, the two took 3.02 s.
-    pub fn stands(&self, others: usize, could: usize, members: usize, health: Health) -> f64 {
-        let least = self.suspicion * (members.max(10) as f64).log10();
-        let most = least * self.patience.max(1.0);
-        let wanted = SHARED.min(could);
-        if others >= wanted && wanted > 0 {
-            return least;
+    pub fn suspicion_timeout(
+        &self,
+        confirmations: usize,
+        trusted: usize,
+        members: usize,
+        health: Health,
+    ) -> f64 {
+        let shortest = self.suspicion * (members.max(10) as f64).log10();
+        let longest = shortest * self.patience.max(1.0);
+        let needed = MAX_CONFIRMATIONS.min(trusted);
+        if confirmations >= needed && needed > 0 {
+            return shortest;
         }
-        let part = (1.0 + others as f64).ln() / (1.0 + wanted.max(1) as f64).ln();
-        (most - (most - least) * part).max(least) * health.times()
+        let fraction = (1.0 + confirmations as f64).ln() / (1.0 + needed.max(1) as f64).ln();
+        (longest - (longest - shortest) * fraction).max(shortest) * health.multiplier()
     }
 }
 
@@ -60,15 +66,15 @@
 pub struct Health(u8);
 
 impl Health {
-    pub fn worse(&mut self) {
-        self.0 = (self.0 + 1).min(HEALTH_MOST);
+    pub fn degrade(&mut self) {
+        self.0 = (self.0 + 1).min(MAX_HEALTH_SCORE);
     }
 
-    pub fn better(&mut self) {
+    pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
-    pub fn times(self) -> f64 {
+    pub fn multiplier(self) -> f64 {
         1.0 + f64::from(self.0)
     }
 
@@ -79,32 +85,32 @@
 
 /// A suspicion.
 #[derive(Clone, Debug)]
-pub struct Doubt {
+pub struct Suspicion {
     pub began: f64,
     /// Who holds it, as far as is known here.
-    pub by: Vec<Id>,
+    pub reported_by: Vec<Id>,
 }
 
-impl Doubt {
+impl Suspicion {
     pub fn new(now: f64, by: Id) -> Self {
-        Doubt { began: now, by: vec![by] }
+        Suspicion { began: now, reported_by: vec![by] }
     }
 
     /// Whether this is one more who counts.
-    pub fn joins(&mut self, by: Id) -> bool {
-        let counts = self.by.len() <= SHARED && !self.by.contains(&by);
-        if counts {
-            self.by.push(by);
+    pub fn confirm(&mut self, by: Id) -> bool {
+        let added = self.reported_by.len() <= MAX_CONFIRMATIONS && !self.reported_by.contains(&by);
+        if added {
+            self.reported_by.push(by);
         }
-        counts
+        added
     }
 
     /// Who is heard itself, even once, is not given up early on others' word.
-    pub fn others(&self, heard: f64) -> usize {
-        if heard > self.began {
+    pub fn confirmations(&self, last_heard: f64) -> usize {
+        if last_heard > self.began {
             0
         } else {
-            self.by.len() - 1
+            self.reported_by.len() - 1
         }
     }
 }
@@ -113,16 +119,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Purpose {
     /// To find out whether it lives; whether others are asked by now, and how many of them have said that they tried.
-    Probe { asked: usize, tried: usize },
+    Probe { asked: usize, failed: usize },
     /// To get records, or to tell something.
-    Talk,
+    Sync,
     /// For another one who asked, under its number.
-    For(Id, u64),
+    Relay(Id, u64),
 }
 
 /// A ping, or another question, that is out.
 #[derive(Clone, Copy, Debug)]
-pub struct Out {
+pub struct PendingPing {
     pub to: Id,
     pub at: f64,
     pub purpose: Purpose,
@@ -130,30 +136,30 @@
 
 /// What is to be done about one that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum PingStatus {
     Wait,
     /// Ping again, and have others try.
-    Help,
+    RequestHelp,
     /// No answer by any way.
-    Silent,
+    NoReply,
     /// Tell who asked that there is none so far.
-    Tried,
+    RelayFailed,
     /// Nothing is awaited any more.
     Forget,
 }
 
-impl Out {
+impl PendingPing {
     /// Late answers still bring records for this many periods; then the number is forgotten.
-    const KEPT: f64 = 25.0;
+    const KEPT_PERIODS: f64 = 25.0;
 
-    pub fn look(&self, now: f64, detector: &Detector, health: Health) -> Look {
+    pub fn status(&self, now: f64, detector: &Detector, health: Health) -> PingStatus {
         let (waited, every) = (now - self.at, detector.every);
         match self.purpose {
-            Purpose::Probe { .. } if waited >= every * health.times() - 1e-9 => Look::Silent,
-            Purpose::Probe { asked: 0, .. } if waited >= every / 2.0 - 1e-9 => Look::Help,
-            Purpose::For(..) if waited >= every / 2.0 - 1e-9 => Look::Tried,
-            _ if waited > every * Self::KEPT => Look::Forget,
-            _ => Look::Wait,
+            Purpose::Probe { .. } if waited >= every * health.multiplier() - 1e-9 => PingStatus::NoReply,
+            Purpose::Probe { asked: 0, .. } if waited >= every / 2.0 - 1e-9 => PingStatus::RequestHelp,
+            Purpose::Relay(..) if waited >= every / 2.0 - 1e-9 => PingStatus::RelayFailed,
+            _ if waited > every * Self::KEPT_PERIODS => PingStatus::Forget,
+            _ => PingStatus::Wait,
         }
     }
 }
--- a/crates/coveroute-fleet/src/explore.rs
+++ b/crates/coveroute-fleet/src/explore.rs
@@ -30,42 +30,42 @@
 }
 
 /// To `depth`, or as deep as `most` states allow.
-pub fn explore<M: Model>(model: &M, depth: usize, most: usize) -> Explored<M::Step> {
+pub fn explore<M: Model>(model: &M, depth: usize, max_states: usize) -> Explored<M::Step> {
     let first = model.first();
     let mut seen = HashSet::from([model.print(&first)]);
     // Where each state came from, to tell how it was reached.
-    let mut came: Vec<Option<(usize, M::Step)>> = vec![None];
-    let (mut edge, mut steps) = (vec![(0, first)], 0);
-    for done in 0..depth {
-        let mut further = Vec::new();
-        for (at, state) in &edge {
+    let mut predecessors: Vec<Option<(usize, M::Step)>> = vec![None];
+    let (mut frontier, mut steps) = (vec![(0, first)], 0);
+    for explored_depth in 0..depth {
+        let mut next_frontier = Vec::new();
+        for (at, state) in &frontier {
             for step in model.steps(state) {
                 steps += 1;
                 match model.after(state, &step) {
                     Ok(next) => {
                         if seen.insert(model.print(&next)) {
-                            came.push(Some((*at, step)));
-                            further.push((came.len() - 1, next));
+                            predecessors.push(Some((*at, step)));
+                            next_frontier.push((predecessors.len() - 1, next));
                         }
                     }
                     Err(words) => {
-                        let mut way = vec![step];
+                        let mut path = vec![step];
                         let mut from = *at;
-                        while let Some((before, step)) = &came[from] {
-                            way.push(step.clone());
+                        while let Some((before, step)) = &predecessors[from] {
+                            path.push(step.clone());
                             from = *before;
                         }
-                        way.reverse();
-                        let breach = Some(Breach { steps: way, words });
-                        return Explored { states: seen.len(), steps, depth: done, breach };
+                        path.reverse();
+                        let breach = Some(Breach { steps: path, words });
+                        return Explored { states: seen.len(), steps, depth: explored_depth, breach };
                     }
                 }
-                if seen.len() >= most {
-                    return Explored { states: seen.len(), steps, depth: done, breach: None };
+                if seen.len() >= max_states {
+                    return Explored { states: seen.len(), steps, depth: explored_depth, breach: None };
                 }
             }
         }
-        edge = further;
+        frontier = next_frontier;
     }
     Explored { states: seen.len(), steps, depth, breach: None }
 }
--- a/crates/coveroute-fleet/src/fleet.rs
+++ b/crates/coveroute-fleet/src/fleet.rs
@@ -5,14 +5,14 @@
 use coveroute::chance::Chance;
 use serde::Serialize;
 
-mod spread;
-mod watch;
+mod gossip;
+mod probe;
 
-use spread::{FILL, WORDS, WORD_SIZE};
+use gossip::{MAX_CONTENT_LEN, MAX_UPDATES, MAX_UPDATE_LEN};
 
-use crate::detector::{Doubt, Health, Out, Purpose, TICKS};
-use crate::member::{Claim, Id, Incarnation, Standing, State, Word};
-use crate::message::{Odd, What};
+use crate::detector::{Health, PendingPing, Purpose, Suspicion, TICKS_PER_PERIOD};
+use crate::member::{Claim, Id, Incarnation, MemberUpdate, Standing, State};
+use crate::message::{DropReason, MessageBody};
 use crate::plan::Plan;
 use crate::table::{Key, Kind, Reading, Table};
 
@@ -54,14 +54,14 @@
     addr: SocketAddr,
     standing: Option<Standing>,
     state: State,
-    since: f64,
-    doubt: Option<Doubt>,
+    state_since: f64,
+    suspicion: Option<Suspicion>,
     /// When it was last heard itself.
-    heard: f64,
+    last_heard: f64,
 }
 
 /// Pings back to who holds something else, per `every`.
-const TALKS: usize = 2;
+const MAX_SYNC_PINGS: usize = 2;
 /// A tick that comes so many ticks late was one in which this process stood still.
 const STALL_TICKS: f64 = 5.0;
 
@@ -71,29 +71,29 @@
     me: Id,
     mark: u32,
     incarnation: Incarnation,
-    chance: Chance,
+    rng: Chance,
     peers: BTreeMap<Id, Peer>,
     addresses: BTreeMap<SocketAddr, Id>,
     /// In which order members are probed, and who is next.
-    ring: Vec<Id>,
-    at: usize,
+    probe_order: Vec<Id>,
+    next_probe: usize,
     table: Table,
-    out: BTreeMap<u64, Out>,
-    number: u64,
+    pending: BTreeMap<u64, PendingPing>,
+    last_number: u64,
     /// What is still to be told, and how often.
-    words: BTreeMap<Id, u32>,
-    fresh: BTreeMap<Key, u32>,
+    pending_updates: BTreeMap<Id, u32>,
+    pending_records: BTreeMap<Key, u32>,
     health: Health,
-    due: f64,
+    next_tick: f64,
     ticks: u64,
-    purse: f64,
-    differs: u8,
-    talks: usize,
-    disputes: Vec<f64>,
+    send_budget: f64,
+    mismatches: u8,
+    sync_pings: usize,
+    conflict_times: Vec<f64>,
     /// Another one bears this name: silent until then.
-    silent: f64,
+    silent_until: f64,
     /// Takes part: not while another process of this node does.
-    part: bool,
+    active: bool,
     left: bool,
     counts: Counts,
 }
@@ -106,7 +106,7 @@
     pub heard: u64,
     pub heard_bytes: u64,
     /// Passed over, by why.
-    pub dropped: BTreeMap<Odd, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
     /// Not sent, for want of budget.
     pub withheld: u64,
     /// Suspicions of this node that it put right.
@@ -148,65 +148,65 @@
             mark: plan.mark(),
             me,
             incarnation: Incarnation::new(count, mark),
-            chance: Chance::new(seed),
+            rng: Chance::new(seed),
             peers: BTreeMap::new(),
             addresses: BTreeMap::new(),
-            ring: Vec::new(),
-            at: 0,
+            probe_order: Vec::new(),
+            next_probe: 0,
             table,
-            out: BTreeMap::new(),
-            number: seed >> 8 << 8, // An answer to an earlier process's question is none to this one's.
-            words: BTreeMap::new(),
-            fresh: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            last_number: seed >> 8 << 8, // An answer to an earlier process's question is none to this one's.
+            pending_updates: BTreeMap::new(),
+            pending_records: BTreeMap::new(),
             health: Health::default(),
-            due: now,
+            next_tick: now,
             ticks: 0,
-            purse: plan.detector.budget,
-            differs: 0,
-            talks: 0,
-            disputes: Vec::new(),
-            silent: f64::NEG_INFINITY,
-            part: true,
+            send_budget: plan.detector.budget,
+            mismatches: 0,
+            sync_pings: 0,
+            conflict_times: Vec::new(),
+            silent_until: f64::NEG_INFINITY,
+            active: true,
             left: false,
             counts: Counts::default(),
             plan,
         };
-        fleet.stand((fleet.incarnation, Claim::Alive), None);
-        fleet.enrol(now);
+        fleet.update_own_standing((fleet.incarnation, Claim::Alive), None);
+        fleet.apply_members(now);
         Ok(fleet)
     }
 
     /// Takes the members of the file over.
-    fn enrol(&mut self, now: f64) {
+    fn apply_members(&mut self, now: f64) {
         let members = self.plan.members.iter().map(|(name, entry)| (Id::of(name), entry.address));
         let members: BTreeMap<Id, SocketAddr> = members.collect();
         let gone: Vec<Id> = self.peers.keys().filter(|id| !members.contains_key(id)).copied().collect();
         for id in gone {
             let standing = self.peers.remove(&id).and_then(|peer| peer.standing);
-            self.table.stands(id, standing, None);
-            self.table.forget(id);
-            self.words.remove(&id);
+            self.table.update_standing(id, standing, None);
+            self.table.remove_owner(id);
+            self.pending_updates.remove(&id);
         }
-        self.out.retain(|_, out| members.contains_key(&out.to));
-        self.fresh.retain(|key, _| members.contains_key(&key.owner));
+        self.pending.retain(|_, ping| members.contains_key(&ping.to));
+        self.pending_records.retain(|key, _| members.contains_key(&key.owner));
         for (id, addr) in members.iter().filter(|(id, _)| **id != self.me) {
             let unseen = Peer {
                 addr: *addr,
                 standing: None,
                 state: State::Unseen,
-                since: now,
-                doubt: None,
-                heard: now,
+                state_since: now,
+                suspicion: None,
+                last_heard: now,
             };
             self.peers.entry(*id).or_insert(unseen).addr = *addr;
         }
         self.addresses = self.peers.iter().map(|(id, peer)| (peer.addr, *id)).collect();
-        self.ring = self.peers.keys().copied().collect();
-        self.shuffle();
+        self.probe_order = self.peers.keys().copied().collect();
+        self.shuffle_probe_order();
     }
 
     /// Why that file can't take this one's place while the node runs, if it can't.
-    pub fn fits(&self, plan: &Plan) -> Result<(), String> {
+    pub fn check_replacement(&self, plan: &Plan) -> Result<(), String> {
         let name = self.plan.members.keys().find(|name| Id::of(name) == self.me).cloned();
         let name = name.unwrap_or_default();
         if plan.id(&name).is_none() {
@@ -223,10 +223,10 @@
 
     /// Whole or not at all.
     pub fn reread(&mut self, now: f64, plan: Plan) -> Result<(), String> {
-        self.fits(&plan)?;
-        self.table.retune(plan.detector.drift, plan.records.most);
+        self.check_replacement(&plan)?;
+        self.table.set_limits(plan.detector.drift, plan.records.most);
         self.plan = plan;
-        self.enrol(now);
+        self.apply_members(now);
         Ok(())
     }
 
@@ -245,50 +245,51 @@
     // Time.
 
     pub fn next_due(&self) -> f64 {
-        self.due
+        self.next_tick
     }
 
     pub fn advance(&mut self, now: f64, out: &mut Vec<Action>) {
-        let (tick, late) = (self.plan.detector.tick(), now - self.due);
+        let (tick, late) = (self.plan.detector.tick(), now - self.next_tick);
         if late < 0.0 {
             return;
         }
         if late > STALL_TICKS * tick {
-            self.stood_still(late);
+            self.handle_stall(late);
         }
-        self.due = if late > tick { now + tick } else { self.due + tick };
-        self.purse = (self.purse + self.plan.detector.budget * tick).min(self.plan.detector.budget);
-        if self.speaks(now) {
+        self.next_tick = if late > tick { now + tick } else { self.next_tick + tick };
+        self.send_budget =
+            (self.send_budget + self.plan.detector.budget * tick).min(self.plan.detector.budget);
+        if self.may_send(now) {
             self.tick(now, out);
         }
     }
 
     /// Nothing that was awaited meanwhile says anything of others: they may have answered.
-    fn stood_still(&mut self, late: f64) {
+    fn handle_stall(&mut self, late: f64) {
         self.counts.stalls += 1;
-        self.health.worse();
-        self.out.values_mut().for_each(|out| out.purpose = Purpose::Talk);
-        let doubts = self.peers.values_mut().filter_map(|peer| peer.doubt.as_mut());
-        doubts.for_each(|doubt| doubt.began += late);
+        self.health.degrade();
+        self.pending.values_mut().for_each(|ping| ping.purpose = Purpose::Sync);
+        let suspicions = self.peers.values_mut().filter_map(|peer| peer.suspicion.as_mut());
+        suspicions.for_each(|suspicion| suspicion.began += late);
     }
 
     /// Not while another process goes on as this member, nor after it has left.
-    fn speaks(&self, now: f64) -> bool {
-        self.part && !self.left && now >= self.silent
+    fn may_send(&self, now: f64) -> bool {
+        self.active && !self.left && now >= self.silent_until
     }
 
     fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
         self.ticks += 1;
-        self.look(now, out);
-        self.end_doubts(now, out);
-        if self.ticks % TICKS == 1 {
-            self.talks = 0;
+        self.check_pending(now, out);
+        self.expire_suspicions(now, out);
+        if self.ticks % TICKS_PER_PERIOD == 1 {
+            self.sync_pings = 0;
             self.probe_next(now, out);
-            self.seek_lost(now, out);
+            self.probe_absent(now, out);
         }
-        if self.ticks % (5 * TICKS) == 1 {
-            self.table.tidy(now);
-            self.settle(now, out);
+        if self.ticks % (5 * TICKS_PER_PERIOD) == 1 {
+            self.table.expire(now);
+            self.settle_returned(now, out);
         }
     }
 
@@ -299,12 +300,12 @@
         let key = Key { owner: self.me, kind, key };
         let written = self.table.write(now, key, self.incarnation, self.plan.records.life, value).is_some();
         if written {
-            let times = self.times();
-            self.fresh.insert(key, times);
-            if self.speaks(now) {
+            let times = self.transmissions();
+            self.pending_records.insert(key, times);
+            if self.may_send(now) {
                 // They see that this one holds something else, and ask.
-                let some = self.some_of(TALKS, |_, peer| peer.state.is_there());
-                some.into_iter().for_each(|to| self.ping(now, to, Purpose::Talk, out));
+                let targets = self.sample_peers(MAX_SYNC_PINGS, |_, peer| peer.state.is_present());
+                targets.into_iter().for_each(|to| self.ping(now, to, Purpose::Sync, out));
             }
         }
         written
@@ -312,8 +313,8 @@
 
     /// For a part on top, to the same one at that member. It may be lost, or come twice.
     pub fn say(&mut self, now: f64, to: Id, kind: Kind, bytes: Vec<u8>, out: &mut Vec<Action>) {
-        if self.speaks(now) && bytes.len() <= FILL - WORDS * WORD_SIZE {
-            self.send(to, What::Part { kind, bytes }, out);
+        if self.may_send(now) && bytes.len() <= MAX_CONTENT_LEN - MAX_UPDATES * MAX_UPDATE_LEN {
+            self.send(to, MessageBody::Application { kind, bytes }, out);
         }
     }
 
@@ -334,23 +335,25 @@
     }
 
     /// Whether this one takes part, of the processes of this node.
-    pub fn take_part(&mut self, now: f64, part: bool) {
-        if part && !self.part {
-            self.due = now;
+    pub fn take_part(&mut self, now: f64, active: bool) {
+        if active && !self.active {
+            self.next_tick = now;
         }
-        self.part = part;
+        self.active = active;
     }
 
     /// Says that it goes, for good; nothing is said after.
     pub fn leave(&mut self, out: &mut Vec<Action>) {
-        if self.left || !self.part {
+        if self.left || !self.active {
             return;
         }
-        let word = Word { of: self.me, incarnation: self.incarnation, claim: Claim::Left, by: self.me };
-        let some = self.some_of(2 * self.plan.detector.relays.max(1), |_, peer| peer.state.is_there());
-        for to in some {
+        let update =
+            MemberUpdate { of: self.me, incarnation: self.incarnation, claim: Claim::Left, by: self.me };
+        let targets =
+            self.sample_peers(2 * self.plan.detector.relays.max(1), |_, peer| peer.state.is_present());
+        for to in targets {
             let number = self.next_number();
-            self.post(to, vec![word], What::Ping { number }, out);
+            self.transmit(to, vec![update], MessageBody::Ping { number }, out);
         }
         self.left = true;
     }
@@ -373,7 +376,7 @@
             oldest: self.readings(now).map(|reading| reading.age).fold(0.0, f64::max),
             sum: format!("{:016x}", self.table.sum()),
             health: self.health.score(),
-            doubled: now < self.silent,
+            doubled: now < self.silent_until,
             counts: self.counts.clone(),
         }
     }
--- a/crates/coveroute-fleet/src/member.rs
+++ b/crates/coveroute-fleet/src/member.rs
@@ -17,32 +17,35 @@
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    const MARK_BITS: u32 = 24;
+    const PROCESS_MARK_BITS: u32 = 24;
     /// Counts beyond are nobody's: a count of 16 a second since 1970 gets there in the year 3059.
-    const MOST: u64 = 1 << 39;
+    const MAX_COUNT: u64 = 1 << 39;
 
     /// `count`: a first guess, best above all that were; a wrong one is put right by the others.
     pub fn new(count: u64, mark: u64) -> Self {
-        Incarnation((count.min(Self::MOST / 2) << Self::MARK_BITS) | (mark & ((1 << Self::MARK_BITS) - 1)))
+        Incarnation(
+            (count.min(Self::MAX_COUNT / 2) << Self::PROCESS_MARK_BITS)
+                | (mark & ((1 << Self::PROCESS_MARK_BITS) - 1)),
+        )
     }
 
     pub fn mark(self) -> u64 {
-        self.0 & ((1 << Self::MARK_BITS) - 1)
+        self.0 & ((1 << Self::PROCESS_MARK_BITS) - 1)
     }
 
     /// The same process's next one above the other.
-    pub fn above(self, other: Incarnation) -> Self {
-        let count = self.0.max(other.0) >> Self::MARK_BITS;
-        Incarnation(((count + 1) << Self::MARK_BITS) | self.mark())
+    pub fn next_above(self, other: Incarnation) -> Self {
+        let count = self.0.max(other.0) >> Self::PROCESS_MARK_BITS;
+        Incarnation(((count + 1) << Self::PROCESS_MARK_BITS) | self.mark())
     }
 
     /// Whether it counts one more.
-    pub fn is_next_to(self, other: Incarnation) -> bool {
-        self.0 >> Self::MARK_BITS == (other.0 >> Self::MARK_BITS) + 1
+    pub fn is_successor_of(self, other: Incarnation) -> bool {
+        self.0 >> Self::PROCESS_MARK_BITS == (other.0 >> Self::PROCESS_MARK_BITS) + 1
     }
 
-    pub fn is_sound(self) -> bool {
-        self.0 >> Self::MARK_BITS <= Self::MOST
+    pub fn is_valid(self) -> bool {
+        self.0 >> Self::PROCESS_MARK_BITS <= Self::MAX_COUNT
     }
 }
 
@@ -60,7 +63,7 @@
 
 /// A claim on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct MemberUpdate {
     pub of: Id,
     pub incarnation: Incarnation,
     pub claim: Claim,
@@ -86,77 +89,77 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// A word of a later incarnation of the same process says that it lives.
-    Lives,
+    Alive,
     /// The same of another process.
-    Reborn,
-    Doubted,
-    Died,
-    Leaves,
+    Restarted,
+    Suspected,
+    Dead,
+    Left,
     /// It has answered neither us nor those we asked.
-    Silent,
+    NoReply,
     /// Its suspicion was not refuted in time.
-    Overdue,
+    SuspicionExpired,
     /// It has been back for a while.
-    Settles,
+    Settled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Nothing,
     /// A suspicion begins.
-    Doubt,
+    StartSuspicion,
     /// Another one holds the same suspicion.
-    Confirm,
+    ConfirmSuspicion,
     /// A suspicion ends.
-    Clear,
+    ClearSuspicion,
 }
 
-type Row = (State, Input, State, Effect);
+type Transition = (State, Input, State, Effect);
 
 /// (state, input, next state, effect). What is not here changes nothing.
-const TABLE: [Row; 35] = {
+const TRANSITIONS: [Transition; 35] = {
     use {Effect as E, Input as I, State as S};
     [
-        (S::Unseen, I::Lives, S::Alive, E::Nothing),
-        (S::Unseen, I::Reborn, S::Alive, E::Nothing),
-        (S::Unseen, I::Doubted, S::Suspected, E::Doubt),
-        (S::Unseen, I::Died, S::Dead, E::Nothing),
-        (S::Unseen, I::Leaves, S::Left, E::Nothing),
-        (S::Alive, I::Reborn, S::Returned, E::Nothing),
-        (S::Alive, I::Doubted, S::Suspected, E::Doubt),
-        (S::Alive, I::Silent, S::Suspected, E::Doubt),
-        (S::Alive, I::Died, S::Dead, E::Nothing),
-        (S::Alive, I::Leaves, S::Left, E::Nothing),
-        (S::Suspected, I::Lives, S::Alive, E::Clear),
-        (S::Suspected, I::Reborn, S::Returned, E::Clear),
-        (S::Suspected, I::Doubted, S::Suspected, E::Confirm),
-        (S::Suspected, I::Silent, S::Suspected, E::Confirm),
-        (S::Suspected, I::Overdue, S::Dead, E::Clear),
-        (S::Suspected, I::Died, S::Dead, E::Clear),
-        (S::Suspected, I::Leaves, S::Left, E::Clear),
-        (S::Dead, I::Lives, S::Returned, E::Nothing),
-        (S::Dead, I::Reborn, S::Returned, E::Nothing),
-        (S::Dead, I::Doubted, S::Suspected, E::Doubt),
-        (S::Dead, I::Died, S::Dead, E::Nothing),
-        (S::Dead, I::Leaves, S::Left, E::Nothing),
-        (S::Left, I::Lives, S::Returned, E::Nothing),
-        (S::Left, I::Reborn, S::Returned, E::Nothing),
-        (S::Left, I::Doubted, S::Suspected, E::Doubt),
-        (S::Left, I::Died, S::Dead, E::Nothing),
-        (S::Left, I::Leaves, S::Left, E::Nothing),
-        (S::Returned, I::Reborn, S::Returned, E::Nothing),
-        (S::Returned, I::Doubted, S::Suspected, E::Doubt),
-        (S::Returned, I::Silent, S::Suspected, E::Doubt),
-        (S::Returned, I::Died, S::Dead, E::Nothing),
-        (S::Returned, I::Leaves, S::Left, E::Nothing),
-        (S::Returned, I::Settles, S::Alive, E::Nothing),
-        (S::Returned, I::Lives, S::Returned, E::Nothing),
-        (S::Alive, I::Lives, S::Alive, E::Nothing),
+        (S::Unseen, I::Alive, S::Alive, E::Nothing),
+        (S::Unseen, I::Restarted, S::Alive, E::Nothing),
+        (S::Unseen, I::Suspected, S::Suspected, E::StartSuspicion),
+        (S::Unseen, I::Dead, S::Dead, E::Nothing),
+        (S::Unseen, I::Left, S::Left, E::Nothing),
+        (S::Alive, I::Restarted, S::Returned, E::Nothing),
+        (S::Alive, I::Suspected, S::Suspected, E::StartSuspicion),
+        (S::Alive, I::NoReply, S::Suspected, E::StartSuspicion),
+        (S::Alive, I::Dead, S::Dead, E::Nothing),
+        (S::Alive, I::Left, S::Left, E::Nothing),
+        (S::Suspected, I::Alive, S::Alive, E::ClearSuspicion),
+        (S::Suspected, I::Restarted, S::Returned, E::ClearSuspicion),
+        (S::Suspected, I::Suspected, S::Suspected, E::ConfirmSuspicion),
+        (S::Suspected, I::NoReply, S::Suspected, E::ConfirmSuspicion),
+        (S::Suspected, I::SuspicionExpired, S::Dead, E::ClearSuspicion),
+        (S::Suspected, I::Dead, S::Dead, E::ClearSuspicion),
+        (S::Suspected, I::Left, S::Left, E::ClearSuspicion),
+        (S::Dead, I::Alive, S::Returned, E::Nothing),
+        (S::Dead, I::Restarted, S::Returned, E::Nothing),
+        (S::Dead, I::Suspected, S::Suspected, E::StartSuspicion),
+        (S::Dead, I::Dead, S::Dead, E::Nothing),
+        (S::Dead, I::Left, S::Left, E::Nothing),
+        (S::Left, I::Alive, S::Returned, E::Nothing),
+        (S::Left, I::Restarted, S::Returned, E::Nothing),
+        (S::Left, I::Suspected, S::Suspected, E::StartSuspicion),
+        (S::Left, I::Dead, S::Dead, E::Nothing),
+        (S::Left, I::Left, S::Left, E::Nothing),
+        (S::Returned, I::Restarted, S::Returned, E::Nothing),
+        (S::Returned, I::Suspected, S::Suspected, E::StartSuspicion),
+        (S::Returned, I::NoReply, S::Suspected, E::StartSuspicion),
+        (S::Returned, I::Dead, S::Dead, E::Nothing),
+        (S::Returned, I::Left, S::Left, E::Nothing),
+        (S::Returned, I::Settled, S::Alive, E::Nothing),
+        (S::Returned, I::Alive, S::Returned, E::Nothing),
+        (S::Alive, I::Alive, S::Alive, E::Nothing),
     ]
 };
 
-pub fn next(state: State, input: Input) -> (State, Effect) {
-    let row = TABLE.iter().find(|row| row.0 == state && row.1 == input);
+pub fn next_state(state: State, input: Input) -> (State, Effect) {
+    let row = TRANSITIONS.iter().find(|row| row.0 == state && row.1 == input);
     row.map_or((state, Effect::Nothing), |row| (row.2, row.3))
 }
 
@@ -165,7 +168,7 @@
         [State::Unseen, State::Alive, State::Suspected, State::Dead, State::Left, State::Returned];
 
     /// Whether it is to be reckoned with: a suspicion is none yet.
-    pub fn is_there(self) -> bool {
+    pub fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspected | State::Returned)
     }
 }
--- a/crates/coveroute-fleet/src/plan.rs
+++ b/crates/coveroute-fleet/src/plan.rs
@@ -57,7 +57,7 @@
 }
 
 /// Voters where none are told: two of them may be lost.
-const VOTERS: usize = 5;
+const DEFAULT_VOTERS: usize = 5;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
@@ -95,14 +95,14 @@
 
 impl DetectorFile {
     fn detector(self) -> Detector {
-        let usual = Detector::default();
+        let defaults = Detector::default();
         Detector {
-            every: self.every.unwrap_or(usual.every),
-            relays: self.relays.unwrap_or(usual.relays),
-            suspicion: self.suspicion.unwrap_or(usual.suspicion),
-            patience: self.patience.unwrap_or(usual.patience),
-            drift: self.drift.unwrap_or(usual.drift),
-            budget: self.budget.unwrap_or(usual.budget),
+            every: self.every.unwrap_or(defaults.every),
+            relays: self.relays.unwrap_or(defaults.relays),
+            suspicion: self.suspicion.unwrap_or(defaults.suspicion),
+            patience: self.patience.unwrap_or(defaults.patience),
+            drift: self.drift.unwrap_or(defaults.drift),
+            budget: self.budget.unwrap_or(defaults.budget),
         }
     }
 }
@@ -112,7 +112,7 @@
         let file: File = toml::from_str(text).map_err(|e| one_line(text, &e))?;
         let File { fleet, members, detector, records, limits } = file;
         let plan = Plan { fleet, members, detector: detector.detector(), records, limits };
-        plan.check().map(|()| plan)
+        plan.validate().map(|()| plan)
     }
 
     /// Limits on tenants, by name and invocations a second; none where each node has an equal part.
@@ -124,8 +124,8 @@
             strict: false,
         });
         let limits: Vec<Limit> = limits.collect();
-        let usual = || self.members.keys().take(VOTERS).cloned().collect();
-        let voters = if self.limits.voters.is_empty() { usual() } else { self.limits.voters.clone() };
+        let defaults = || self.members.keys().take(DEFAULT_VOTERS).cloned().collect();
+        let voters = if self.limits.voters.is_empty() { defaults() } else { self.limits.voters.clone() };
         let voters = voters.iter().map(|name| Id::of(name)).collect();
         let (lease, drift) = (self.limits.lease, self.detector.drift);
         (self.limits.tenants && !limits.is_empty()).then_some(Terms { limits, voters, lease, drift })
@@ -145,22 +145,22 @@
         coveroute::chance::hash(self.fleet.as_bytes()) as u32
     }
 
-    fn check(&self) -> Result<(), String> {
-        let plain = |name: &str| {
+    fn validate(&self) -> Result<(), String> {
+        let is_valid_name = |name: &str| {
             let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
             !name.is_empty() && name.len() <= 64 && name.bytes().all(fits)
         };
-        let words = "1 to 64 letters, digits, -, _ or . are allowed";
-        if !plain(&self.fleet) {
-            return Err(format!("fleet: {:?}: {words}", self.fleet));
+        let allowed = "1 to 64 letters, digits, -, _ or . are allowed";
+        if !is_valid_name(&self.fleet) {
+            return Err(format!("fleet: {:?}: {allowed}", self.fleet));
         }
         if self.members.is_empty() {
-            return Err("members: at least one".into());
+            return Err("members: at min one".into());
         }
         let (mut ids, mut addresses) = (BTreeMap::new(), BTreeMap::new());
         for (name, entry) in &self.members {
-            if !plain(name) {
-                return Err(format!("members.{name}: {words}"));
+            if !is_valid_name(name) {
+                return Err(format!("members.{name}: {allowed}"));
             }
             if let Some(other) = ids.insert(Id::of(name), name) {
                 return Err(format!("members.{name}: its number is {other}'s too; take another name"));
@@ -176,7 +176,7 @@
             }
         }
         let Detector { every, relays, suspicion, patience, drift, budget } = self.detector;
-        let within = [
+        let ranges = [
             ("detector.every", every, 0.02, 10.0, "seconds"),
             ("detector.relays", relays as f64, 0.0, 10.0, "members"),
             ("detector.suspicion", suspicion, 0.05, 600.0, "seconds"),
@@ -191,10 +191,10 @@
         if let Some(voter) = self.limits.voters.iter().find(|voter| !self.members.contains_key(*voter)) {
             return Err(format!("limits.voters: {voter} is not among the members"));
         }
-        let off = within.iter().find(|(_, value, least, most, _)| !(*least..=*most).contains(value));
-        match off {
-            Some((key, value, least, most, unit)) => {
-                Err(format!("{key}: {value} is not {unit}, {least} to {most}"))
+        let out_of_range = ranges.iter().find(|(_, value, min, max, _)| !(*min..=*max).contains(value));
+        match out_of_range {
+            Some((key, value, min, max, unit)) => {
+                Err(format!("{key}: {value} is not {unit}, {min} to {max}"))
             }
             None if suspicion < every => {
                 Err(format!("detector.suspicion: {suspicion} is not {every} (detector.every) or more"))
@@ -208,10 +208,10 @@
 pub fn one_line(text: &str, e: &toml::de::Error) -> String {
     let line = e.span().map(|span| 1 + text[..span.start.min(text.len())].matches('\n').count());
     let key = line.and_then(|line| text.lines().nth(line - 1)).and_then(|l| l.split_once('='));
-    let words = e.message().replace('\n', ", ");
+    let message = e.message().replace('\n', ", ");
     match (line, key) {
-        (Some(line), Some((key, _))) => format!("line {line}: {}: {words}", key.trim()),
-        (Some(line), None) => format!("line {line}: {words}"),
-        _ => words,
+        (Some(line), Some((key, _))) => format!("line {line}: {}: {message}", key.trim()),
+        (Some(line), None) => format!("line {line}: {message}"),
+        _ => message,
     }
 }
--- a/crates/coveroute-fleet/src/rights.rs
+++ b/crates/coveroute-fleet/src/rights.rs
@@ -45,7 +45,7 @@
     /// Seconds that a right is kept by whoever has it: a half, in which it is asked for several times; longer where the
     /// limit is so small that a whole use takes longer to gather.
     pub fn stock(&self) -> f64 {
-        (GATHERED * self.window / self.most.max(1e-9)).max(STOCK)
+        (MIN_STOCK_USES * self.window / self.most.max(1e-9)).max(MIN_STOCK_SECONDS)
     }
 
     /// Rights that are minted a second, by all together.
@@ -61,9 +61,9 @@
 }
 
 /// Seconds of rights that are kept: some answers' time, and little beside a window.
-const STOCK: f64 = 0.5;
+const MIN_STOCK_SECONDS: f64 = 0.5;
 /// A stock holds at least so many uses of one.
-const GATHERED: f64 = 2.0;
+const MIN_STOCK_USES: f64 = 2.0;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
@@ -78,12 +78,12 @@
 
 impl Terms {
     /// By the own clock, when a span that another one counts from no later is over for sure.
-    fn surely(&self, span: f64) -> f64 {
+    fn local_upper_bound(&self, span: f64) -> f64 {
         span * (1.0 + self.drift) / (1.0 - self.drift)
     }
 
     /// So much of the own clock's time is no more than that span of true time.
-    fn within(&self, span: f64) -> f64 {
+    fn local_lower_bound(&self, span: f64) -> f64 {
         span * (1.0 - self.drift)
     }
 
@@ -98,7 +98,7 @@
 
 /// What nodes say to each other of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-enum Say {
+enum Message {
     /// To a voter: these mints, for this process.
     Renew { number: u64, mints: Vec<Id> },
     /// Those of them that it has.
@@ -111,7 +111,7 @@
 
 /// A lease at a voter: whose process has it, and until when nobody else gets it, by the voter's clock.
 #[derive(Clone, Copy, Debug)]
-struct Granted {
+struct Grant {
     to: Id,
     mark: u64,
     until: f64,
@@ -135,49 +135,61 @@
 
 /// Rights to one limit, and what was wanted of it.
 #[derive(Clone, Debug)]
-struct Purse {
+struct Account {
     limit: Limit,
     /// Of the own mints.
-    own: f64,
-    minted: f64,
+    own_balance: f64,
+    last_mint: f64,
     /// Of others: when they lapse, and how many.
-    given: VecDeque<(f64, f64)>,
+    received: VecDeque<(f64, f64)>,
     /// Wanted and had since `since`, and before, a second, with old times forgotten.
     wanted: f64,
     had: f64,
     since: f64,
-    rate: f64,
+    wanted_rate: f64,
     had_rate: f64,
     /// Since this process began.
     all_wanted: f64,
     all_had: f64,
 }
 
-impl Purse {
+impl Account {
     fn new(now: f64, limit: Limit) -> Self {
-        let (given, nil) = (VecDeque::new(), 0.0);
-        let (wanted, had, rate, had_rate, all_wanted, all_had) = (nil, nil, nil, nil, nil, nil);
-        let (own, minted, since) = (nil, now, now);
-        Purse { limit, own, minted, given, wanted, had, since, rate, had_rate, all_wanted, all_had }
+        let (received, zero) = (VecDeque::new(), 0.0);
+        let (wanted, had, wanted_rate, had_rate, all_wanted, all_had) = (zero, zero, zero, zero, zero, zero);
+        let (own_balance, last_mint, since) = (zero, now, now);
+        Account {
+            limit,
+            own_balance,
+            last_mint,
+            received,
+            wanted,
+            had,
+            since,
+            wanted_rate,
+            had_rate,
+            all_wanted,
+            all_had,
+        }
     }
 
     /// Adds what the mints have given since, while they were held, and lets lapse what is older than the stock.
-    fn mint(&mut self, now: f64, held: &[(f64, f64)], rate: f64, stock: f64) {
-        let over = |from: f64| -> f64 {
+    fn accrue(&mut self, now: f64, held: &[(f64, f64)], rate: f64, stock: f64) {
+        let held_time = |from: f64| -> f64 {
             held.iter().map(|(since, until)| (until.min(now) - since.max(from)).max(0.0)).sum()
         };
-        let new = rate * over(self.minted);
-        self.own = (self.own + new).min(rate * over(now - stock));
-        self.minted = now;
+        let minted = rate * held_time(self.last_mint);
+        self.own_balance = (self.own_balance + minted).min(rate * held_time(now - stock));
+        self.last_mint = now;
     }
 
-    fn has(&mut self, now: f64) -> f64 {
-        self.given(now) + self.own
+    fn balance(&mut self, now: f64) -> f64 {
+        self.received_balance(now) + self.own_balance
     }
 
-    fn given(&mut self, now: f64) -> f64 {
-        self.given.retain(|(lapses, many)| now < *lapses && *many > 0.0);
-        self.given.iter().map(|(_, many)| many).sum()
+    fn received_balance(&mut self, now: f64) -> f64 {
+        self.received.retain(|(lapses, amount)| now < *lapses && *amount > 0.0);
+        self.received.iter().map(|(_, amount)| amount).sum()
     }
 }
 
@@ -187,55 +199,55 @@
     me: Id,
     mark: u64,
     members: Vec<Id>,
-    born: f64,
-    granted: BTreeMap<Id, Granted>,
+    started: f64,
+    grants: BTreeMap<Id, Grant>,
     mints: BTreeMap<Id, Mint>,
     /// Questions that are out: when they were asked, of whom, and for which mints.
-    asked: BTreeMap<u64, (f64, Id, Vec<Id>)>,
-    number: u64,
+    pending: BTreeMap<u64, (f64, Id, Vec<Id>)>,
+    last_number: u64,
     /// Who has asked of late.
-    askers: BTreeMap<Id, f64>,
-    purses: BTreeMap<LimitId, Purse>,
-    renews: f64,
-    asks: f64,
-    turn: usize,
+    recent_askers: BTreeMap<Id, f64>,
+    accounts: BTreeMap<LimitId, Account>,
+    next_renewal: f64,
+    next_request: f64,
+    next_peer: usize,
 }
 
 /// A message to another member.
 pub type Post = (Id, Vec<u8>);
 
 /// Mints are renewed so many times in a lease: two losses in a row cost nothing.
-const RENEWALS: f64 = 4.0;
+const RENEWALS_PER_LEASE: f64 = 4.0;
 /// Rights are asked for so many times in the shortest stock's time.
-const ASKS: f64 = 5.0;
+const REQUESTS_PER_STOCK: f64 = 5.0;
 /// Others who are asked at a time, by turns.
-const ASKED: usize = 16;
+const MAX_PEERS_ASKED: usize = 16;
 /// Limits, or mints, that one message speaks of: ten bytes each.
-const WANTS: usize = 80;
+const MAX_ENTRIES: usize = 80;
 /// Rights of less are none.
-const LEAST: f64 = 1e-6;
+const MIN_RIGHTS: f64 = 1e-6;
 /// Seconds in which half of what was wanted before is forgotten.
-const MEMORY: f64 = 0.5;
+const RATE_HALF_LIFE: f64 = 0.5;
 /// What is asked for, of what is lacking: some have none to give.
-const ASKED_OVER: f64 = 2.0;
+const OVER_REQUEST: f64 = 2.0;
 
 impl Rights {
     pub fn new(now: f64, me: Id, incarnation: Incarnation, members: Vec<Id>, terms: Terms) -> Self {
-        let purse = |limit: &Limit| (limit.id, Purse::new(now, *limit));
+        let account = |limit: &Limit| (limit.id, Account::new(now, *limit));
         Rights {
             me,
             mark: incarnation.mark(),
             members,
-            born: now,
-            granted: BTreeMap::new(),
+            started: now,
+            grants: BTreeMap::new(),
             mints: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            number: incarnation.mark() << 32,
-            askers: BTreeMap::new(),
-            purses: terms.limits.iter().map(purse).collect(),
-            renews: now,
-            asks: now,
-            turn: 0,
+            pending: BTreeMap::new(),
+            last_number: incarnation.mark() << 32,
+            recent_askers: BTreeMap::new(),
+            accounts: terms.limits.iter().map(account).collect(),
+            next_renewal: now,
+            next_request: now,
+            next_peer: 0,
             terms,
         }
     }
@@ -244,19 +256,19 @@
 
     /// Wants so much of a limit now: whether it may be used, and then it is.
     pub fn take(&mut self, now: f64, id: LimitId, amount: f64) -> bool {
-        let Some(purse) = self.mint(now, id) else { return false };
-        (purse.wanted, purse.all_wanted) = (purse.wanted + amount, purse.all_wanted + amount);
-        if purse.has(now) < amount {
+        let Some(account) = self.refresh(now, id) else { return false };
+        (account.wanted, account.all_wanted) = (account.wanted + amount, account.all_wanted + amount);
+        if account.balance(now) < amount {
             return false;
         }
         // What lapses soonest goes first.
         let mut left = amount;
-        for (_, many) in &mut purse.given {
-            let used = many.min(left);
-            (*many, left) = (*many - used, left - used);
+        for (_, amount) in &mut account.received {
+            let used = amount.min(left);
+            (*amount, left) = (*amount - used, left - used);
         }
-        purse.own = (purse.own - left).max(0.0);
-        (purse.had, purse.all_had) = (purse.had + amount, purse.all_had + amount);
+        account.own_balance = (account.own_balance - left).max(0.0);
+        (account.had, account.all_had) = (account.had + amount, account.all_had + amount);
         true
     }
 
@@ -264,19 +276,19 @@
     /// and nothing was given: nobody here knows.
     pub fn covered(&mut self, now: f64, id: LimitId) -> Option<f64> {
         let holds = self.holds(now);
-        let purse = self.mint(now, id)?;
-        let has = purse.has(now);
-        (holds > 0 || has > 0.0).then_some(purse.had_rate + has / purse.limit.stock())
+        let account = self.refresh(now, id)?;
+        let has = account.balance(now);
+        (holds > 0 || has > 0.0).then_some(account.had_rate + has / account.limit.stock())
     }
 
     /// Wanted and had since the start.
     pub fn totals(&self, id: LimitId) -> (f64, f64) {
-        self.purses.get(&id).map_or((0.0, 0.0), |purse| (purse.all_wanted, purse.all_had))
+        self.accounts.get(&id).map_or((0.0, 0.0), |account| (account.all_wanted, account.all_had))
     }
 
     /// Rights that are here now.
     pub fn has(&mut self, now: f64, id: LimitId) -> f64 {
-        self.mint(now, id).map_or(0.0, |purse| purse.has(now))
+        self.refresh(now, id).map_or(0.0, |account| account.balance(now))
     }
 
     /// Mints that are held here now.
@@ -300,30 +312,30 @@
     }
 
     /// That limit's purse, with what has been minted until now: a use looks at no other.
-    fn mint(&mut self, now: f64, id: LimitId) -> Option<&mut Purse> {
+    fn refresh(&mut self, now: f64, id: LimitId) -> Option<&mut Account> {
         let (held, members) = (self.held(), self.members.len());
-        let purse = self.purses.get_mut(&id)?;
+        let account = self.accounts.get_mut(&id)?;
         // By a clock that may run fast.
-        let rate = part(&purse.limit, members) / (1.0 + self.terms.drift);
-        purse.mint(now, &held, rate, self.terms.within(purse.limit.stock()));
-        Some(purse)
+        let rate = mint_rate(&account.limit, members) / (1.0 + self.terms.drift);
+        account.accrue(now, &held, rate, self.terms.local_lower_bound(account.limit.stock()));
+        Some(account)
     }
 
-    fn mint_all(&mut self, now: f64) {
+    fn refresh_all(&mut self, now: f64) {
         for limit in self.terms.limits.clone() {
-            self.mint(now, limit.id);
+            self.refresh(now, limit.id);
         }
     }
 
     /// How much is wanted a second, with old times forgotten.
-    fn reckon(&mut self, now: f64) {
-        for purse in self.purses.values_mut() {
-            let span = now - purse.since;
+    fn update_rates(&mut self, now: f64) {
+        for account in self.accounts.values_mut() {
+            let span = now - account.since;
             if span > 0.0 {
-                let old = 0.5_f64.powf(span / MEMORY);
-                purse.rate = old * purse.rate + (1.0 - old) * purse.wanted / span;
-                purse.had_rate = old * purse.had_rate + (1.0 - old) * purse.had / span;
-                (purse.wanted, purse.had, purse.since) = (0.0, 0.0, now);
+                let old = 0.5_f64.powf(span / RATE_HALF_LIFE);
+                account.wanted_rate = old * account.wanted_rate + (1.0 - old) * account.wanted / span;
+                account.had_rate = old * account.had_rate + (1.0 - old) * account.had / span;
+                (account.wanted, account.had, account.since) = (0.0, 0.0, now);
             }
         }
     }
@@ -332,78 +344,81 @@
 
     /// `is_gone`: whether a member is held to be dead, or has left.
     pub fn advance(&mut self, now: f64, is_gone: impl Fn(Id) -> bool, out: &mut Vec<Post>) {
-        if now >= self.renews {
-            self.renews = now + self.terms.lease / RENEWALS;
-            self.renew(now, &is_gone, out);
+        if now >= self.next_renewal {
+            self.next_renewal = now + self.terms.lease / RENEWALS_PER_LEASE;
+            self.renew_leases(now, &is_gone, out);
         }
-        if now >= self.asks {
+        if now >= self.next_request {
             let stock = self.terms.limits.iter().map(Limit::stock).fold(f64::INFINITY, f64::min);
-            self.asks = now + stock.min(self.terms.lease) / ASKS;
-            self.mint_all(now);
-            self.reckon(now);
-            self.ask(now, &is_gone, out);
-            self.forget(now);
+            self.next_request = now + stock.min(self.terms.lease) / REQUESTS_PER_STOCK;
+            self.refresh_all(now);
+            self.update_rates(now);
+            self.request_rights(now, &is_gone, out);
+            self.drop_expired(now);
         }
     }
 
-    fn forget(&mut self, now: f64) {
+    fn drop_expired(&mut self, now: f64) {
         let stock = self.terms.limits.iter().map(Limit::stock).fold(self.terms.lease, f64::max);
-        self.asked.retain(|_, (at, ..)| now - *at < stock);
-        self.askers.retain(|_, at| now - *at < STOCK);
-        self.granted.retain(|_, granted| now < granted.until);
+        self.pending.retain(|_, (at, ..)| now - *at < stock);
+        self.recent_askers.retain(|_, at| now - *at < MIN_STOCK_SECONDS);
+        self.grants.retain(|_, granted| now < granted.until);
         let majority = self.terms.majority();
         self.mints
             .retain(|_, mint| now - stock < mint.until(majority) || mint.votes.values().any(|u| now < *u));
     }
 
     fn next_number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+        self.last_number += 1;
+        self.last_number
     }
 
     /// The own mint, and those of the gone that fall to this node: to the next one there after each, in a ring.
-    fn renew(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
+    fn renew_leases(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
         let deputy = |mint: usize| {
             let ring = self.members[mint + 1..].iter().chain(&self.members[..mint]);
             ring.copied().find(|other| *other == self.me || !is_gone(*other))
         };
-        let falls = |at: &usize| {
+        let is_held_here = |at: &usize| {
             let mint = self.members[*at];
             mint == self.me || is_gone(mint) && deputy(*at) == Some(self.me)
         };
-        let mints: Vec<Id> =
-            (0..self.members.len()).filter(falls).map(|at| self.members[at]).take(WANTS).collect();
+        let mints: Vec<Id> = (0..self.members.len())
+            .filter(is_held_here)
+            .map(|at| self.members[at])
+            .take(MAX_ENTRIES)
+            .collect();
         for voter in self.terms.voters.clone() {
             if voter == self.me {
-                let granted = self.vote(now, self.me, self.mark, &mints);
-                self.count_votes(now, now, voter, granted);
+                let granted = self.grant_leases(now, self.me, self.mark, &mints);
+                self.record_votes(now, now, voter, granted);
                 continue;
             }
             let number = self.next_number();
-            self.asked.insert(number, (now, voter, mints.clone()));
-            out.push((voter, bytes(&Say::Renew { number, mints: mints.clone() })));
+            self.pending.insert(number, (now, voter, mints.clone()));
+            out.push((voter, encode(&Message::Renew { number, mints: mints.clone() })));
         }
     }
 
     /// As a voter: which of these mints that process gets. One that has just begun knows nothing of what it granted before.
-    fn vote(&mut self, now: f64, to: Id, mark: u64, mints: &[Id]) -> Vec<Id> {
-        let held = self.terms.surely(self.terms.lease);
-        if now - self.born < held {
+    fn grant_leases(&mut self, now: f64, to: Id, mark: u64, mints: &[Id]) -> Vec<Id> {
+        let held = self.terms.local_upper_bound(self.terms.lease);
+        if now - self.started < held {
             return Vec::new();
         }
         let mut granted = Vec::new();
         for mint in mints.iter().copied().filter(|mint| self.members.contains(mint)) {
-            let other = self.granted.get(&mint).filter(|other| now < other.until);
+            let other = self.grants.get(&mint).filter(|other| now < other.until);
             if other.is_none_or(|other| (other.to, other.mark) == (to, mark)) {
-                self.granted.insert(mint, Granted { to, mark, until: now + held });
+                self.grants.insert(mint, Grant { to, mark, until: now + held });
                 granted.push(mint);
             }
         }
         granted
     }
 
-    fn count_votes(&mut self, now: f64, asked: f64, voter: Id, mints: Vec<Id>) {
-        self.mint_all(now); // By what was held until now.
+    fn record_votes(&mut self, now: f64, asked: f64, voter: Id, mints: Vec<Id>) {
+        self.refresh_all(now); // By what was held until now.
         let majority = self.terms.majority();
         for id in mints {
             let mint = self.mints.entry(id).or_insert(Mint { votes: BTreeMap::new(), since: now });
@@ -418,73 +433,75 @@
     }
 
     /// Of others what is wanted beyond what the own mints give: by turns.
-    fn ask(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
-        let mut short: Vec<(LimitId, f64)> = Vec::new();
+    fn request_rights(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
+        let mut deficits: Vec<(LimitId, f64)> = Vec::new();
         let (held, members) = (self.holds(now) as f64, self.members.len());
-        for (id, purse) in &mut self.purses {
-            let (limit, mints) = (purse.limit, held * part(&purse.limit, members));
+        for (id, account) in &mut self.accounts {
+            let (limit, mints) = (account.limit, held * mint_rate(&account.limit, members));
             // What the time until rights lapse will want, with one use in hand.
-            let (span, one) = (limit.stock(), if purse.rate > LEAST { 1.0 } else { 0.0 });
-            let lacks = (purse.rate - mints) * span + one - purse.has(now);
-            if lacks > LEAST {
-                short.push((*id, lacks.min(limit.rate() * span)));
+            let (span, spare_use) = (limit.stock(), if account.wanted_rate > MIN_RIGHTS { 1.0 } else { 0.0 });
+            let deficit = (account.wanted_rate - mints) * span + spare_use - account.balance(now);
+            if deficit > MIN_RIGHTS {
+                deficits.push((*id, deficit.min(limit.rate() * span)));
             }
         }
-        let there: Vec<Id> = self.members.iter().copied().filter(|m| *m != self.me && !is_gone(*m)).collect();
-        if there.is_empty() || short.is_empty() {
+        let present: Vec<Id> =
+            self.members.iter().copied().filter(|m| *m != self.me && !is_gone(*m)).collect();
+        if present.is_empty() || deficits.is_empty() {
             return;
         }
-        let whom: Vec<Id> =
-            (0..there.len().min(ASKED)).map(|at| there[(self.turn + at) % there.len()]).collect();
-        self.turn = (self.turn + whom.len()) % there.len();
-        let share = (ASKED_OVER / whom.len() as f64).min(1.0);
+        let targets: Vec<Id> = (0..present.len().min(MAX_PEERS_ASKED))
+            .map(|at| present[(self.next_peer + at) % present.len()])
+            .collect();
+        self.next_peer = (self.next_peer + targets.len()) % present.len();
+        let share = (OVER_REQUEST / targets.len() as f64).min(1.0);
         // In one message; the rest by turns.
-        let many = short.len();
-        short.rotate_left(self.turn % many);
-        short.truncate(WANTS);
+        let count = deficits.len();
+        deficits.rotate_left(self.next_peer % count);
+        deficits.truncate(MAX_ENTRIES);
         let wants: Vec<(LimitId, f32)> =
-            short.iter().map(|(id, lacks)| (*id, (lacks * share) as f32)).collect();
-        for other in whom {
+            deficits.iter().map(|(id, deficit)| (*id, (deficit * share) as f32)).collect();
+        for other in targets {
             let number = self.next_number();
-            self.asked.insert(number, (now, other, Vec::new()));
-            out.push((other, bytes(&Say::Ask { number, wants: wants.clone() })));
+            self.pending.insert(number, (now, other, Vec::new()));
+            out.push((other, encode(&Message::Ask { number, wants: wants.clone() })));
         }
     }
 
     // Messages.
 
     /// `mark`: of the process that says it. What is odd is passed over.
-    pub fn heard(&mut self, now: f64, from: Id, mark: u64, said: &[u8], out: &mut Vec<Post>) {
-        let Ok((say, [])) = postcard::take_from_bytes::<Say>(said) else { return };
-        match say {
-            Say::Renew { number, mints } => {
-                let votes = self.terms.voters.contains(&self.me);
-                let mints = if votes { self.vote(now, from, mark, &mints) } else { Vec::new() };
-                out.push((from, bytes(&Say::Renewed { number, mints })));
+    pub fn heard(&mut self, now: f64, from: Id, mark: u64, bytes: &[u8], out: &mut Vec<Post>) {
+        let Ok((message, [])) = postcard::take_from_bytes::<Message>(bytes) else { return };
+        match message {
+            Message::Renew { number, mints } => {
+                let is_voter = self.terms.voters.contains(&self.me);
+                let mints = if is_voter { self.grant_leases(now, from, mark, &mints) } else { Vec::new() };
+                out.push((from, encode(&Message::Renewed { number, mints })));
             }
-            Say::Renewed { number, mints } => {
-                let asked = self.asked.remove(&number).filter(|(_, voter, _)| *voter == from);
+            Message::Renewed { number, mints } => {
+                let asked = self.pending.remove(&number).filter(|(_, voter, _)| *voter == from);
                 let Some((at, voter, wanted)) = asked else { return };
                 let mints = mints.into_iter().filter(|mint| wanted.contains(mint)).collect();
-                self.count_votes(now, at, voter, mints);
+                self.record_votes(now, at, voter, mints);
             }
-            Say::Ask { number, wants } => {
-                self.askers.insert(from, now);
+            Message::Ask { number, wants } => {
+                self.recent_askers.insert(from, now);
                 let rights: Vec<(LimitId, f32)> =
-                    wants.into_iter().filter_map(|(id, wanted)| self.give(now, id, wanted)).collect();
+                    wants.into_iter().filter_map(|(id, wanted)| self.give_rights(now, id, wanted)).collect();
                 if !rights.is_empty() {
-                    out.push((from, bytes(&Say::Given { number, rights })));
+                    out.push((from, encode(&Message::Given { number, rights })));
                 }
             }
-            Say::Given { number, rights } => {
-                let asked = self.asked.remove(&number).filter(|(_, other, _)| *other == from);
+            Message::Given { number, rights } => {
+                let asked = self.pending.remove(&number).filter(|(_, other, _)| *other == from);
                 let Some((at, ..)) = asked else { return };
-                for (id, many) in rights {
-                    let Some(purse) = self.purses.get_mut(&id) else { continue };
-                    let lapses = at + self.terms.within(purse.limit.stock());
-                    let many = f64::from(many);
-                    if many.is_finite() && many > 0.0 && now < lapses {
-                        purse.given.push_back((lapses, many));
+                for (id, amount) in rights {
+                    let Some(account) = self.accounts.get_mut(&id) else { continue };
+                    let lapses = at + self.terms.local_lower_bound(account.limit.stock());
+                    let amount = f64::from(amount);
+                    if amount.is_finite() && amount > 0.0 && now < lapses {
+                        account.received.push_back((lapses, amount));
                     }
                 }
             }
@@ -493,43 +510,46 @@
 
     /// Rights that another one gets, first taken from here: of the own what is not wanted here while it lasts, and never
     /// what was given, whose time has begun.
-    fn give(&mut self, now: f64, id: LimitId, wanted: f32) -> Option<(LimitId, f32)> {
-        let (askers, held) = (self.askers.len().max(1) as f64, self.holds(now) as f64);
+    fn give_rights(&mut self, now: f64, id: LimitId, wanted: f32) -> Option<(LimitId, f32)> {
+        let (askers, held) = (self.recent_askers.len().max(1) as f64, self.holds(now) as f64);
         let members = self.members.len();
-        let purse = self.mint(now, id)?;
-        let (limit, mints) = (purse.limit, held * part(&purse.limit, members));
+        let account = self.refresh(now, id)?;
+        let (limit, mints) = (account.limit, held * mint_rate(&account.limit, members));
         // The own wants come from the mint first, as it gives on; the stock covers what they are more.
-        let keeps =
-            if purse.rate > LEAST { ((purse.rate - mints) * limit.stock()).max(0.0) + 1.0 } else { 0.0 };
-        let spare = purse.own - keeps.min(purse.own);
+        let reserved = if account.wanted_rate > MIN_RIGHTS {
+            ((account.wanted_rate - mints) * limit.stock()).max(0.0) + 1.0
+        } else {
+            0.0
+        };
+        let spare = account.own_balance - reserved.min(account.own_balance);
         let given = f64::from(wanted).min(spare / askers).max(0.0) * (1.0 - 1e-6);
-        if given <= LEAST {
+        if given <= MIN_RIGHTS {
             return None;
         }
-        let told = given as f32;
-        purse.own = (purse.own - given.max(f64::from(told))).max(0.0);
-        Some((id, told))
+        let sent_amount = given as f32;
+        account.own_balance = (account.own_balance - given.max(f64::from(sent_amount))).max(0.0);
+        Some((id, sent_amount))
     }
 
     /// Members and limits may change with the operators' file. Who changes begins anew, with nothing, and keeps silent as a
     /// voter for a lease.
     pub fn reread(&mut self, now: f64, members: Vec<Id>, terms: Terms) {
         if self.members != members || self.terms != terms {
-            let number = self.number;
+            let number = self.last_number;
             *self = Rights::new(now, self.me, Incarnation(self.mark), members, terms);
             // Its own mint was held, and may be again when that is over for sure.
-            self.renews = now + self.terms.surely(self.terms.lease);
-            self.number = number;
+            self.next_renewal = now + self.terms.local_upper_bound(self.terms.lease);
+            self.last_number = number;
         }
     }
 }
 
 /// An N-th of a limit's rate: what one mint gives.
-fn part(limit: &Limit, members: usize) -> f64 {
+fn mint_rate(limit: &Limit, members: usize) -> f64 {
     limit.rate() / members.max(1) as f64
 }
 
-fn bytes(say: &Say) -> Vec<u8> {
+fn encode(message: &Message) -> Vec<u8> {
     // Can't fail: nothing in it has a length that is not known.
-    postcard::to_stdvec(say).unwrap_or_default()
+    postcard::to_stdvec(message).unwrap_or_default()
 }
--- a/crates/coveroute-fleet/src/table.rs
+++ b/crates/coveroute-fleet/src/table.rs
@@ -43,10 +43,10 @@
 
 impl Record {
     /// Bytes that it takes at most, beside its value.
-    const HEAD: usize = 48;
+    const MAX_OVERHEAD: usize = 48;
 
-    pub fn size(&self) -> usize {
-        Self::HEAD + self.value.len()
+    pub fn max_len(&self) -> usize {
+        Self::MAX_OVERHEAD + self.value.len()
     }
 }
 
@@ -79,64 +79,70 @@
 
 /// What became of a record that came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum MergeResult {
     Newer,
     /// The same one, with a closer bound on its age.
-    Closer,
+    TighterAge,
     Known,
-    Ended,
+    Expired,
     /// No room for more of this owner.
     Full,
 }
 
 /// Parts that are compared by themselves: 256 bytes of sums in a question, and a sixty-fourth of all in an answer's part.
-pub const PARTS: usize = 64;
+pub const PARTITIONS: usize = 64;
 /// The longest value.
-pub const VALUE_MOST: usize = 400;
+pub const MAX_VALUE_LEN: usize = 400;
 
 #[derive(Clone, Debug)]
 pub struct Table {
     entries: BTreeMap<Key, Entry>,
     /// Which ones have ended, and until when they are remembered: bounds differ by node, and an earlier one that has a
     /// closer bound elsewhere must not come after a later one.
-    ended: BTreeMap<Key, (Incarnation, u64, f64)>,
-    sums: [u32; PARTS],
+    tombstones: BTreeMap<Key, (Incarnation, u64, f64)>,
+    sums: [u32; PARTITIONS],
     /// Clocks may run fast or slow by this part.
     drift: f64,
     /// Records of one owner at most.
-    most: usize,
+    max_per_owner: usize,
 }
 
-fn part(of: Id) -> usize {
-    mix(u64::from(of.0)) as usize % PARTS
+fn partition(of: Id) -> usize {
+    mix(u64::from(of.0)) as usize % PARTITIONS
 }
 
 /// The least key of this owner.
-pub fn first(owner: Id) -> Key {
+pub fn first_key(owner: Id) -> Key {
     Key { owner, kind: Kind(0), key: 0 }
 }
 
-fn print(key: &Key, incarnation: Incarnation, version: u64) -> u32 {
+fn fingerprint(key: &Key, incarnation: Incarnation, version: u64) -> u32 {
     let key = mix(u64::from(key.owner.0) << 8 | u64::from(key.kind.0)) ^ mix(key.key.wrapping_add(1));
     mix(key ^ mix(incarnation.0) ^ mix(version ^ 0x5bd1)) as u32
 }
 
 impl Table {
-    pub fn new(drift: f64, most: usize) -> Self {
-        Table { entries: BTreeMap::new(), ended: BTreeMap::new(), sums: [0; PARTS], drift, most }
+    pub fn new(drift: f64, max_per_owner: usize) -> Self {
+        Table {
+            entries: BTreeMap::new(),
+            tombstones: BTreeMap::new(),
+            sums: [0; PARTITIONS],
+            drift,
+            max_per_owner,
+        }
     }
 
-    pub fn retune(&mut self, drift: f64, most: usize) {
-        (self.drift, self.most) = (drift, most);
+    pub fn set_limits(&mut self, drift: f64, max_per_owner: usize) {
+        (self.drift, self.max_per_owner) = (drift, max_per_owner);
     }
 
     /// True time that has passed at most while the own clock went on by this.
-    fn stretched(&self, span: f64) -> f64 {
+    fn max_elapsed(&self, span: f64) -> f64 {
         span.max(0.0) / (1.0 - self.drift)
     }
 
     fn age(&self, now: f64, age: Age) -> f64 {
-        age.bound + self.stretched(now - age.at)
+        age.bound + self.max_elapsed(now - age.at)
     }
 
     /// The owner's own writing; the version that it got, or none where it has no room left.
@@ -148,71 +154,73 @@
         life: f64,
         value: &[u8],
     ) -> Option<u64> {
-        let before = self.known(&key);
+        let before = self.latest_known(&key);
         let version = before.map_or(1, |known| known.1 + 1);
-        let fits = value.len() <= VALUE_MOST && (self.entries.contains_key(&key) || self.has_room(key.owner));
+        let fits =
+            value.len() <= MAX_VALUE_LEN && (self.entries.contains_key(&key) || self.has_room(key.owner));
         fits.then(|| {
             let age = Age { bound: 0.0, at: now };
-            self.put(key, Entry { incarnation, version, value: value.to_vec(), life, age });
+            self.insert(key, Entry { incarnation, version, value: value.to_vec(), life, age });
             version
         })
     }
 
     /// The last one that was held here, whether or not it has ended.
-    fn known(&self, key: &Key) -> Option<(Incarnation, u64)> {
+    fn latest_known(&self, key: &Key) -> Option<(Incarnation, u64)> {
         let held = self.entries.get(key).map(|held| (held.incarnation, held.version));
-        held.or_else(|| self.ended.get(key).map(|ended| (ended.0, ended.1)))
+        held.or_else(|| self.tombstones.get(key).map(|ended| (ended.0, ended.1)))
     }
 
     fn has_room(&self, owner: Id) -> bool {
-        self.of(owner).count()
-            + self.ended.range(first(owner)..).take_while(|(key, _)| key.owner == owner).count()
-            < self.most
+        self.entries_of(owner).count()
+            + self.tombstones.range(first_key(owner)..).take_while(|(key, _)| key.owner == owner).count()
+            < self.max_per_owner
     }
 
-    fn of(&self, owner: Id) -> impl Iterator<Item = (&Key, &Entry)> {
-        self.entries.range(first(owner)..).take_while(move |(key, _)| key.owner == owner)
+    fn entries_of(&self, owner: Id) -> impl Iterator<Item = (&Key, &Entry)> {
+        self.entries.range(first_key(owner)..).take_while(move |(key, _)| key.owner == owner)
     }
 
-    fn put(&mut self, key: Key, entry: Entry) {
-        self.ended.remove(&key);
-        let new = print(&key, entry.incarnation, entry.version);
-        let old = self.entries.insert(key, entry).map_or(0, |old| print(&key, old.incarnation, old.version));
-        self.sums[part(key.owner)] ^= old ^ new;
+    fn insert(&mut self, key: Key, entry: Entry) {
+        self.tombstones.remove(&key);
+        let new = fingerprint(&key, entry.incarnation, entry.version);
+        let old =
+            self.entries.insert(key, entry).map_or(0, |old| fingerprint(&key, old.incarnation, old.version));
+        self.sums[partition(key.owner)] ^= old ^ new;
     }
 
     fn remove(&mut self, key: &Key) {
         if let Some(old) = self.entries.remove(key) {
-            self.sums[part(key.owner)] ^= print(key, old.incarnation, old.version);
+            self.sums[partition(key.owner)] ^= fingerprint(key, old.incarnation, old.version);
         }
     }
 
     /// Takes in a record that came in answer to what was sent at `asked`.
-    pub fn take(&mut self, now: f64, asked: f64, record: Record) -> Taken {
+    pub fn merge(&mut self, now: f64, asked: f64, record: Record) -> MergeResult {
         let (bound, life) = (f64::from(record.age) / 1e3, f64::from(record.life) / 1e3);
-        let age = Age { bound: bound + self.stretched(now - asked), at: now };
+        let age = Age { bound: bound + self.max_elapsed(now - asked), at: now };
         if age.bound >= life {
-            return Taken::Ended;
+            return MergeResult::Expired;
         }
-        let (held, known) = (self.entries.get(&record.key), self.known(&record.key));
+        let (held, known) = (self.entries.get(&record.key), self.latest_known(&record.key));
         let new = (record.incarnation, record.version);
         if known.is_some_and(|known| known > new) {
-            return Taken::Known;
+            return MergeResult::Known;
         }
         if known == Some(new) {
-            let closer = held.is_some_and(|held| age.bound < self.age(now, held.age));
-            let entry = self.entries.get_mut(&record.key).filter(|_| closer);
-            return entry.map_or(Taken::Known, |entry| {
+            let tighter = held.is_some_and(|held| age.bound < self.age(now, held.age));
+            let entry = self.entries.get_mut(&record.key).filter(|_| tighter);
+            return entry.map_or(MergeResult::Known, |entry| {
                 entry.age = age;
-                Taken::Closer
+                MergeResult::TighterAge
             });
         }
-        if record.value.len() > VALUE_MOST || held.is_none() && !self.has_room(record.key.owner) {
-            return Taken::Full;
+        if record.value.len() > MAX_VALUE_LEN || held.is_none() && !self.has_room(record.key.owner) {
+            return MergeResult::Full;
         }
         let Record { key, incarnation, version, value, .. } = record;
-        self.put(key, Entry { incarnation, version, value, life, age });
-        Taken::Newer
+        self.insert(key, Entry { incarnation, version, value, life, age });
+        MergeResult::Newer
     }
 
     /// As it is told on now; none once its life is over.
@@ -242,34 +250,34 @@
     }
 
     /// Ends what has outlived its time.
-    pub fn tidy(&mut self, now: f64) {
-        let over = |(key, entry): (&Key, &Entry)| (self.age(now, entry.age) >= entry.life).then_some(*key);
-        let over: Vec<Key> = self.entries.iter().filter_map(over).collect();
-        for key in &over {
+    pub fn expire(&mut self, now: f64) {
+        let expired = |(key, entry): (&Key, &Entry)| (self.age(now, entry.age) >= entry.life).then_some(*key);
+        let expired: Vec<Key> = self.entries.iter().filter_map(expired).collect();
+        for key in &expired {
             let remembered =
                 self.entries.get(key).map(|held| (held.incarnation, held.version, now + held.life));
-            self.ended.extend(remembered.map(|remembered| (*key, remembered)));
+            self.tombstones.extend(remembered.map(|remembered| (*key, remembered)));
             self.remove(key);
         }
-        self.ended.retain(|_, (.., until)| now < *until);
+        self.tombstones.retain(|_, (.., until)| now < *until);
     }
 
     /// The same process speaks under a later incarnation: what it has written is written under that one.
-    pub fn rise(&mut self, owner: Id, to: Incarnation) -> Vec<Key> {
+    pub fn adopt_incarnation(&mut self, owner: Id, to: Incarnation) -> Vec<Key> {
         let own = |(key, entry): (&Key, &Entry)| (entry.incarnation.mark() == to.mark()).then_some(*key);
-        let keys: Vec<Key> = self.of(owner).filter_map(own).collect();
+        let keys: Vec<Key> = self.entries_of(owner).filter_map(own).collect();
         for key in &keys {
             let entry = self.entries.get(key).cloned();
-            entry.into_iter().for_each(|entry| self.put(*key, Entry { incarnation: to, ..entry }));
+            entry.into_iter().for_each(|entry| self.insert(*key, Entry { incarnation: to, ..entry }));
         }
         keys
     }
 
     /// Forgets a member that is none any more.
-    pub fn forget(&mut self, owner: Id) {
-        let keys: Vec<Key> = self.of(owner).map(|(key, _)| *key).collect();
+    pub fn remove_owner(&mut self, owner: Id) {
+        let keys: Vec<Key> = self.entries_of(owner).map(|(key, _)| *key).collect();
         keys.iter().for_each(|key| self.remove(key));
-        self.ended.retain(|key, _| key.owner != owner);
+        self.tombstones.retain(|key, _| key.owner != owner);
     }
 
     pub fn len(&self) -> usize {
@@ -281,16 +289,16 @@
     }
 
     /// What is known of a member counts in the sums as well; a suspicion, which passes, does not.
-    pub fn stands(&mut self, of: Id, before: Option<Standing>, after: Option<Standing>) {
-        let print = |(incarnation, claim): Standing| {
+    pub fn update_standing(&mut self, of: Id, before: Option<Standing>, after: Option<Standing>) {
+        let fingerprint = |(incarnation, claim): Standing| {
             let claim = if claim == Claim::Suspected { Claim::Alive } else { claim };
             mix(mix(incarnation.0) ^ u64::from(of.0) << 2 ^ claim as u64) as u32
         };
-        self.sums[part(of)] ^= before.map_or(0, print) ^ after.map_or(0, print);
+        self.sums[partition(of)] ^= before.map_or(0, fingerprint) ^ after.map_or(0, fingerprint);
     }
 
     pub fn sum(&self) -> u64 {
-        self.sums.iter().fold(0, |sum, part| mix(sum ^ u64::from(*part)))
+        self.sums.iter().fold(0, |sum, partial| mix(sum ^ u64::from(*partial)))
     }
 
     pub fn sums(&self) -> &[u32] {
@@ -299,10 +307,10 @@
 
     /// Whether what is known of this member, and its records, differ from the other's.
     pub fn differs(&self, of: Id, others: &[u32]) -> bool {
-        others.get(part(of)).is_some_and(|other| *other != self.sums[part(of)])
+        others.get(partition(of)).is_some_and(|other| *other != self.sums[partition(of)])
     }
 
     pub fn keys_of(&self, owner: Id) -> impl Iterator<Item = Key> + '_ {
-        self.of(owner).map(|(key, _)| *key)
+        self.entries_of(owner).map(|(key, _)| *key)
     }
 }
--- a/crates/coveroute-fleet/src/tests.rs
+++ b/crates/coveroute-fleet/src/tests.rs
@@ -4,12 +4,12 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-use crate::detector::{Detector, Doubt, Health};
+use crate::detector::{Detector, Health, Suspicion};
 use crate::explore::{explore, Model};
-use crate::member::{next, Claim, Effect, Id, Incarnation, Input, State};
-use crate::message::{decode, encode, Message, Odd, What, MOST};
+use crate::member::{next_state, Claim, Effect, Id, Incarnation, Input, State};
+use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
 use crate::rights::{Limit, Post, Rights, Terms};
-use crate::table::{Key, Kind, Record, Table, Taken};
+use crate::table::{Key, Kind, MergeResult, Record, Table};
 use crate::{Action, Fleet, News, Plan};
 
 const FILE: &str = "fleet = \"north\"\n[members]\na = { address = \"10.0.0.1:9400\", zone = \"x\" }\n\
@@ -23,27 +23,27 @@
     ([10, 0, 0, host], 9400).into()
 }
 
-#[test_case(State::Unseen, Input::Silent, State::Unseen, Effect::Nothing; "who never came is not suspected")]
-#[test_case(State::Alive, Input::Silent, State::Suspected, Effect::Doubt; "no answer")]
-#[test_case(State::Suspected, Input::Doubted, State::Suspected, Effect::Confirm; "shared")]
-#[test_case(State::Suspected, Input::Lives, State::Alive, Effect::Clear; "refuted")]
-#[test_case(State::Suspected, Input::Overdue, State::Dead, Effect::Clear; "not refuted")]
-#[test_case(State::Alive, Input::Overdue, State::Alive, Effect::Nothing; "an end without a suspicion")]
-#[test_case(State::Dead, Input::Silent, State::Dead, Effect::Nothing; "dead already")]
-#[test_case(State::Dead, Input::Lives, State::Returned, Effect::Nothing; "back")]
-#[test_case(State::Alive, Input::Reborn, State::Returned, Effect::Nothing; "another process")]
-#[test_case(State::Left, Input::Reborn, State::Returned, Effect::Nothing; "back after it left")]
+#[test_case(State::Unseen, Input::NoReply, State::Unseen, Effect::Nothing; "who never came is not suspected")]
+#[test_case(State::Alive, Input::NoReply, State::Suspected, Effect::StartSuspicion; "no answer")]
+#[test_case(State::Suspected, Input::Suspected, State::Suspected, Effect::ConfirmSuspicion; "shared")]
+#[test_case(State::Suspected, Input::Alive, State::Alive, Effect::ClearSuspicion; "refuted")]
+#[test_case(State::Suspected, Input::SuspicionExpired, State::Dead, Effect::ClearSuspicion; "not refuted")]
+#[test_case(State::Alive, Input::SuspicionExpired, State::Alive, Effect::Nothing; "an end without a suspicion")]
+#[test_case(State::Dead, Input::NoReply, State::Dead, Effect::Nothing; "dead already")]
+#[test_case(State::Dead, Input::Alive, State::Returned, Effect::Nothing; "back")]
+#[test_case(State::Alive, Input::Restarted, State::Returned, Effect::Nothing; "another process")]
+#[test_case(State::Left, Input::Restarted, State::Returned, Effect::Nothing; "back after it left")]
 fn states(from: State, input: Input, to: State, effect: Effect) {
-    assert_eq!(next(from, input), (to, effect));
+    assert_eq!(next_state(from, input), (to, effect));
 }
 
 /// Guards against a count that was put back: whoever hears of a later self goes above it, and stays itself.
 #[test]
 fn incarnations_rise_above_what_was_heard() {
     let (one, other) = (Incarnation::new(5, 0xabcdef), Incarnation::new(9, 0x123456));
-    let above = one.above(other);
-    assert!(above > other && above.mark() == one.mark() && above.is_sound());
-    assert!(!Incarnation(u64::MAX).is_sound());
+    let above = one.next_above(other);
+    assert!(above > other && above.mark() == one.mark() && above.is_valid());
+    assert!(!Incarnation(u64::MAX).is_valid());
 }
 
 /// Whatever order words come in, and however often, who has heard the same holds the same.
@@ -62,17 +62,28 @@
 #[test]
 fn a_shared_suspicion_ends_sooner() {
     let (detector, well) = (Detector::default(), Health::default());
-    let stands: Vec<f64> = (0..4).map(|others| detector.stands(others, 11, 12, well)).collect();
-    assert!(stands.windows(2).all(|two| two[0] > two[1]), "{stands:?}");
-    let mut ill = Health::default();
-    (0..9).for_each(|_| ill.worse());
-    assert!(detector.stands(0, 11, 12, ill) > 3.0 * stands[0], "one that doubts itself waits");
-    assert_eq!(detector.stands(3, 11, 12, ill), stands[3], "not when others say the same");
-    assert_eq!(detector.stands(1, 1, 5, well), detector.stands(3, 3, 5, well), "all that could share it do");
-    assert!(detector.stands(0, 0, 5, well) >= 6.0 * detector.suspicion, "who is alone waits");
-    let mut doubt = Doubt::new(1.0, Id(1));
-    assert!(doubt.joins(Id(2)) && !doubt.joins(Id(2)));
-    assert_eq!((doubt.others(0.5), doubt.others(1.5)), (1, 0), "who is heard itself is not given up early");
+    let timeouts: Vec<f64> = (0..4).map(|others| detector.suspicion_timeout(others, 11, 12, well)).collect();
+    assert!(timeouts.windows(2).all(|two| two[0] > two[1]), "{timeouts:?}");
+    let mut degraded = Health::default();
+    (0..9).for_each(|_| degraded.degrade());
+    assert!(
+        detector.suspicion_timeout(0, 11, 12, degraded) > 3.0 * timeouts[0],
+        "one that doubts itself waits"
+    );
+    assert_eq!(detector.suspicion_timeout(3, 11, 12, degraded), timeouts[3], "not when others say the same");
+    assert_eq!(
+        detector.suspicion_timeout(1, 1, 5, well),
+        detector.suspicion_timeout(3, 3, 5, well),
+        "all that could share it do"
+    );
+    assert!(detector.suspicion_timeout(0, 0, 5, well) >= 6.0 * detector.suspicion, "who is alone waits");
+    let mut suspicion = Suspicion::new(1.0, Id(1));
+    assert!(suspicion.confirm(Id(2)) && !suspicion.confirm(Id(2)));
+    assert_eq!(
+        (suspicion.confirmations(0.5), suspicion.confirmations(1.5)),
+        (1, 0),
+        "who is heard itself is not given up early"
+    );
 }
 
 fn record(version: u64, age: u32) -> Record {
@@ -84,46 +95,46 @@
 #[test]
 fn ages_add_up() {
     let mut table = Table::new(0.01, 4);
-    assert_eq!(table.take(100.0, 99.0, record(1, 2000)), Taken::Newer);
+    assert_eq!(table.merge(100.0, 99.0, record(1, 2000)), MergeResult::Newer);
     let told = |table: &Table, now| table.read(now, Kind::STANDING).map(|r| r.age).next();
     assert_eq!(told(&table, 100.0), Some(2.0 + 1.0 / 0.99));
     assert_eq!(told(&table, 103.0), Some(2.0 + 1.0 / 0.99 + 3.0 / 0.99));
     // Rounded up on its way.
     assert_eq!(table.record(100.0, &record(1, 0).key).map(|r| r.age), Some(3011));
-    assert_eq!(table.take(103.0, 102.99, record(1, 2500)), Taken::Closer);
-    assert_eq!(table.take(103.0, 102.0, record(1, 8000)), Taken::Known);
+    assert_eq!(table.merge(103.0, 102.99, record(1, 2500)), MergeResult::TighterAge);
+    assert_eq!(table.merge(103.0, 102.0, record(1, 8000)), MergeResult::Known);
 }
 
 /// Guards against an earlier record that comes, with a closer bound, after a later one has ended here.
 #[test]
 fn what_has_ended_is_not_undone_by_what_was_before_it() {
     let mut table = Table::new(0.01, 4);
-    assert_eq!(table.take(0.0, 0.0, record(2, 9000)), Taken::Newer);
-    table.tidy(2.0);
+    assert_eq!(table.merge(0.0, 0.0, record(2, 9000)), MergeResult::Newer);
+    table.expire(2.0);
     assert!(table.is_empty());
-    assert_eq!(table.take(2.0, 2.0, record(1, 1000)), Taken::Known);
-    assert_eq!(table.take(2.0, 2.0, record(2, 1000)), Taken::Known);
-    assert_eq!(table.take(2.0, 2.0, record(3, 1000)), Taken::Newer);
+    assert_eq!(table.merge(2.0, 2.0, record(1, 1000)), MergeResult::Known);
+    assert_eq!(table.merge(2.0, 2.0, record(2, 1000)), MergeResult::Known);
+    assert_eq!(table.merge(2.0, 2.0, record(3, 1000)), MergeResult::Newer);
 }
 
 #[test]
 fn memory_is_bounded_by_owner() {
     let mut table = Table::new(0.01, 2);
     let other = |key| Record { key: Key { key, ..record(1, 0).key }, ..record(1, 0) };
-    let taken: Vec<Taken> = (1..4).map(|key| table.take(0.0, 0.0, other(key))).collect();
-    assert_eq!(taken, [Taken::Newer, Taken::Newer, Taken::Full]);
+    let taken: Vec<MergeResult> = (1..4).map(|key| table.merge(0.0, 0.0, other(key))).collect();
+    assert_eq!(taken, [MergeResult::Newer, MergeResult::Newer, MergeResult::Full]);
     let long = Record { value: vec![0; 401], ..record(2, 0) };
-    assert_eq!(table.take(0.0, 0.0, long), Taken::Full);
+    assert_eq!(table.merge(0.0, 0.0, long), MergeResult::Full);
 }
 
 #[test]
 fn sums_are_the_same_for_the_same_whatever_came_before() {
     let (mut one, mut other) = (Table::new(0.01, 4), Table::new(0.01, 4));
-    one.take(0.0, 0.0, record(1, 0));
-    one.take(0.0, 0.0, record(2, 0));
-    other.take(5.0, 5.0, record(2, 100));
+    one.merge(0.0, 0.0, record(1, 0));
+    one.merge(0.0, 0.0, record(2, 0));
+    other.merge(5.0, 5.0, record(2, 100));
     assert_eq!(one.sum(), other.sum());
-    other.forget(Id(7));
+    other.remove_owner(Id(7));
     assert_eq!(other.sum(), Table::new(0.01, 4).sum());
 }
 
@@ -201,7 +212,7 @@
         }
     }
     let figures = one.figures(9.0);
-    assert!(figures.counts.dropped.get(&Odd::Stranger).is_some_and(|many| *many > 0), "{figures:?}");
+    assert!(figures.counts.dropped.get(&DropReason::Stranger).is_some_and(|many| *many > 0), "{figures:?}");
     assert_eq!((one.state(Id::of("b")), one.state(Id::of("c"))), (None, Some(State::Unseen)));
 }
 
@@ -244,23 +255,23 @@
     let (from, incarnation, words) = (other.me(), other.incarnation(), Vec::new());
     let key = Key { owner: from, ..record(1, 0).key };
     let records = vec![Record { key, ..record(1, 0) }];
-    let what = What::Answer { number: 12345, records };
+    let what = MessageBody::Answer { number: 12345, records };
     let bytes = encode(plan().mark(), &Message { from, incarnation, sum: 0, words, what });
     one.heard(2.0, addr(2), &bytes, &mut Vec::new());
     assert_eq!(one.readings(2.0).count(), before);
 }
 
-#[test_case(|bytes| bytes[0] = b'h', Odd::Foreign; "a hint")]
-#[test_case(|bytes| bytes[1] = 2, Odd::Version; "another version")]
-#[test_case(|bytes| bytes[9] ^= 1, Odd::Checksum; "damaged")]
-#[test_case(|bytes| bytes.resize(MOST + 1, 0), Odd::Foreign; "too long")]
-#[test_case(|bytes| bytes.truncate(3), Odd::Foreign; "too short")]
-fn odd_datagrams_are_counted(change: fn(&mut Vec<u8>), why: Odd) {
+#[test_case(|bytes| bytes[0] = b'h', DropReason::Foreign; "a hint")]
+#[test_case(|bytes| bytes[1] = 2, DropReason::Version; "another version")]
+#[test_case(|bytes| bytes[9] ^= 1, DropReason::Checksum; "damaged")]
+#[test_case(|bytes| bytes.resize(MAX_DATAGRAM + 1, 0), DropReason::Foreign; "too long")]
+#[test_case(|bytes| bytes.truncate(3), DropReason::Foreign; "too short")]
+fn odd_datagrams_are_counted(change: fn(&mut Vec<u8>), why: DropReason) {
     let (mut one, mut other) = two();
     let mut out = Vec::new();
     other.write(0.0, Kind::STANDING, 1, b"x", &mut out);
     let words = Vec::new();
-    let (from, incarnation, what) = (other.me(), other.incarnation(), What::Ping { number: 1 });
+    let (from, incarnation, what) = (other.me(), other.incarnation(), MessageBody::Ping { number: 1 });
     let mut bytes = encode(plan().mark(), &Message { from, incarnation, sum: 0, words, what });
     change(&mut bytes);
     one.heard(0.0, addr(2), &bytes, &mut out);
@@ -281,7 +292,7 @@
         framed.extend(&bytes);
         one.heard(3.0, addr(2), &framed, &mut out);
         one.advance(3.0, &mut out);
-        let long = |action: &Action| matches!(action, Action::Send { bytes, .. } if bytes.len() > MOST);
+        let long = |action: &Action| matches!(action, Action::Send { bytes, .. } if bytes.len() > MAX_DATAGRAM);
         let longest = out.iter().any(long);
         prop_assert!(!longest);
     }
@@ -290,10 +301,10 @@
     fn messages_read_as_they_were_written(number: u64, sum: u64, value in proptest::collection::vec(any::<u8>(), 0..400)) {
         let records = vec![Record { value, ..record(number, 5) }];
         let (from, incarnation, words) = (Id(3), Incarnation::new(7, 8), Vec::new());
-        let message = Message { from, incarnation, sum, words, what: What::Differs { number, records, more: true } };
+        let message = Message { from, incarnation, sum, words, what: MessageBody::Differs { number, records, more: true } };
         let bytes = encode(5, &message);
         prop_assert_eq!(decode(5, &bytes), Ok(message));
-        prop_assert_eq!(decode(6, &bytes), Err(Odd::Checksum));
+        prop_assert_eq!(decode(6, &bytes), Err(DropReason::Checksum));
     }
 
     /// Sums, ages and the order of versions, whatever comes in whatever order: the latest is held.
@@ -301,7 +312,7 @@
     fn the_latest_version_is_held(versions in proptest::collection::vec((1_u64..9, 0_u32..9000), 1..30)) {
         let mut table = Table::new(0.01, 4);
         for (version, age) in &versions {
-            table.take(1.0, 1.0, record(*version, *age));
+            table.merge(1.0, 1.0, record(*version, *age));
         }
         let held = table.read(1.0, Kind::STANDING).map(|reading| reading.version).next();
         prop_assert_eq!(held, versions.iter().map(|version| version.0).max());
