--- a/crates/coveroute-fleet/src/explore.rs
+++ b/crates/coveroute-fleet/src/explore.rs
@@ -1,5 +1,5 @@
-//! All orders of what can happen, to a depth: states that come again are looked at once, and what is found first has
-//! the fewest steps.
+//! Bounded model checking: explores all orders of events up to a depth, breadth first. Each state is visited once,
+//! and the first violation found has the fewest steps.
 use std::collections::HashSet;
 
 pub trait Model {
@@ -8,9 +8,9 @@
 
     fn first(&self) -> Self::State;
     fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
-    /// The state after it, or what it breaks.
+    /// The state after the step, or a description of the violated property.
     fn after(&self, state: &Self::State, step: &Self::Step) -> Result<Self::State, String>;
-    /// The same for what goes on in the same way.
+    /// A fingerprint of the state; the same for states that behave the same from then on.
     fn print(&self, state: &Self::State) -> u64;
 }
 
@@ -24,16 +24,16 @@
 pub struct Explored<S> {
     pub states: usize,
     pub steps: u64,
-    /// All that can happen in so many steps was looked at.
+    /// All sequences of this many steps were explored.
     pub depth: usize,
     pub breach: Option<Breach<S>>,
 }
 
-/// To `depth`, or as deep as `most` states allow.
+/// Explores to `depth`, or until `max_states` states were found.
 pub fn explore<M: Model>(model: &M, depth: usize, max_states: usize) -> Explored<M::Step> {
     let first = model.first();
     let mut seen = HashSet::from([model.print(&first)]);
-    // Where each state came from, to tell how it was reached.
+    // The predecessor of each state and the step from it, to reconstruct the path to a violation.
     let mut predecessors: Vec<Option<(usize, M::Step)>> = vec![None];
     let (mut frontier, mut steps) = (vec![(0, first)], 0);
     for explored_depth in 0..depth {
--- a/crates/coveroute-fleet/src/fleet.rs
+++ b/crates/coveroute-fleet/src/fleet.rs
@@ -143,7 +143,7 @@
     /// members raise it. `mark` distinguishes this process from others of the same name. Fails if `name` is not
     /// among the plan's members.
     pub fn new(now: f64, name: &str, plan: Plan, count: u64, mark: u64) -> Result<Self, String> {
-        let me = plan.id(name).ok_or(format!("members: {name} is not among them"))?;
+        let me = plan.id(name).ok_or(format!("members: {name} is not listed"))?;
         let table = Table::new(plan.detector.drift, plan.records.most);
         let seed = coveroute::chance::mix(mark ^ u64::from(me.0) << 24);
         let mut fleet = Fleet {
@@ -213,13 +213,13 @@
         let name = self.plan.members.keys().find(|name| Id::of(name) == self.me).cloned();
         let name = name.unwrap_or_default();
         if plan.id(&name).is_none() {
-            return Err(format!("members: {name} is not among them, and is this node"));
+            return Err(format!("members: {name}, the name of this node, is not listed"));
         }
         if plan.fleet != self.plan.fleet {
-            return Err("fleet: counts from the next start on".into());
+            return Err("fleet: a change takes effect only after a restart".into());
         }
         if plan.members[&name].address != self.plan.members[&name].address {
-            return Err(format!("members.{name}.address: counts from the next start on"));
+            return Err(format!("members.{name}.address: a change takes effect only after a restart"));
         }
         Ok(())
     }
--- a/crates/coveroute-fleet/src/lib.rs
+++ b/crates/coveroute-fleet/src/lib.rs
@@ -1,8 +1,9 @@
-//! What the nodes of a fleet know of each other: who is there, and one table of records that all come to agree on, each
-//! with a bound on its age. Without I/O or clock: (now, event) gives actions. `docs/design/fleet.md` weighs the ways.
+//! What the nodes of a fleet know about each other: the members, and one eventually consistent table of records,
+//! each with an upper bound on its age. No I/O and no clock: functions of (now, event) return actions.
+//! `docs/design/fleet.md` compares the alternatives.
 //!
-//! Times are seconds (f64) of a steady clock of the caller's own; any origin. What parts of a dispatcher need of other
-//! nodes they write and read here, each under a [`table::Kind`] of its own.
+//! Times are seconds (f64) of a monotonic clock of the caller's, with any origin. Components of a dispatcher that
+//! need information from other nodes write and read records here, each under a [`table::Kind`] of its own.
 pub mod detector;
 pub mod explore;
 pub mod fleet;
--- a/crates/coveroute-fleet/src/message.rs
+++ b/crates/coveroute-fleet/src/message.rs
@@ -1,12 +1,14 @@
-//! What nodes say to each other: one datagram each, with a mark, a version and a checksum over the fleet's name too.
+//! Messages between nodes: one datagram each, with a marker byte, a version, and a checksum that also covers the
+//! fleet's name.
 use serde::{Deserialize, Serialize};
 
 use crate::member::{Id, Incarnation, MemberUpdate};
 use crate::table::{Kind, Record};
 
-/// The longest datagram: under what every way carries whole.
+/// Upper limit on a datagram, in bytes: below the size that every network path carries without fragmentation.
 pub const MAX_DATAGRAM: usize = 1200;
-/// The first byte of each: no letter, so that nodes' hints, which are text, can share the address.
+/// The first byte of each datagram. It is not a letter, so that the text messages known as hints can share the
+/// address.
 pub const MARK: u8 = 0xC7;
 const VERSION: u8 = 1;
 const HEADER_LEN: usize = 6;
@@ -15,13 +17,13 @@
 pub struct Message {
     pub from: Id,
     pub incarnation: Incarnation,
-    /// Over all that the sender holds: who holds the same has the same.
+    /// Checksum over the sender's whole table: nodes that hold the same content have the same sum.
     pub sum: u64,
     pub words: Vec<MemberUpdate>,
     pub what: MessageBody,
 }
 
-/// Records come only in answers: the asker's own clock then bounds how long they were on their way.
+/// Records are sent only in answers, so that the requester's own clock bounds how long they were in transit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageBody {
     Ping {
@@ -31,45 +33,45 @@
         number: u64,
         records: Vec<Record>,
     },
-    /// Asks for that member to be pinged by the other.
+    /// Asks the receiver to ping member `of`.
     Reach {
         number: u64,
         of: Id,
     },
-    /// Whether it answered there.
+    /// Whether the member answered that ping.
     Reached {
         number: u64,
         well: bool,
     },
-    /// Asks for what differs, by the sums of its parts.
+    /// Asks for what differs, by the sums of the table's partitions.
     Compare {
         number: u64,
         sums: Vec<u32>,
     },
-    /// `more`: there is, and can be asked for at once.
+    /// `more`: there are more differences, which can be requested at once.
     Differs {
         number: u64,
         records: Vec<Record>,
         more: bool,
     },
-    /// From one part on top to the same one there; it may be lost.
+    /// From a component to the same component at another member; may be lost.
     Application {
         kind: Kind,
         bytes: Vec<u8>,
     },
 }
 
-/// Why a datagram is passed over.
+/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DropReason {
-    /// Too short, too long, or not one of ours.
+    /// Too short, too long, or without the marker byte.
     Foreign,
     Version,
-    /// Damaged, or of another fleet.
+    /// Damaged, or from another fleet.
     Checksum,
     Unreadable,
-    /// Not from a member's address, or under another's name.
+    /// Not from a member's address, or under another member's name.
     Stranger,
 }
 
@@ -80,7 +82,7 @@
 }
 
 pub fn encode(fleet: u32, message: &Message) -> Vec<u8> {
-    // Can't fail: nothing in it has a length that is not known.
+    // Can't fail: serde knows the length of every sequence in the message.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEADER_LEN + body.len());
     bytes.extend([MARK, VERSION]);
--- a/crates/coveroute-fleet/src/plan.rs
+++ b/crates/coveroute-fleet/src/plan.rs
@@ -1,5 +1,5 @@
-//! The operators' file: who the members are, and the figures of each part. Strict: a fault in it is told in one line,
-//! with the key and what is allowed.
+//! The operators' file: the list of members and the settings of each component. Parsing is strict: an error is
+//! reported on one line, with the key and the allowed values.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -9,14 +9,14 @@
 use crate::member::Id;
 use crate::rights::{limit_id, Limit, Terms};
 
-/// A member by the file.
+/// A member as listed in the file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
     pub address: SocketAddr,
     #[serde(default)]
     pub zone: String,
-    /// Nodes of one machine fail together.
+    /// Nodes on the same machine fail together.
     #[serde(default)]
     pub machine: String,
 }
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Records {
-    /// A record that its owner does not write again ends after so long, in seconds.
+    /// Seconds until a record expires that its owner does not write again.
     pub life: f64,
-    /// Of one member at most.
+    /// Upper limit on records per member.
     pub most: usize,
 }
 
@@ -36,17 +36,18 @@
     }
 }
 
-/// Limits for the whole fleet.
+/// Fleet-wide limits.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Tenants' shares hold over all nodes by rights that are moved; without it each node has an equal part.
+    /// Enforces tenants' shares over all nodes, by transferring rights between them. If false, each node enforces
+    /// an equal part of each share.
     pub tenants: bool,
-    /// Seconds over which a share is counted.
+    /// Seconds over which a share is measured.
     pub window: f64,
-    /// Seconds that a mint is held for: a dead member's part is out of use for about so long.
+    /// Seconds for which a mint is leased. A dead member's part of each limit is unavailable for about as long.
     pub lease: f64,
-    /// Members who say who holds which mint; the first five by name if none are told.
+    /// Members that grant the mints' leases; the first five by name if empty.
     pub voters: Vec<String>,
 }
 
@@ -56,12 +57,12 @@
     }
 }
 
-/// Voters where none are told: two of them may be lost.
+/// Number of voters if none are configured: two of the five may fail.
 const DEFAULT_VOTERS: usize = 5;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Messages of another fleet are passed over.
+    /// Messages of other fleets are dropped.
     pub fleet: String,
     pub members: BTreeMap<String, Entry>,
     pub detector: Detector,
@@ -115,7 +116,7 @@
         plan.validate().map(|()| plan)
     }
 
-    /// Limits on tenants, by name and invocations a second; none where each node has an equal part.
+    /// The limits for tenants, given by name and invocations per second. None if each node enforces an equal part.
     pub fn terms(&self, tenants: &[(String, f64)]) -> Option<Terms> {
         let limits = tenants.iter().filter(|(_, rate)| *rate > 0.0).map(|(name, rate)| Limit {
             id: limit_id(name),
@@ -131,7 +132,7 @@
         (self.limits.tenants && !limits.is_empty()).then_some(Terms { limits, voters, lease, drift })
     }
 
-    /// All members' numbers, in an order that is the same at every node.
+    /// All members' numbers, in the same order at every node.
     pub fn ids(&self) -> Vec<Id> {
         self.members.keys().map(|name| Id::of(name)).collect()
     }
@@ -140,7 +141,7 @@
         self.members.contains_key(name).then(|| Id::of(name))
     }
 
-    /// The mark that its messages bear.
+    /// Identifies the fleet in the checksum of its messages.
     pub fn mark(&self) -> u32 {
         coveroute::chance::hash(self.fleet.as_bytes()) as u32
     }
@@ -155,7 +156,7 @@
             return Err(format!("fleet: {:?}: {allowed}", self.fleet));
         }
         if self.members.is_empty() {
-            return Err("members: at min one".into());
+            return Err("members: at least one member is required".into());
         }
         let (mut ids, mut addresses) = (BTreeMap::new(), BTreeMap::new());
         for (name, entry) in &self.members {
@@ -163,16 +164,16 @@
                 return Err(format!("members.{name}: {allowed}"));
             }
             if let Some(other) = ids.insert(Id::of(name), name) {
-                return Err(format!("members.{name}: its number is {other}'s too; take another name"));
+                return Err(format!("members.{name}: its hash equals that of {other}; choose another name"));
             }
             if entry.address.port() == 0 || entry.address.ip().is_unspecified() {
                 return Err(format!(
-                    "members.{name}.address: {}: others can't reach it there",
+                    "members.{name}.address: {}: other members can't reach this address",
                     entry.address
                 ));
             }
             if let Some(other) = addresses.insert(entry.address, name) {
-                return Err(format!("members.{name}.address: {} is {other}'s", entry.address));
+                return Err(format!("members.{name}.address: {} is already used by {other}", entry.address));
             }
         }
         let Detector { every, relays, suspicion, patience, drift, budget } = self.detector;
@@ -180,31 +181,31 @@
             ("detector.every", every, 0.02, 10.0, "seconds"),
             ("detector.relays", relays as f64, 0.0, 10.0, "members"),
             ("detector.suspicion", suspicion, 0.05, 600.0, "seconds"),
-            ("detector.patience", patience, 1.0, 100.0, "times"),
-            ("detector.drift", drift, 0.0, 0.1, "a part"),
-            ("detector.budget", budget, 4096.0, 1e8, "bytes a second"),
+            ("detector.patience", patience, 1.0, 100.0, "(a factor)"),
+            ("detector.drift", drift, 0.0, 0.1, "(a fraction)"),
+            ("detector.budget", budget, 4096.0, 1e8, "bytes per second"),
             ("records.life", self.records.life, 1.0, 1e6, "seconds"),
             ("limits.window", self.limits.window, 1.0, 3600.0, "seconds"),
             ("limits.lease", self.limits.lease, 0.5, 600.0, "seconds"),
             ("records.most", self.records.most as f64, 1.0, 4096.0, "records"),
         ];
         if let Some(voter) = self.limits.voters.iter().find(|voter| !self.members.contains_key(*voter)) {
-            return Err(format!("limits.voters: {voter} is not among the members"));
+            return Err(format!("limits.voters: {voter} is not a member"));
         }
         let out_of_range = ranges.iter().find(|(_, value, min, max, _)| !(*min..=*max).contains(value));
         match out_of_range {
             Some((key, value, min, max, unit)) => {
-                Err(format!("{key}: {value} is not {unit}, {min} to {max}"))
-            }
-            None if suspicion < every => {
-                Err(format!("detector.suspicion: {suspicion} is not {every} (detector.every) or more"))
+                Err(format!("{key}: {value} is out of range: {min} to {max} {unit}"))
             }
+            None if suspicion < every => Err(format!(
+                "detector.suspicion: {suspicion} is less than {every}, the value of detector.every"
+            )),
             None => Ok(()),
         }
     }
 }
 
-/// The TOML library's words on one line, with the line of the text that they speak of.
+/// Formats a TOML error on one line, with the number of the faulty line and its key.
 pub fn one_line(text: &str, e: &toml::de::Error) -> String {
     let line = e.span().map(|span| 1 + text[..span.start.min(text.len())].matches('\n').count());
     let key = line.and_then(|line| text.lines().nth(line - 1)).and_then(|l| l.split_once('='));
--- a/crates/coveroute-fleet/src/rights.rs
+++ b/crates/coveroute-fleet/src/rights.rs
@@ -1,29 +1,31 @@
-//! Limits that hold for the whole fleet: rights to use so much, minted at the limit's rate, moved from node to node, and
-//! never made otherwise.
+//! Fleet-wide limits: rights to a share of a limit are created at the limit's rate, transferred between nodes, and
+//! never created in any other way.
 //!
-//! Each member has a **mint**: an N-th of every limit's rate. It is held by lease: a majority of the voters must say so,
-//! and who holds it counts from when it asked. The owner holds its own; a dead member's goes to a deputy, once the
-//! voters' leases to it are surely over. A mint gives rights while it is held; they are used, or given to a member that
-//! asks and has none left, or they **lapse**: after a stock's time with whoever minted them, and after one more with
-//! who was given them, counted from its question. So a right is used within twice the stock's time of its minting, or
-//! never: in any window of W seconds all nodes together use at most
+//! Each member has a **mint**, worth 1/N of every limit's rate, which is held under a lease. A majority of the
+//! voters must grant it, and the holder counts the lease from the time of its request. A member holds its own mint;
+//! a dead member's goes to a deputy, after the voters' leases to the old holder have certainly expired. A mint
+//! yields rights while it is held. They are used, or given to a member that asks and has none left, or they
+//! **lapse**: one stock time after they were minted if still with the mint's holder, and one stock time after the
+//! receiver's request if they were given away. So a right is used within two stock times of its minting or never,
+//! and in any window of W seconds all nodes together use at most
 //!
 //! ```text
 //! rate x (W + 2 x stock)
 //! ```
 //!
-//! whoever is cut off, stands still, starts again, forgets, or is told twice or late. A strict limit of L in W mints at
-//! L / (W + 2 x stock), and is never over; one whose rate matters more mints at L / W, and is over by 2 x stock / W at the
-//! edge and never in the long run. Rights are moved and not made (escrow: O'Neil 1986; bounded counters: Balegas et al.
-//! 2015; demarcation: Barbara, Garcia-Molina 1992), mints are leased (Gray, Cheriton 1989). What it rests on: steady
-//! clocks within the drift, voters that keep silent for a lease after their start, and that a use follows its check at once.
+//! whichever nodes are partitioned, stall, restart, lose their state, or receive messages twice or late. A strict
+//! limit of L in W mints at L / (W + 2 x stock) and is never exceeded; a limit whose rate matters more mints at L /
+//! W and can be exceeded by 2 x stock / W over one window, but not in the long run. Rights are transferred rather
+//! than created (escrow: O'Neil 1986; bounded counters: Balegas et al. 2015; demarcation: Barbara, Garcia-Molina
+//! 1992), and mints are leased (Gray, Cheriton 1989). Assumptions: monotonic clocks within the drift, voters that
+//! grant nothing for one lease after their start, and that a use follows its check immediately.
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
 use crate::member::{Id, Incarnation};
 
-/// A limit's number: its name's, the same at every node.
+/// A limit's number: a hash of its name, the same at every node.
 pub type LimitId = u32;
 
 pub fn limit_id(name: &str) -> LimitId {
@@ -33,56 +35,57 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     pub id: LimitId,
-    /// So much may be used in a window, over all nodes.
+    /// Amount that may be used in a window, by all nodes together.
     pub most: f64,
-    /// In seconds.
+    /// Length of the window in seconds.
     pub window: f64,
-    /// Never more, or never more in the long run.
+    /// True: the limit holds in every window. False: it holds in the long run.
     pub strict: bool,
 }
 
 impl Limit {
-    /// Seconds that a right is kept by whoever has it: a half, in which it is asked for several times; longer where the
-    /// limit is so small that a whole use takes longer to gather.
+    /// Seconds until an unused right lapses: half a second, in which it is asked for several times, or longer for a
+    /// limit so small that the rights for a single use take longer to accumulate.
     pub fn stock(&self) -> f64 {
         (MIN_STOCK_USES * self.window / self.most.max(1e-9)).max(MIN_STOCK_SECONDS)
     }
 
-    /// Rights that are minted a second, by all together.
+    /// Rights minted per second by all members together.
     pub fn rate(&self) -> f64 {
         let over = if self.strict { 2.0 * self.stock() } else { 0.0 };
         self.most / (self.window + over)
     }
 
-    /// The most that all together use in any window.
+    /// The most that all nodes together use in any window.
     pub fn bound(&self) -> f64 {
         self.rate() * (self.window + 2.0 * self.stock())
     }
 }
 
-/// Seconds of rights that are kept: some answers' time, and little beside a window.
+/// Shortest stock time in seconds: a few round trips, and short compared with a window.
 const MIN_STOCK_SECONDS: f64 = 0.5;
-/// A stock holds at least so many uses of one.
+/// A stock holds at least enough rights for this many uses of size one.
 const MIN_STOCK_USES: f64 = 2.0;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     pub limits: Vec<Limit>,
-    /// Those who say who holds which mint; a majority must.
+    /// Members that grant the mints' leases; a majority is needed.
     pub voters: Vec<Id>,
-    /// Seconds that a mint is held for, from the question on.
+    /// Length of a lease in seconds, counted from the request.
     pub lease: f64,
-    /// Clocks may run fast or slow by this part.
+    /// Maximum clock drift, as a fraction of true time, in either direction.
     pub drift: f64,
 }
 
 impl Terms {
-    /// By the own clock, when a span that another one counts from no later is over for sure.
+    /// Time by the local clock after which a span that another node has started to count no later is certainly over
+    /// there.
     fn local_upper_bound(&self, span: f64) -> f64 {
         span * (1.0 + self.drift) / (1.0 - self.drift)
     }
 
-    /// So much of the own clock's time is no more than that span of true time.
+    /// Time by the local clock that is no longer than `span` of true time.
     fn local_lower_bound(&self, span: f64) -> f64 {
         span * (1.0 - self.drift)
     }
@@ -96,20 +99,21 @@
     }
 }
 
-/// What nodes say to each other of it.
+/// Messages between the nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
-    /// To a voter: these mints, for this process.
+    /// Asks a voter to grant these mints to the sender's process.
     Renew { number: u64, mints: Vec<Id> },
-    /// Those of them that it has.
+    /// Those of the requested mints that the voter granted.
     Renewed { number: u64, mints: Vec<Id> },
-    /// Rights that are wanted of the other.
+    /// Asks another member for rights.
     Ask { number: u64, wants: Vec<(LimitId, f32)> },
-    /// Rights that it has no more.
+    /// Rights that the sender has given up in favour of the receiver.
     Given { number: u64, rights: Vec<(LimitId, f32)> },
 }
 
-/// A lease at a voter: whose process has it, and until when nobody else gets it, by the voter's clock.
+/// A lease as recorded by a voter: the process that holds the mint, and until when no other can get it, by the
+/// voter's clock.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     to: Id,
@@ -117,7 +121,7 @@
     until: f64,
 }
 
-/// A mint that voters have said is held here: by each until when, and since when it has given rights.
+/// A mint held by this node: until when each voter has granted it, and since when it yields rights.
 #[derive(Clone, Debug)]
 struct Mint {
     votes: BTreeMap<Id, f64>,
@@ -125,7 +129,7 @@
 }
 
 impl Mint {
-    /// Until when a majority says so.
+    /// Until when a majority of the voters grants it.
     fn until(&self, majority: usize) -> f64 {
         let mut until: Vec<f64> = self.votes.values().copied().collect();
         until.sort_by(|one, two| two.total_cmp(one));
@@ -133,22 +137,22 @@
     }
 }
 
-/// Rights to one limit, and what was wanted of it.
+/// The rights of this node to one limit, and its demand.
 #[derive(Clone, Debug)]
 struct Account {
     limit: Limit,
-    /// Of the own mints.
+    /// Rights from the mints held here, and when they were last added up.
     own_balance: f64,
     last_mint: f64,
-    /// Of others: when they lapse, and how many.
+    /// Rights received from other members: when they lapse, and how many.
     received: VecDeque<(f64, f64)>,
-    /// Wanted and had since `since`, and before, a second, with old times forgotten.
+    /// Amounts wanted and had since `since`, and exponentially decaying averages of both per second.
     wanted: f64,
     had: f64,
     since: f64,
     wanted_rate: f64,
     had_rate: f64,
-    /// Since this process began.
+    /// Totals since the start of this process.
     all_wanted: f64,
     all_had: f64,
 }
@@ -173,7 +177,7 @@
         }
     }
 
-    /// Adds what the mints have given since, while they were held, and lets lapse what is older than the stock.
+    /// Adds the rights yielded by the mints while they were held, and drops those older than the stock time.
     fn accrue(&mut self, now: f64, held: &[(f64, f64)], rate: f64, stock: f64) {
         let held_time = |from: f64| -> f64 {
             held.iter().map(|(since, until)| (until.min(now) - since.max(from)).max(0.0)).sum()
@@ -202,10 +206,10 @@
     started: f64,
     grants: BTreeMap<Id, Grant>,
     mints: BTreeMap<Id, Mint>,
-    /// Questions that are out: when they were asked, of whom, and for which mints.
+    /// Pending requests: when they were sent, to whom, and for which mints.
     pending: BTreeMap<u64, (f64, Id, Vec<Id>)>,
     last_number: u64,
-    /// Who has asked of late.
+    /// Members that asked for rights recently, and when.
     recent_askers: BTreeMap<Id, f64>,
     accounts: BTreeMap<LimitId, Account>,
     next_renewal: f64,
@@ -213,22 +217,22 @@
     next_peer: usize,
 }
 
-/// A message to another member.
+/// A message and its receiver.
 pub type Post = (Id, Vec<u8>);
 
-/// Mints are renewed so many times in a lease: two losses in a row cost nothing.
+/// Renewals per lease: two consecutive losses are harmless.
 const RENEWALS_PER_LEASE: f64 = 4.0;
-/// Rights are asked for so many times in the shortest stock's time.
+/// Requests for rights per shortest stock time.
 const REQUESTS_PER_STOCK: f64 = 5.0;
-/// Others who are asked at a time, by turns.
+/// Upper limit on members asked at a time; all are asked in rotation.
 const MAX_PEERS_ASKED: usize = 16;
-/// Limits, or mints, that one message speaks of: ten bytes each.
+/// Upper limit on limits or mints in a message: ten bytes each.
 const MAX_ENTRIES: usize = 80;
-/// Rights of less are none.
+/// Amounts of rights below this count as zero.
 const MIN_RIGHTS: f64 = 1e-6;
-/// Seconds in which half of what was wanted before is forgotten.
+/// Half-life, in seconds, of the averages of demand.
 const RATE_HALF_LIFE: f64 = 0.5;
-/// What is asked for, of what is lacking: some have none to give.
+/// Rights requested in relation to the deficit, as some of the members asked have none to give.
 const OVER_REQUEST: f64 = 2.0;
 
 impl Rights {
@@ -252,16 +256,16 @@
         }
     }
 
-    // What the parts on top need.
+    // Interface for the components built on the fleet.
 
-    /// Wants so much of a limit now: whether it may be used, and then it is.
+    /// Takes `amount` of a limit's rights for use now. Returns false, and takes nothing, if there are not enough.
     pub fn take(&mut self, now: f64, id: LimitId, amount: f64) -> bool {
         let Some(account) = self.refresh(now, id) else { return false };
         (account.wanted, account.all_wanted) = (account.wanted + amount, account.all_wanted + amount);
         if account.balance(now) < amount {
             return false;
         }
-        // What lapses soonest goes first.
+        // Rights that lapse soonest are used first.
         let mut left = amount;
         for (_, amount) in &mut account.received {
             let used = amount.min(left);
@@ -272,8 +276,8 @@
         true
     }
 
-    /// So much a second is within the limit here: what was had of late, and what could be. None while there is no mint
-    /// and nothing was given: nobody here knows.
+    /// Estimates the rate per second that the limit allows at this node: the rate used recently plus what its stock
+    /// could add. None while this node holds no mint and no rights, and thus knows nothing of the limit.
     pub fn covered(&mut self, now: f64, id: LimitId) -> Option<f64> {
         let holds = self.holds(now);
         let account = self.refresh(now, id)?;
@@ -281,17 +285,17 @@
         (holds > 0 || has > 0.0).then_some(account.had_rate + has / account.limit.stock())
     }
 
-    /// Wanted and had since the start.
+    /// Amounts wanted and had since the start of this process.
     pub fn totals(&self, id: LimitId) -> (f64, f64) {
         self.accounts.get(&id).map_or((0.0, 0.0), |account| (account.all_wanted, account.all_had))
     }
 
-    /// Rights that are here now.
+    /// Rights available here now.
     pub fn has(&mut self, now: f64, id: LimitId) -> f64 {
         self.refresh(now, id).map_or(0.0, |account| account.balance(now))
     }
 
-    /// Mints that are held here now.
+    /// Number of mints held here now.
     pub fn holds(&self, now: f64) -> usize {
         let majority = self.terms.majority();
         self.mints.values().filter(|mint| mint.until(majority) > now).count()
@@ -305,17 +309,17 @@
         &self.terms
     }
 
-    /// Since when the mints here give rights, and until when they are held.
+    /// Since when each mint here yields rights, and until when it is held.
     fn held(&self) -> Vec<(f64, f64)> {
         let majority = self.terms.majority();
         self.mints.values().map(|mint| (mint.since, mint.until(majority))).collect()
     }
 
-    /// That limit's purse, with what has been minted until now: a use looks at no other.
+    /// The account of one limit, brought up to date. A use updates no other account.
     fn refresh(&mut self, now: f64, id: LimitId) -> Option<&mut Account> {
         let (held, members) = (self.held(), self.members.len());
         let account = self.accounts.get_mut(&id)?;
-        // By a clock that may run fast.
+        // Allows for a local clock that runs fast.
         let rate = mint_rate(&account.limit, members) / (1.0 + self.terms.drift);
         account.accrue(now, &held, rate, self.terms.local_lower_bound(account.limit.stock()));
         Some(account)
@@ -327,7 +331,7 @@
         }
     }
 
-    /// How much is wanted a second, with old times forgotten.
+    /// Updates the averages of demand per second.
     fn update_rates(&mut self, now: f64) {
         for account in self.accounts.values_mut() {
             let span = now - account.since;
@@ -342,7 +346,7 @@
 
     // Time.
 
-    /// `is_gone`: whether a member is held to be dead, or has left.
+    /// `is_gone` tells whether a member is considered dead or has left.
     pub fn advance(&mut self, now: f64, is_gone: impl Fn(Id) -> bool, out: &mut Vec<Post>) {
         if now >= self.next_renewal {
             self.next_renewal = now + self.terms.lease / RENEWALS_PER_LEASE;
@@ -373,7 +377,8 @@
         self.last_number
     }
 
-    /// The own mint, and those of the gone that fall to this node: to the next one there after each, in a ring.
+    /// Renews the leases of this node's own mint and of those it holds as a deputy. A dead or departed member's
+    /// deputy is the next present member after it in the ring of members.
     fn renew_leases(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
         let deputy = |mint: usize| {
             let ring = self.members[mint + 1..].iter().chain(&self.members[..mint]);
@@ -400,7 +405,8 @@
         }
     }
 
-    /// As a voter: which of these mints that process gets. One that has just begun knows nothing of what it granted before.
+    /// As a voter, grants mints to a process and returns those granted. A voter that has just started doesn't know
+    /// what it granted before, and grants nothing for one lease.
     fn grant_leases(&mut self, now: f64, to: Id, mark: u64, mints: &[Id]) -> Vec<Id> {
         let held = self.terms.local_upper_bound(self.terms.lease);
         if now - self.started < held {
@@ -425,20 +431,20 @@
             let before = mint.until(majority);
             let until = mint.votes.entry(voter).or_insert(f64::NEG_INFINITY);
             *until = until.max(asked + self.terms.lease);
-            // Held anew, it gives from now on; what it gave before is the one before's.
+            // A mint acquired anew yields rights from now on; earlier ones belong to its previous holder.
             if before <= now {
                 mint.since = now;
             }
         }
     }
 
-    /// Of others what is wanted beyond what the own mints give: by turns.
+    /// Requests rights from other members, in rotation, for demand beyond what the mints held here yield.
     fn request_rights(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
         let mut deficits: Vec<(LimitId, f64)> = Vec::new();
         let (held, members) = (self.holds(now) as f64, self.members.len());
         for (id, account) in &mut self.accounts {
             let (limit, mints) = (account.limit, held * mint_rate(&account.limit, members));
-            // What the time until rights lapse will want, with one use in hand.
+            // The expected demand until the rights lapse, plus one use in reserve.
             let (span, spare_use) = (limit.stock(), if account.wanted_rate > MIN_RIGHTS { 1.0 } else { 0.0 });
             let deficit = (account.wanted_rate - mints) * span + spare_use - account.balance(now);
             if deficit > MIN_RIGHTS {
@@ -455,7 +461,7 @@
             .collect();
         self.next_peer = (self.next_peer + targets.len()) % present.len();
         let share = (OVER_REQUEST / targets.len() as f64).min(1.0);
-        // In one message; the rest by turns.
+        // One message holds a limited number of limits; the others follow in rotation.
         let count = deficits.len();
         deficits.rotate_left(self.next_peer % count);
         deficits.truncate(MAX_ENTRIES);
@@ -470,7 +476,7 @@
 
     // Messages.
 
-    /// `mark`: of the process that says it. What is odd is passed over.
+    /// `mark` identifies the sending process. Invalid messages are ignored.
     pub fn heard(&mut self, now: f64, from: Id, mark: u64, bytes: &[u8], out: &mut Vec<Post>) {
         let Ok((message, [])) = postcard::take_from_bytes::<Message>(bytes) else { return };
         match message {
@@ -508,14 +514,14 @@
         }
     }
 
-    /// Rights that another one gets, first taken from here: of the own what is not wanted here while it lasts, and never
-    /// what was given, whose time has begun.
+    /// Gives rights to another member and deducts them here first. Gives only rights from the mints held here that
+    /// this node won't need before they lapse; never rights received from others, whose time is already running.
     fn give_rights(&mut self, now: f64, id: LimitId, wanted: f32) -> Option<(LimitId, f32)> {
         let (askers, held) = (self.recent_askers.len().max(1) as f64, self.holds(now) as f64);
         let members = self.members.len();
         let account = self.refresh(now, id)?;
         let (limit, mints) = (account.limit, held * mint_rate(&account.limit, members));
-        // The own wants come from the mint first, as it gives on; the stock covers what they are more.
+        // The mint's future yield covers this node's demand first; the stock covers the rest.
         let reserved = if account.wanted_rate > MIN_RIGHTS {
             ((account.wanted_rate - mints) * limit.stock()).max(0.0) + 1.0
         } else {
@@ -531,25 +537,25 @@
         Some((id, sent_amount))
     }
 
-    /// Members and limits may change with the operators' file. Who changes begins anew, with nothing, and keeps silent as a
-    /// voter for a lease.
+    /// Applies a change of members or limits in the operators' file. A node whose members or limits changed starts
+    /// over without rights, and grants nothing as a voter for one lease.
     pub fn reread(&mut self, now: f64, members: Vec<Id>, terms: Terms) {
         if self.members != members || self.terms != terms {
             let number = self.last_number;
             *self = Rights::new(now, self.me, Incarnation(self.mark), members, terms);
-            // Its own mint was held, and may be again when that is over for sure.
+            // Its own mint was held before, and may be held again once that lease has certainly expired.
             self.next_renewal = now + self.terms.local_upper_bound(self.terms.lease);
             self.last_number = number;
         }
     }
 }
 
-/// An N-th of a limit's rate: what one mint gives.
+/// Rights per second that one mint yields: 1/N of the limit's rate.
 fn mint_rate(limit: &Limit, members: usize) -> f64 {
     limit.rate() / members.max(1) as f64
 }
 
 fn encode(message: &Message) -> Vec<u8> {
-    // Can't fail: nothing in it has a length that is not known.
+    // Can't fail: serde knows the length of every sequence in the message.
     postcard::to_stdvec(message).unwrap_or_default()
 }
--- a/crates/coveroute-fleet/src/standing.rs
+++ b/crates/coveroute-fleet/src/standing.rs
@@ -1,4 +1,4 @@
-//! How a node stands, as it tells the others: the first of the records that parts write.
+//! A node's own status, which it publishes to the others: the first kind of record that components write.
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -9,7 +9,7 @@
     Leaving,
 }
 
-/// Only what changes seldom: each version goes round to all.
+/// Contains only what changes rarely, as each version is sent to all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
     pub stage: Stage,
--- a/crates/coveroute-fleet/src/table.rs
+++ b/crates/coveroute-fleet/src/table.rs
@@ -1,9 +1,11 @@
-//! The table of records: each written by its owner alone, told on by all, and with a bound on its age.
+//! The table of records. Each record is written by its owner alone, passed on by all members, and carries an upper
+//! bound on its age.
 //!
-//! The bound: an owner's clock says how long ago it wrote. Who hands a record on adds how long it held it. Who takes one
-//! in adds the time since it sent what this answers, which is more than the way back took. Each adds by its own
-//! steady clock, stretched by the drift that is allowed for, so the sum is never less than the true age: with clocks
-//! that run at 1 - d to 1 + d of true time, age <= told <= age (1 + d) / (1 - d) + the round trips on its way.
+//! How the bound works: the owner's clock tells how long ago it wrote the record. A member that passes it on adds
+//! the time it held it. A member that receives it adds the time since it sent the request that this answers, which
+//! exceeds the time of the way back. Each uses its own monotonic clock, stretched by the maximum drift, so the sum
+//! is never below the true age: with clocks that run at 1 - d to 1 + d of true time, age <= stated age <= age (1 +
+//! d) / (1 - d) + the round trips on its way.
 use std::collections::BTreeMap;
 
 use coveroute::chance::mix;
@@ -11,14 +13,14 @@
 
 use crate::member::{Claim, Id, Incarnation, Standing};
 
-/// Which part of the dispatcher a record is of. Parts add theirs here.
+/// The component of the dispatcher that a record belongs to. Each component defines its kind here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Kind(pub u8);
 
 impl Kind {
-    /// How a node stands: its phase, and what it holds.
+    /// A node's phase and what it holds.
     pub const STANDING: Kind = Kind(1);
-    /// Rights to parts of limits.
+    /// Rights to shares of limits.
     pub const RIGHTS: Kind = Kind(2);
 }
 
@@ -29,20 +31,20 @@
     pub key: u64,
 }
 
-/// A record on its way.
+/// A record as it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     pub key: Key,
     pub incarnation: Incarnation,
     pub version: u64,
-    /// In milliseconds, rounded up.
+    /// Upper bound on the age, in milliseconds, rounded up.
     pub age: u32,
     pub life: u32,
     pub value: Vec<u8>,
 }
 
 impl Record {
-    /// Bytes that it takes at most, beside its value.
+    /// Upper bound on the encoded size without the value, in bytes.
     const MAX_OVERHEAD: usize = 48;
 
     pub fn max_len(&self) -> usize {
@@ -50,7 +52,7 @@
     }
 }
 
-/// A bound on an age: that much at that moment of the own clock, and growing since.
+/// An upper bound on an age: `bound` at the local time `at`, growing since.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Age {
     bound: f64,
@@ -73,37 +75,39 @@
     pub value: &'a [u8],
     pub incarnation: Incarnation,
     pub version: u64,
-    /// The owner wrote it at most so long ago, in seconds of true time.
+    /// Upper bound on the seconds of true time since the owner wrote it.
     pub age: f64,
 }
 
-/// What became of a record that came.
+/// The result of merging a received record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeResult {
     Newer,
-    /// The same one, with a closer bound on its age.
+    /// The same version, with a lower bound on its age.
     TighterAge,
     Known,
     Expired,
-    /// No room for more of this owner.
+    /// The owner has reached its limit on records, or the value is too long.
     Full,
 }
 
-/// Parts that are compared by themselves: 256 bytes of sums in a question, and a sixty-fourth of all in an answer's part.
+/// Partitions of the table that are compared separately. 64 need 256 bytes of sums in a request, and limit an
+/// answer to about a sixty-fourth of the table for each difference.
 pub const PARTITIONS: usize = 64;
-/// The longest value.
+/// Upper limit on the length of a value, in bytes.
 pub const MAX_VALUE_LEN: usize = 400;
 
 #[derive(Clone, Debug)]
 pub struct Table {
     entries: BTreeMap<Key, Entry>,
-    /// Which ones have ended, and until when they are remembered: bounds differ by node, and an earlier one that has a
-    /// closer bound elsewhere must not come after a later one.
+    /// The version of each expired record, and until when it is remembered. Age bounds differ between nodes, so an
+    /// earlier version can survive elsewhere with a lower bound; it must not be accepted after a later one has
+    /// expired here.
     tombstones: BTreeMap<Key, (Incarnation, u64, f64)>,
     sums: [u32; PARTITIONS],
-    /// Clocks may run fast or slow by this part.
+    /// Maximum clock drift, as a fraction of true time, in either direction.
     drift: f64,
-    /// Records of one owner at most.
+    /// Upper limit on records per owner.
     max_per_owner: usize,
 }
 
@@ -111,7 +115,7 @@
     mix(u64::from(of.0)) as usize % PARTITIONS
 }
 
-/// The least key of this owner.
+/// The smallest key of this owner.
 pub fn first_key(owner: Id) -> Key {
     Key { owner, kind: Kind(0), key: 0 }
 }
@@ -136,7 +140,7 @@
         (self.drift, self.max_per_owner) = (drift, max_per_owner);
     }
 
-    /// True time that has passed at most while the own clock went on by this.
+    /// The longest true time that can have passed while the local clock advanced by `span`.
     fn max_elapsed(&self, span: f64) -> f64 {
         span.max(0.0) / (1.0 - self.drift)
     }
@@ -145,7 +149,7 @@
         age.bound + self.max_elapsed(now - age.at)
     }
 
-    /// The owner's own writing; the version that it got, or none where it has no room left.
+    /// Writes a record as its owner. Returns its version, or none if there is no room.
     pub fn write(
         &mut self,
         now: f64,
@@ -165,7 +169,7 @@
         })
     }
 
-    /// The last one that was held here, whether or not it has ended.
+    /// The latest version held here, expired or not.
     fn latest_known(&self, key: &Key) -> Option<(Incarnation, u64)> {
         let held = self.entries.get(key).map(|held| (held.incarnation, held.version));
         held.or_else(|| self.tombstones.get(key).map(|ended| (ended.0, ended.1)))
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Takes in a record that came in answer to what was sent at `asked`.
+    /// Merges a record received in answer to a request sent at `asked`.
     pub fn merge(&mut self, now: f64, asked: f64, record: Record) -> MergeResult {
         let (bound, life) = (f64::from(record.age) / 1e3, f64::from(record.life) / 1e3);
         let age = Age { bound: bound + self.max_elapsed(now - asked), at: now };
@@ -223,7 +227,7 @@
         MergeResult::Newer
     }
 
-    /// As it is told on now; none once its life is over.
+    /// The record as it is passed on, or none once it has expired.
     pub fn record(&self, now: f64, key: &Key) -> Option<Record> {
         let entry = self.entries.get(key)?;
         let age = self.age(now, entry.age);
@@ -249,7 +253,7 @@
         })
     }
 
-    /// Ends what has outlived its time.
+    /// Removes expired records.
     pub fn expire(&mut self, now: f64) {
         let expired = |(key, entry): (&Key, &Entry)| (self.age(now, entry.age) >= entry.life).then_some(*key);
         let expired: Vec<Key> = self.entries.iter().filter_map(expired).collect();
@@ -262,7 +266,7 @@
         self.tombstones.retain(|_, (.., until)| now < *until);
     }
 
-    /// The same process speaks under a later incarnation: what it has written is written under that one.
+    /// Moves the records written by the same process to its later incarnation.
     pub fn adopt_incarnation(&mut self, owner: Id, to: Incarnation) -> Vec<Key> {
         let own = |(key, entry): (&Key, &Entry)| (entry.incarnation.mark() == to.mark()).then_some(*key);
         let keys: Vec<Key> = self.entries_of(owner).filter_map(own).collect();
@@ -273,7 +277,7 @@
         keys
     }
 
-    /// Forgets a member that is none any more.
+    /// Removes everything about a member that is no longer listed.
     pub fn remove_owner(&mut self, owner: Id) {
         let keys: Vec<Key> = self.entries_of(owner).map(|(key, _)| *key).collect();
         keys.iter().for_each(|key| self.remove(key));
@@ -288,7 +292,7 @@
         self.entries.is_empty()
     }
 
-    /// What is known of a member counts in the sums as well; a suspicion, which passes, does not.
+    /// A member's standing is part of the sums, except that a suspicion, which is temporary, counts as alive.
     pub fn update_standing(&mut self, of: Id, before: Option<Standing>, after: Option<Standing>) {
         let fingerprint = |(incarnation, claim): Standing| {
             let claim = if claim == Claim::Suspected { Claim::Alive } else { claim };
@@ -305,7 +309,7 @@
         &self.sums
     }
 
-    /// Whether what is known of this member, and its records, differ from the other's.
+    /// Whether the partition of this member differs from the other node's.
     pub fn differs(&self, of: Id, others: &[u32]) -> bool {
         others.get(partition(of)).is_some_and(|other| *other != self.sums[partition(of)])
     }
