--- a/crates/coveroute-fleet/src/fleet/gossip.rs
+++ b/crates/coveroute-fleet/src/fleet/gossip.rs
@@ -32,6 +32,7 @@
         self.pending_updates.insert(of, times);
     }
 
+    /// How many times a new update or record is sent.
     pub(super) fn transmissions(&self) -> u32 {
         (RETRANSMIT_FACTOR * (self.peers.len() as f64 + 2.0).log2()).ceil() as u32
     }
@@ -130,6 +131,7 @@
         *self.counts.dropped.entry(why).or_default() += 1;
     }
 
+    /// Handles a datagram received from `from`.
     pub fn heard(&mut self, now: f64, from: SocketAddr, bytes: &[u8], out: &mut Vec<Action>) {
         self.counts.heard += 1;
         self.counts.heard_bytes += bytes.len() as u64;
--- a/crates/coveroute-fleet/src/rights.rs
+++ b/crates/coveroute-fleet/src/rights.rs
@@ -13,7 +13,7 @@
 //! rate x (W + 2 x stock)
 //! ```
 //!
-//! whichever nodes are partitioned, stall, restart, lose their state, or receive messages twice or late. A strict
+//! no matter which nodes are partitioned, stall, restart, lose their state, or receive messages twice or late. A strict
 //! limit of L in W mints at L / (W + 2 x stock) and is never exceeded; a limit whose rate matters more mints at L /
 //! W and can be exceeded by 2 x stock / W over one window, but not in the long run. Rights are transferred rather
 //! than created (escrow: O'Neil 1986; bounded counters: Balegas et al. 2015; demarcation: Barbara, Garcia-Molina
@@ -267,9 +267,9 @@
         }
         // Rights that lapse soonest are used first.
         let mut left = amount;
-        for (_, amount) in &mut account.received {
-            let used = amount.min(left);
-            (*amount, left) = (*amount - used, left - used);
+        for (_, available) in &mut account.received {
+            let used = available.min(left);
+            (*available, left) = (*available - used, left - used);
         }
         account.own_balance = (account.own_balance - left).max(0.0);
         (account.had, account.all_had) = (account.had + amount, account.all_had + amount);
@@ -423,8 +423,10 @@
         granted
     }
 
+    /// Records that a voter granted these mints to this node, in answer to a request sent at `asked`.
     fn record_votes(&mut self, now: f64, asked: f64, voter: Id, mints: Vec<Id>) {
-        self.refresh_all(now); // By what was held until now.
+        // Adds up what the mints yielded under the previous grants before those change.
+        self.refresh_all(now);
         let majority = self.terms.majority();
         for id in mints {
             let mint = self.mints.entry(id).or_insert(Mint { votes: BTreeMap::new(), since: now });
