--- a/crates/coveroute-fleet/src/detector.rs
+++ b/crates/coveroute-fleet/src/detector.rs
@@ -1,74 +1,82 @@
-//! Who fails: probes with help from others (SWIM: Das, Gupta, Motivala 2002), suspicions that several must share before
-//! they end early, and doubt in oneself first (Lifeguard: Dadgar, Phillips, Currey 2017).
+//! Failure detector: probes with the help of other members (SWIM: Das, Gupta, Motivala 2002), suspicions that
+//! expire early only if several members share them, and a local health score that makes a degraded node more
+//! patient (Lifeguard: Dadgar, Phillips, Currey 2017).
 use crate::member::Id;
 
-/// The operators' figures.
+/// Settings of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Detector {
-    /// A member is probed this often, in seconds. Half of it is left for a plain answer, the rest for help.
+    /// Probe period in seconds. The first half is left for a direct answer, the rest for indirect probes.
     pub every: f64,
-    /// So many others are asked to reach who did not answer.
+    /// Number of members asked to probe a member that did not answer.
     pub relays: usize,
-    /// How long a suspicion that several share stands before it ends in death, for ten members; more by the
-    /// logarithm of their number, as words take longer to go round.
+    /// Seconds until a shared suspicion turns into death, in a fleet of ten. Grows with the logarithm of the number
+    /// of members, as updates take longer to spread.
     pub suspicion: f64,
-    /// A suspicion that nobody shares stands so many times longer.
+    /// Factor by which a suspicion that no other member shares lasts longer.
     pub patience: f64,
-    /// Clocks may run fast or slow by this part.
+    /// Maximum clock drift, as a fraction of true time, in either direction.
     pub drift: f64,
-    /// Bytes a second beyond probes and their answers.
+    /// Bytes per second for messages other than probes and their answers.
     pub budget: f64,
 }
 
 impl Default for Detector {
-    /// Chosen on the stage (`docs/measurements.md`): 12 members know of a death within 2 s, and with a third of all
-    /// datagrams lost nobody is held to be dead for it.
+    /// Chosen in simulation (`docs/measurements.md`): 12 members learn of a death within 2 s, and no member is
+    /// considered dead because a third of all datagrams is lost.
     fn default() -> Self {
         Detector { every: 0.15, relays: 3, suspicion: 0.4, patience: 6.0, drift: 0.01, budget: 65_536.0 }
     }
 }
 
-/// Ticks in `every`: probes are looked at, and suspicions end, by the tick.
-pub const TICKS: u64 = 4;
-/// Others beyond the first who must share a suspicion for it to end early (Lifeguard's K).
-pub const SHARED: usize = 3;
-/// The most that a node doubts itself: its probes wait up to four times longer then.
-const HEALTH_MOST: u8 = 3;
+/// Ticks per detector period. Pending pings and suspicions are checked once per tick.
+pub const TICKS_PER_PERIOD: u64 = 4;
+/// Members, beyond the first, that must share a suspicion for it to expire early (K in Lifeguard).
+pub const MAX_CONFIRMATIONS: usize = 3;
+/// Upper limit of the health score: probe and suspicion timeouts grow by a factor of up to 4.
+const MAX_HEALTH_SCORE: u8 = 3;
 
 impl Detector {
     pub fn tick(&self) -> f64 {
-        self.every / TICKS as f64
+        self.every / TICKS_PER_PERIOD as f64
     }
 
-    /// From a suspicion's beginning to its end, when `others` beyond the first share it, of `could` who are not suspected
-    /// themselves, among `members` in all. Guards against the smaller side of a cut, where too few are left to share
-    /// what they all see: of 5 cut in 3 and 2, the two took 3.02 s.
-    pub fn stands(&self, others: usize, could: usize, members: usize, health: Health) -> f64 {
-        let least = self.suspicion * (members.max(10) as f64).log10();
-        let most = least * self.patience.max(1.0);
-        let wanted = SHARED.min(could);
-        if others >= wanted && wanted > 0 {
-            return least;
+    /// Seconds from the start of a suspicion to its expiry, with `confirmations` from members beyond the first.
+    /// `trusted` counts the members that are not suspected themselves; `members` counts all. The confirmations
+    /// needed are limited to `trusted` because on the smaller side of a network partition too few members are left
+    /// to confirm what all of them see: of 5 members split 3 to 2, the two took 3.02 s.
+    pub fn suspicion_timeout(
+        &self,
+        confirmations: usize,
+        trusted: usize,
+        members: usize,
+        health: Health,
+    ) -> f64 {
+        let shortest = self.suspicion * (members.max(10) as f64).log10();
+        let longest = shortest * self.patience.max(1.0);
+        let needed = MAX_CONFIRMATIONS.min(trusted);
+        if confirmations >= needed && needed > 0 {
+            return shortest;
         }
-        let part = (1.0 + others as f64).ln() / (1.0 + wanted.max(1) as f64).ln();
-        (most - (most - least) * part).max(least) * health.times()
+        let fraction = (1.0 + confirmations as f64).ln() / (1.0 + needed.max(1) as f64).ln();
+        (longest - (longest - shortest) * fraction).max(shortest) * health.multiplier()
     }
 }
 
-/// How well a node trusts its own ears: 0 for fully.
+/// Local health score: 0 is healthy; higher values mean that this node may itself be slow or cut off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health(u8);
 
 impl Health {
-    pub fn worse(&mut self) {
-        self.0 = (self.0 + 1).min(HEALTH_MOST);
+    pub fn degrade(&mut self) {
+        self.0 = (self.0 + 1).min(MAX_HEALTH_SCORE);
     }
 
-    pub fn better(&mut self) {
+    pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
-    pub fn times(self) -> f64 {
+    pub fn multiplier(self) -> f64 {
         1.0 + f64::from(self.0)
     }
 
@@ -77,83 +85,85 @@
     }
 }
 
-/// A suspicion.
+/// A suspicion that a member has failed.
 #[derive(Clone, Debug)]
-pub struct Doubt {
+pub struct Suspicion {
     pub began: f64,
-    /// Who holds it, as far as is known here.
-    pub by: Vec<Id>,
+    /// Members known here to share it.
+    pub reported_by: Vec<Id>,
 }
 
-impl Doubt {
+impl Suspicion {
     pub fn new(now: f64, by: Id) -> Self {
-        Doubt { began: now, by: vec![by] }
+        Suspicion { began: now, reported_by: vec![by] }
     }
 
-    /// Whether this is one more who counts.
-    pub fn joins(&mut self, by: Id) -> bool {
-        let counts = self.by.len() <= SHARED && !self.by.contains(&by);
-        if counts {
-            self.by.push(by);
+    /// Adds a reporter. Returns false if it is already known or no more are needed.
+    pub fn confirm(&mut self, by: Id) -> bool {
+        let added = self.reported_by.len() <= MAX_CONFIRMATIONS && !self.reported_by.contains(&by);
+        if added {
+            self.reported_by.push(by);
         }
-        counts
+        added
     }
 
-    /// Who is heard itself, even once, is not given up early on others' word.
-    pub fn others(&self, heard: f64) -> usize {
-        if heard > self.began {
+    /// Confirmations that count. None do if the member was heard directly since the suspicion began, so that other
+    /// members' reports alone don't expire it early.
+    pub fn confirmations(&self, last_heard: f64) -> usize {
+        if last_heard > self.began {
             0
         } else {
-            self.by.len() - 1
+            self.reported_by.len() - 1
         }
     }
 }
 
-/// What a ping is for.
+/// The purpose of a ping.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Purpose {
-    /// To find out whether it lives; whether others are asked by now, and how many of them have said that they tried.
-    Probe { asked: usize, tried: usize },
-    /// To get records, or to tell something.
-    Talk,
-    /// For another one who asked, under its number.
-    For(Id, u64),
+    /// Checks that the member is alive. `asked` counts the members asked to probe it too, and `failed` those of
+    /// them that reported no answer.
+    Probe { asked: usize, failed: usize },
+    /// Exchanges records or updates.
+    Sync,
+    /// Probes on behalf of another member, under that member's request number.
+    Relay(Id, u64),
 }
 
-/// A ping, or another question, that is out.
+/// A ping or other request that awaits its answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Out {
+pub struct PendingPing {
     pub to: Id,
     pub at: f64,
     pub purpose: Purpose,
 }
 
-/// What is to be done about one that is out.
+/// What to do about a pending ping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum PingStatus {
     Wait,
-    /// Ping again, and have others try.
-    Help,
-    /// No answer by any way.
-    Silent,
-    /// Tell who asked that there is none so far.
-    Tried,
-    /// Nothing is awaited any more.
+    /// Ping again and ask other members to probe.
+    RequestHelp,
+    /// Neither a direct nor an indirect answer arrived.
+    NoReply,
+    /// Report to the requester that there is no answer so far.
+    RelayFailed,
+    /// Drop it; no answer is expected any more.
     Forget,
 }
 
-impl Out {
-    /// Late answers still bring records for this many periods; then the number is forgotten.
-    const KEPT: f64 = 25.0;
+impl PendingPing {
+    /// Requests are remembered for this many periods, as late answers still bring records.
+    const KEPT_PERIODS: f64 = 25.0;
 
-    pub fn look(&self, now: f64, detector: &Detector, health: Health) -> Look {
+    pub fn status(&self, now: f64, detector: &Detector, health: Health) -> PingStatus {
         let (waited, every) = (now - self.at, detector.every);
         match self.purpose {
-            Purpose::Probe { .. } if waited >= every * health.times() - 1e-9 => Look::Silent,
-            Purpose::Probe { asked: 0, .. } if waited >= every / 2.0 - 1e-9 => Look::Help,
-            Purpose::For(..) if waited >= every / 2.0 - 1e-9 => Look::Tried,
-            _ if waited > every * Self::KEPT => Look::Forget,
-            _ => Look::Wait,
+            Purpose::Probe { .. } if waited >= every * health.multiplier() - 1e-9 => PingStatus::NoReply,
+            Purpose::Probe { asked: 0, .. } if waited >= every / 2.0 - 1e-9 => PingStatus::RequestHelp,
+            Purpose::Relay(..) if waited >= every / 2.0 - 1e-9 => PingStatus::RelayFailed,
+            _ if waited > every * Self::KEPT_PERIODS => PingStatus::Forget,
+            _ => PingStatus::Wait,
         }
     }
 }
--- a/crates/coveroute-fleet/src/explore.rs
+++ b/crates/coveroute-fleet/src/explore.rs
@@ -1,5 +1,5 @@
-//! All orders of what can happen, to a depth: states that come again are looked at once, and what is found first has
-//! the fewest steps.
+//! Bounded model checking: explores all orders of events up to a depth, breadth first. Each state is visited once,
+//! and the first violation found has the fewest steps.
 use std::collections::HashSet;
 
 pub trait Model {
@@ -8,9 +8,9 @@
 
     fn first(&self) -> Self::State;
     fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
-    /// The state after it, or what it breaks.
+    /// The state after the step, or a description of the violated property.
     fn after(&self, state: &Self::State, step: &Self::Step) -> Result<Self::State, String>;
-    /// The same for what goes on in the same way.
+    /// A fingerprint of the state; the same for states that behave the same from then on.
     fn print(&self, state: &Self::State) -> u64;
 }
 
@@ -24,48 +24,48 @@
 pub struct Explored<S> {
     pub states: usize,
     pub steps: u64,
-    /// All that can happen in so many steps was looked at.
+    /// All sequences of this many steps were explored.
     pub depth: usize,
     pub breach: Option<Breach<S>>,
 }
 
-/// To `depth`, or as deep as `most` states allow.
-pub fn explore<M: Model>(model: &M, depth: usize, most: usize) -> Explored<M::Step> {
+/// Explores to `depth`, or until `max_states` states were found.
+pub fn explore<M: Model>(model: &M, depth: usize, max_states: usize) -> Explored<M::Step> {
     let first = model.first();
     let mut seen = HashSet::from([model.print(&first)]);
-    // Where each state came from, to tell how it was reached.
-    let mut came: Vec<Option<(usize, M::Step)>> = vec![None];
-    let (mut edge, mut steps) = (vec![(0, first)], 0);
-    for done in 0..depth {
-        let mut further = Vec::new();
-        for (at, state) in &edge {
+    // The predecessor of each state and the step from it, to reconstruct the path to a violation.
+    let mut predecessors: Vec<Option<(usize, M::Step)>> = vec![None];
+    let (mut frontier, mut steps) = (vec![(0, first)], 0);
+    for explored_depth in 0..depth {
+        let mut next_frontier = Vec::new();
+        for (at, state) in &frontier {
             for step in model.steps(state) {
                 steps += 1;
                 match model.after(state, &step) {
                     Ok(next) => {
                         if seen.insert(model.print(&next)) {
-                            came.push(Some((*at, step)));
-                            further.push((came.len() - 1, next));
+                            predecessors.push(Some((*at, step)));
+                            next_frontier.push((predecessors.len() - 1, next));
                         }
                     }
                     Err(words) => {
-                        let mut way = vec![step];
+                        let mut path = vec![step];
                         let mut from = *at;
-                        while let Some((before, step)) = &came[from] {
-                            way.push(step.clone());
+                        while let Some((before, step)) = &predecessors[from] {
+                            path.push(step.clone());
                             from = *before;
                         }
-                        way.reverse();
-                        let breach = Some(Breach { steps: way, words });
-                        return Explored { states: seen.len(), steps, depth: done, breach };
+                        path.reverse();
+                        let breach = Some(Breach { steps: path, words });
+                        return Explored { states: seen.len(), steps, depth: explored_depth, breach };
                     }
                 }
-                if seen.len() >= most {
-                    return Explored { states: seen.len(), steps, depth: done, breach: None };
+                if seen.len() >= max_states {
+                    return Explored { states: seen.len(), steps, depth: explored_depth, breach: None };
                 }
             }
         }
-        edge = further;
+        frontier = next_frontier;
     }
     Explored { states: seen.len(), steps, depth, breach: None }
 }
--- a/crates/coveroute-fleet/src/fleet.rs
+++ b/crates/coveroute-fleet/src/fleet.rs
@@ -1,18 +1,19 @@
-//! One node's part in the fleet: what it hears and what its clock says go in, what it sends and what has changed come out.
+//! The membership state machine of one node. Received datagrams and the current time go in; datagrams to send and
+//! events come out.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use coveroute::chance::Chance;
 use serde::Serialize;
 
-mod spread;
-mod watch;
+mod gossip;
+mod probe;
 
-use spread::{FILL, WORDS, WORD_SIZE};
+use gossip::{MAX_CONTENT_LEN, MAX_UPDATES, MAX_UPDATE_LEN};
 
-use crate::detector::{Doubt, Health, Out, Purpose, TICKS};
-use crate::member::{Claim, Id, Incarnation, Standing, State, Word};
-use crate::message::{Odd, What};
+use crate::detector::{Health, PendingPing, Purpose, Suspicion, TICKS_PER_PERIOD};
+use crate::member::{Claim, Id, Incarnation, MemberUpdate, Standing, State};
+use crate::message::{DropReason, MessageBody};
 use crate::plan::Plan;
 use crate::table::{Key, Kind, Reading, Table};
 
@@ -23,7 +24,7 @@
         bytes: Vec<u8>,
     },
     News(News),
-    /// What a part on top says at another member, and the mark of its process.
+    /// A message from an application component of another member. `mark` identifies the sending process.
     Said {
         from: Id,
         mark: u64,
@@ -32,7 +33,7 @@
     },
 }
 
-/// What the parts that build on this are told.
+/// Events for the components built on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum News {
     Member {
@@ -40,29 +41,29 @@
         from: State,
         to: State,
     },
-    /// A record that is new here.
+    /// A new or newer record was stored.
     Record(Key),
-    /// Another process bears this one's name; whether this one keeps silent for it.
+    /// Another process uses this node's name. `yields`: this process is the one that stops sending.
     Doubled {
         yields: bool,
     },
 }
 
-/// Who hears, and how it is seen.
+/// Another member as this node sees it.
 #[derive(Clone, Debug)]
 struct Peer {
     addr: SocketAddr,
     standing: Option<Standing>,
     state: State,
-    since: f64,
-    doubt: Option<Doubt>,
-    /// When it was last heard itself.
-    heard: f64,
+    state_since: f64,
+    suspicion: Option<Suspicion>,
+    /// When a message last came directly from this member.
+    last_heard: f64,
 }
 
-/// Pings back to who holds something else, per `every`.
-const TALKS: usize = 2;
-/// A tick that comes so many ticks late was one in which this process stood still.
+/// Upper limit on pings sent back, per detector period, to members whose table differs from ours.
+const MAX_SYNC_PINGS: usize = 2;
+/// A tick that is late by more than this many ticks counts as a stall of this process.
 const STALL_TICKS: f64 = 5.0;
 
 #[derive(Clone, Debug)]
@@ -71,65 +72,65 @@
     me: Id,
     mark: u32,
     incarnation: Incarnation,
-    chance: Chance,
+    rng: Chance,
     peers: BTreeMap<Id, Peer>,
     addresses: BTreeMap<SocketAddr, Id>,
-    /// In which order members are probed, and who is next.
-    ring: Vec<Id>,
-    at: usize,
+    /// The order in which members are probed, and the index of the next one.
+    probe_order: Vec<Id>,
+    next_probe: usize,
     table: Table,
-    out: BTreeMap<u64, Out>,
-    number: u64,
-    /// What is still to be told, and how often.
-    words: BTreeMap<Id, u32>,
-    fresh: BTreeMap<Key, u32>,
+    pending: BTreeMap<u64, PendingPing>,
+    last_number: u64,
+    /// Membership updates and records still to be disseminated, each with its remaining number of transmissions.
+    pending_updates: BTreeMap<Id, u32>,
+    pending_records: BTreeMap<Key, u32>,
     health: Health,
-    due: f64,
+    next_tick: f64,
     ticks: u64,
-    purse: f64,
-    differs: u8,
-    talks: usize,
-    disputes: Vec<f64>,
-    /// Another one bears this name: silent until then.
-    silent: f64,
-    /// Takes part: not while another process of this node does.
-    part: bool,
+    send_budget: f64,
+    mismatches: u8,
+    sync_pings: usize,
+    conflict_times: Vec<f64>,
+    /// Sends nothing until this time because another process uses the same name.
+    silent_until: f64,
+    /// False while another process of this node takes part in its place.
+    active: bool,
     left: bool,
     counts: Counts,
 }
 
-/// What has been counted since this process began.
+/// Counters since the start of this process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
     pub sent: u64,
     pub sent_bytes: u64,
     pub heard: u64,
     pub heard_bytes: u64,
-    /// Passed over, by why.
-    pub dropped: BTreeMap<Odd, u64>,
-    /// Not sent, for want of budget.
+    /// Datagrams dropped, by reason.
+    pub dropped: BTreeMap<DropReason, u64>,
+    /// Messages not sent because the byte budget was used up.
     pub withheld: u64,
-    /// Suspicions of this node that it put right.
+    /// Suspicions of this node that it refuted.
     pub refuted: u64,
-    /// Members that were held to be dead here.
+    /// Members that this node came to consider dead.
     pub buried: u64,
-    /// Moments in which this process stood still.
+    /// Stalls of this process.
     pub stalls: u64,
-    /// Records of members that have too many.
+    /// Records refused because their owner has reached the limit on its records.
     pub full: u64,
 }
 
-/// Figures for operators, and for the referee.
+/// Figures for operators, and for the emulator's referee.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figures {
     pub incarnation: u64,
     pub members: BTreeMap<State, usize>,
-    /// By name, this one left out.
+    /// The state of each other member, by name.
     pub states: BTreeMap<String, State>,
     pub records: usize,
-    /// The greatest bound on an age, in seconds.
+    /// The greatest upper bound on a record's age, in seconds.
     pub oldest: f64,
-    /// Whoever holds the same has the same.
+    /// Checksum of the table: nodes that hold the same content have the same sum.
     pub sum: String,
     pub health: u8,
     pub doubled: bool,
@@ -138,95 +139,97 @@
 }
 
 impl Fleet {
-    /// `count`: a guess above all incarnations that this member has had; a wrong one is put right by the others. `mark`
-    /// tells this process from others under its name. None if the file lacks the member.
+    /// `count` is an estimate above all earlier incarnations of this member; if it is too low, messages from other
+    /// members raise it. `mark` distinguishes this process from others of the same name. Fails if `name` is not
+    /// among the plan's members.
     pub fn new(now: f64, name: &str, plan: Plan, count: u64, mark: u64) -> Result<Self, String> {
-        let me = plan.id(name).ok_or(format!("members: {name} is not among them"))?;
+        let me = plan.id(name).ok_or(format!("members: {name} is not listed"))?;
         let table = Table::new(plan.detector.drift, plan.records.most);
         let seed = coveroute::chance::mix(mark ^ u64::from(me.0) << 24);
         let mut fleet = Fleet {
             mark: plan.mark(),
             me,
             incarnation: Incarnation::new(count, mark),
-            chance: Chance::new(seed),
+            rng: Chance::new(seed),
             peers: BTreeMap::new(),
             addresses: BTreeMap::new(),
-            ring: Vec::new(),
-            at: 0,
+            probe_order: Vec::new(),
+            next_probe: 0,
             table,
-            out: BTreeMap::new(),
-            number: seed >> 8 << 8, // An answer to an earlier process's question is none to this one's.
-            words: BTreeMap::new(),
-            fresh: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            // Starts at random so that an answer to an earlier process's request matches none of this one's.
+            last_number: seed >> 8 << 8,
+            pending_updates: BTreeMap::new(),
+            pending_records: BTreeMap::new(),
             health: Health::default(),
-            due: now,
+            next_tick: now,
             ticks: 0,
-            purse: plan.detector.budget,
-            differs: 0,
-            talks: 0,
-            disputes: Vec::new(),
-            silent: f64::NEG_INFINITY,
-            part: true,
+            send_budget: plan.detector.budget,
+            mismatches: 0,
+            sync_pings: 0,
+            conflict_times: Vec::new(),
+            silent_until: f64::NEG_INFINITY,
+            active: true,
             left: false,
             counts: Counts::default(),
             plan,
         };
-        fleet.stand((fleet.incarnation, Claim::Alive), None);
-        fleet.enrol(now);
+        fleet.update_own_standing((fleet.incarnation, Claim::Alive), None);
+        fleet.apply_members(now);
         Ok(fleet)
     }
 
-    /// Takes the members of the file over.
-    fn enrol(&mut self, now: f64) {
+    /// Adopts the plan's list of members: adds new ones, removes those no longer listed.
+    fn apply_members(&mut self, now: f64) {
         let members = self.plan.members.iter().map(|(name, entry)| (Id::of(name), entry.address));
         let members: BTreeMap<Id, SocketAddr> = members.collect();
         let gone: Vec<Id> = self.peers.keys().filter(|id| !members.contains_key(id)).copied().collect();
         for id in gone {
             let standing = self.peers.remove(&id).and_then(|peer| peer.standing);
-            self.table.stands(id, standing, None);
-            self.table.forget(id);
-            self.words.remove(&id);
+            self.table.update_standing(id, standing, None);
+            self.table.remove_owner(id);
+            self.pending_updates.remove(&id);
         }
-        self.out.retain(|_, out| members.contains_key(&out.to));
-        self.fresh.retain(|key, _| members.contains_key(&key.owner));
+        self.pending.retain(|_, ping| members.contains_key(&ping.to));
+        self.pending_records.retain(|key, _| members.contains_key(&key.owner));
         for (id, addr) in members.iter().filter(|(id, _)| **id != self.me) {
             let unseen = Peer {
                 addr: *addr,
                 standing: None,
                 state: State::Unseen,
-                since: now,
-                doubt: None,
-                heard: now,
+                state_since: now,
+                suspicion: None,
+                last_heard: now,
             };
             self.peers.entry(*id).or_insert(unseen).addr = *addr;
         }
         self.addresses = self.peers.iter().map(|(id, peer)| (peer.addr, *id)).collect();
-        self.ring = self.peers.keys().copied().collect();
-        self.shuffle();
+        self.probe_order = self.peers.keys().copied().collect();
+        self.shuffle_probe_order();
     }
 
-    /// Why that file can't take this one's place while the node runs, if it can't.
-    pub fn fits(&self, plan: &Plan) -> Result<(), String> {
+    /// Checks that `plan` can replace the current one while the node runs.
+    pub fn check_replacement(&self, plan: &Plan) -> Result<(), String> {
         let name = self.plan.members.keys().find(|name| Id::of(name) == self.me).cloned();
         let name = name.unwrap_or_default();
         if plan.id(&name).is_none() {
-            return Err(format!("members: {name} is not among them, and is this node"));
+            return Err(format!("members: {name}, the name of this node, is not listed"));
         }
         if plan.fleet != self.plan.fleet {
-            return Err("fleet: counts from the next start on".into());
+            return Err("fleet: a change takes effect only after a restart".into());
         }
         if plan.members[&name].address != self.plan.members[&name].address {
-            return Err(format!("members.{name}.address: counts from the next start on"));
+            return Err(format!("members.{name}.address: a change takes effect only after a restart"));
         }
         Ok(())
     }
 
-    /// Whole or not at all.
+    /// Replaces the plan; if the new one doesn't fit, nothing changes.
     pub fn reread(&mut self, now: f64, plan: Plan) -> Result<(), String> {
-        self.fits(&plan)?;
-        self.table.retune(plan.detector.drift, plan.records.most);
+        self.check_replacement(&plan)?;
+        self.table.set_limits(plan.detector.drift, plan.records.most);
         self.plan = plan;
-        self.enrol(now);
+        self.apply_members(now);
         Ok(())
     }
 
@@ -245,75 +248,79 @@
     // Time.
 
     pub fn next_due(&self) -> f64 {
-        self.due
+        self.next_tick
     }
 
     pub fn advance(&mut self, now: f64, out: &mut Vec<Action>) {
-        let (tick, late) = (self.plan.detector.tick(), now - self.due);
+        let (tick, late) = (self.plan.detector.tick(), now - self.next_tick);
         if late < 0.0 {
             return;
         }
         if late > STALL_TICKS * tick {
-            self.stood_still(late);
+            self.handle_stall(late);
         }
-        self.due = if late > tick { now + tick } else { self.due + tick };
-        self.purse = (self.purse + self.plan.detector.budget * tick).min(self.plan.detector.budget);
-        if self.speaks(now) {
+        self.next_tick = if late > tick { now + tick } else { self.next_tick + tick };
+        self.send_budget =
+            (self.send_budget + self.plan.detector.budget * tick).min(self.plan.detector.budget);
+        if self.may_send(now) {
             self.tick(now, out);
         }
     }
 
-    /// Nothing that was awaited meanwhile says anything of others: they may have answered.
-    fn stood_still(&mut self, late: f64) {
+    /// Called when this process did not run for a while. Peers may have answered in the meantime, so missing
+    /// replies to pings sent before the stall are not held against them, and suspicions are extended by the length
+    /// of the stall.
+    fn handle_stall(&mut self, late: f64) {
         self.counts.stalls += 1;
-        self.health.worse();
-        self.out.values_mut().for_each(|out| out.purpose = Purpose::Talk);
-        let doubts = self.peers.values_mut().filter_map(|peer| peer.doubt.as_mut());
-        doubts.for_each(|doubt| doubt.began += late);
+        self.health.degrade();
+        self.pending.values_mut().for_each(|ping| ping.purpose = Purpose::Sync);
+        let suspicions = self.peers.values_mut().filter_map(|peer| peer.suspicion.as_mut());
+        suspicions.for_each(|suspicion| suspicion.began += late);
     }
 
-    /// Not while another process goes on as this member, nor after it has left.
-    fn speaks(&self, now: f64) -> bool {
-        self.part && !self.left && now >= self.silent
+    /// False while another process acts as this member, and after this member has left.
+    fn may_send(&self, now: f64) -> bool {
+        self.active && !self.left && now >= self.silent_until
     }
 
     fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
         self.ticks += 1;
-        self.look(now, out);
-        self.end_doubts(now, out);
-        if self.ticks % TICKS == 1 {
-            self.talks = 0;
+        self.check_pending(now, out);
+        self.expire_suspicions(now, out);
+        if self.ticks % TICKS_PER_PERIOD == 1 {
+            self.sync_pings = 0;
             self.probe_next(now, out);
-            self.seek_lost(now, out);
+            self.probe_absent(now, out);
         }
-        if self.ticks % (5 * TICKS) == 1 {
-            self.table.tidy(now);
-            self.settle(now, out);
+        if self.ticks % (5 * TICKS_PER_PERIOD) == 1 {
+            self.table.expire(now);
+            self.settle_returned(now, out);
         }
     }
 
-    // What the parts on top need.
+    // Interface for the components built on the fleet.
 
-    /// Writes one of the own records; false where there is no room for it.
+    /// Writes one of this node's own records. Returns false if there is no room for it.
     pub fn write(&mut self, now: f64, kind: Kind, key: u64, value: &[u8], out: &mut Vec<Action>) -> bool {
         let key = Key { owner: self.me, kind, key };
         let written = self.table.write(now, key, self.incarnation, self.plan.records.life, value).is_some();
         if written {
-            let times = self.times();
-            self.fresh.insert(key, times);
-            if self.speaks(now) {
-                // They see that this one holds something else, and ask.
-                let some = self.some_of(TALKS, |_, peer| peer.state.is_there());
-                some.into_iter().for_each(|to| self.ping(now, to, Purpose::Talk, out));
+            let times = self.transmissions();
+            self.pending_records.insert(key, times);
+            if self.may_send(now) {
+                // The receivers see from the sum that their tables differ, and ask.
+                let targets = self.sample_peers(MAX_SYNC_PINGS, |_, peer| peer.state.is_present());
+                targets.into_iter().for_each(|to| self.ping(now, to, Purpose::Sync, out));
             }
         }
         written
     }
 
-    /// For a part on top, to the same one at that member. It may be lost, or come twice.
+    /// Sends `bytes` to the same component at another member. Delivery is best effort: the message may be lost or
+    /// duplicated.
     pub fn say(&mut self, now: f64, to: Id, kind: Kind, bytes: Vec<u8>, out: &mut Vec<Action>) {
-        if self.speaks(now) && bytes.len() <= FILL - WORDS * WORD_SIZE {
-            self.send(to, What::Part { kind, bytes }, out);
+        if self.may_send(now) && bytes.len() <= MAX_CONTENT_LEN - MAX_UPDATES * MAX_UPDATE_LEN {
+            self.send(to, MessageBody::Application { kind, bytes }, out);
         }
     }
 
@@ -333,24 +340,26 @@
         self.peers.get(&of).map(|peer| peer.state)
     }
 
-    /// Whether this one takes part, of the processes of this node.
-    pub fn take_part(&mut self, now: f64, part: bool) {
-        if part && !self.part {
-            self.due = now;
+    /// Sets whether this process, of all processes of this node, takes part in the fleet.
+    pub fn take_part(&mut self, now: f64, active: bool) {
+        if active && !self.active {
+            self.next_tick = now;
         }
-        self.part = part;
+        self.active = active;
     }
 
-    /// Says that it goes, for good; nothing is said after.
+    /// Announces that this member leaves for good. Nothing is sent afterwards.
     pub fn leave(&mut self, out: &mut Vec<Action>) {
-        if self.left || !self.part {
+        if self.left || !self.active {
             return;
         }
-        let word = Word { of: self.me, incarnation: self.incarnation, claim: Claim::Left, by: self.me };
-        let some = self.some_of(2 * self.plan.detector.relays.max(1), |_, peer| peer.state.is_there());
-        for to in some {
+        let update =
+            MemberUpdate { of: self.me, incarnation: self.incarnation, claim: Claim::Left, by: self.me };
+        let targets =
+            self.sample_peers(2 * self.plan.detector.relays.max(1), |_, peer| peer.state.is_present());
+        for to in targets {
             let number = self.next_number();
-            self.post(to, vec![word], What::Ping { number }, out);
+            self.transmit(to, vec![update], MessageBody::Ping { number }, out);
         }
         self.left = true;
     }
@@ -373,7 +382,7 @@
             oldest: self.readings(now).map(|reading| reading.age).fold(0.0, f64::max),
             sum: format!("{:016x}", self.table.sum()),
             health: self.health.score(),
-            doubled: now < self.silent,
+            doubled: now < self.silent_until,
             counts: self.counts.clone(),
         }
     }
