--- a/crates/coveroute-node/src/attempt.rs
+++ b/crates/coveroute-node/src/attempt.rs
@@ -1,5 +1,6 @@
-//! Attempt: one try of a request at an executor, and the one place that decides whether its bytes may go: when it is begun, and again
-//! at each write. What was read from the clock before a connection came up, or before the kernel had room, counts no more by then.
+//! Attempt: one attempt to run a request at an executor. It alone decides whether the request's bytes may be
+//! sent, when the attempt begins and again at each write: clock readings from before a connection was
+//! established or before the kernel had buffer space are out of date by then.
 use std::cell::Cell;
 use std::fmt;
 use std::future::Future;
@@ -16,20 +17,20 @@
 use crate::socket::Socket;
 
 mod counts;
-use counts::add_one;
+use counts::increment;
 pub use counts::{AttemptCounts, AttemptFigures};
 
 tokio::task_local! {
-    /// The attempt whose exchange is being driven.
+    /// The attempt whose exchange is being polled.
     static CURRENT: Rc<Attempt>;
 }
 
-/// The times that bind an attempt.
+/// The time limits of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deadline {
-    /// The node answers by then: a little before the client stops waiting.
+    /// The node answers by this time, a little before the client stops waiting.
     answer_by: Instant,
-    /// What the attempt was decided by holds until then.
+    /// The information behind the decision to send the attempt is valid until this time.
     write_until: Instant,
 }
 
@@ -38,36 +39,36 @@
         Deadline { answer_by, write_until }
     }
 
-    /// What the node has left.
-    fn left(self, now: Instant) -> Duration {
+    /// The time that the node has left.
+    fn node_left(self, now: Instant) -> Duration {
         self.answer_by.saturating_duration_since(now)
     }
 
-    /// What the client has left.
+    /// The time that the client has left.
     fn client_left(self, now: Instant) -> Duration {
         (self.answer_by + seconds(ANSWER_TAKES)).saturating_duration_since(now)
     }
 }
 
-/// Why an attempt is not begun, or does not go on.
+/// Why an attempt is not begun or not continued.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Refusal {
-    ClientLeft,
-    /// The client's time is over.
-    TimeOver,
-    /// What it was decided by does not hold any more: the window for repeats, or the list of executors.
-    TooLate,
-    /// The executor would be told more than the client has left.
-    ToldTooMuch,
+    ClientDisconnected,
+    /// The client's time budget is used up.
+    DeadlineExceeded,
+    /// The information behind the decision has expired: the window for repeats, or the list of executors.
+    DecisionExpired,
+    /// The executor would be told a larger time budget than the client has left.
+    BudgetOverstated,
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Refusal::ClientLeft => "its client has left",
-            Refusal::TimeOver => "its client's time is over",
-            Refusal::TooLate => "what it was decided by holds no more",
-            Refusal::ToldTooMuch => "it would tell more time than its client has left",
+            Refusal::ClientDisconnected => "the client has disconnected",
+            Refusal::DeadlineExceeded => "the client's time budget is used up",
+            Refusal::DecisionExpired => "the decision to send it has expired",
+            Refusal::BudgetOverstated => "the time budget in the request exceeds what the client has left",
         })
     }
 }
@@ -80,33 +81,38 @@
     }
 }
 
-/// How far the bytes of an attempt are.
+/// How much of an attempt's request has been written.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Progress {
-    /// None is written.
+    /// Nothing.
     #[default]
     Waiting,
+    /// At least one byte, but not all of them.
     Begun,
-    /// All are written.
+    /// Everything.
     Written,
 }
 
+/// One attempt of an invocation at an executor.
 pub struct Attempt {
     id: InvId,
     number: usize,
+    /// When the attempt was decided on.
     decided: Instant,
     deadline: Deadline,
     client: Option<Rc<Guest>>,
     counts: Rc<AttemptCounts>,
-    told: Cell<Duration>,
+    /// The time budget stated in the request.
+    budget_told: Cell<Duration>,
     progress: Cell<Progress>,
-    /// Its end has been asked for: there is nothing to write beyond what is in hand.
-    is_whole: Cell<bool>,
-    /// All that was in hand at the last write went out.
-    is_drained: Cell<bool>,
+    /// The sender has read the body to its end: nothing follows the bytes in its buffer.
+    is_body_ended: Cell<bool>,
+    /// The last write took all bytes in the buffer.
+    is_buffer_written: Cell<bool>,
     refusal: Cell<Option<Refusal>>,
-    /// A connection that came up for it too late for what it would have told.
-    connected: Cell<Option<Socket>>,
+    /// A connection that was established too late for the time budget in the request; reused when the attempt
+    /// begins again.
+    kept_connection: Cell<Option<Socket>>,
 }
 
 impl fmt::Display for Attempt {
@@ -129,22 +135,22 @@
             deadline,
             client,
             counts,
-            told: Cell::default(),
+            budget_told: Cell::default(),
             progress: Cell::default(),
-            is_whole: Cell::default(),
-            is_drained: Cell::default(),
+            is_body_ended: Cell::default(),
+            is_buffer_written: Cell::default(),
             refusal: Cell::default(),
-            connected: Cell::default(),
+            kept_connection: Cell::default(),
         }
     }
 
-    /// The one whose exchange is being driven, if one is.
+    /// The attempt whose exchange is being polled, if any.
     pub fn current() -> Option<Rc<Attempt>> {
         CURRENT.try_with(Rc::clone).ok()
     }
 
-    /// Drives an exchange as this attempt's.
-    pub async fn drives<T>(self: &Rc<Self>, exchange: impl Future<Output = T>) -> T {
+    /// Runs an exchange with this attempt as the current one.
+    pub async fn run_exchange<T>(self: &Rc<Self>, exchange: impl Future<Output = T>) -> T {
         CURRENT.scope(self.clone(), exchange).await
     }
 
@@ -156,114 +162,118 @@
         self.progress.get()
     }
 
-    /// Begins it, or begins it anew: the time that the executor is told, as it is now.
-    pub fn begins(&self) -> Result<Duration, Refusal> {
-        let left = self.deadline.left(Instant::now());
-        self.told.set(left);
-        self.is_whole.set(false);
+    /// Begins the attempt, or begins it again. Returns the time budget to state in the request.
+    pub fn begin(&self) -> Result<Duration, Refusal> {
+        let left = self.deadline.node_left(Instant::now());
+        self.budget_told.set(left);
+        self.is_body_ended.set(false);
         self.refusal.set(None);
         match left.is_zero() {
-            true => Err(self.refuses(Refusal::TimeOver)),
-            false => self.decision_holds().map(|()| left),
+            true => Err(self.refuse(Refusal::DeadlineExceeded)),
+            false => self.check_decision().map(|()| left),
         }
     }
 
-    /// Whether a byte may be written now. The kernel is asked whether the client has left: an executor begins with the last byte.
-    pub fn permits(&self) -> Result<(), Refusal> {
+    /// Checks whether a byte may be written now. Asks the kernel whether the client has disconnected, since
+    /// the executor begins the job once it has the last byte.
+    pub fn check_write(&self) -> Result<(), Refusal> {
         if self.client.iter().any(|client| client.has_left()) {
-            return Err(self.refuses(Refusal::ClientLeft));
+            return Err(self.refuse(Refusal::ClientDisconnected));
         }
-        self.decision_holds()?;
-        self.told_holds()
+        self.check_decision()?;
+        self.check_budget()
     }
 
-    fn decision_holds(&self) -> Result<(), Refusal> {
+    fn check_decision(&self) -> Result<(), Refusal> {
         match Instant::now() > self.deadline.write_until {
-            true => Err(self.refuses(Refusal::TooLate)),
+            true => Err(self.refuse(Refusal::DecisionExpired)),
             false => Ok(()),
         }
     }
 
-    /// Whether what the executor is told is still no more than what the client has left.
-    pub fn told_holds(&self) -> Result<(), Refusal> {
-        match self.told.get() > self.deadline.client_left(Instant::now()) {
-            true => Err(self.refuses(Refusal::ToldTooMuch)),
+    /// Checks that the time budget in the request still does not exceed what the client has left.
+    pub fn check_budget(&self) -> Result<(), Refusal> {
+        match self.budget_told.get() > self.deadline.client_left(Instant::now()) {
+            true => Err(self.refuse(Refusal::BudgetOverstated)),
             false => Ok(()),
         }
     }
 
-    /// Until when a byte may be written, as far as that is known.
-    pub fn permits_until(&self) -> Instant {
+    /// Until when bytes may be written, as far as the time limits determine it.
+    pub fn write_until(&self) -> Instant {
         let client_left = self.deadline.client_left(self.decided);
-        let told_holds_until = self.decided + client_left.saturating_sub(self.told.get());
-        told_holds_until.min(self.deadline.write_until)
+        let budget_valid_until = self.decided + client_left.saturating_sub(self.budget_told.get());
+        budget_valid_until.min(self.deadline.write_until)
     }
 
-    fn refuses(&self, refusal: Refusal) -> Refusal {
-        debug!("{self} is refused, {:?}: {refusal}", self.progress.get());
+    fn refuse(&self, refusal: Refusal) -> Refusal {
+        debug!("{self} stopped, {:?}: {refusal}", self.progress.get());
         let count = match (refusal, self.progress.get()) {
-            (Refusal::ClientLeft, _) => &self.counts.client_left,
-            (Refusal::TimeOver, _) => &self.counts.time_over,
-            (Refusal::TooLate, _) => &self.counts.too_late,
-            (Refusal::ToldTooMuch, Progress::Waiting) => &self.counts.told_anew,
-            (Refusal::ToldTooMuch, _) => &self.counts.broken_off,
+            (Refusal::ClientDisconnected, _) => &self.counts.client_left,
+            (Refusal::DeadlineExceeded, _) => &self.counts.time_over,
+            (Refusal::DecisionExpired, _) => &self.counts.too_late,
+            (Refusal::BudgetOverstated, Progress::Waiting) => &self.counts.told_anew,
+            (Refusal::BudgetOverstated, _) => &self.counts.broken_off,
         };
-        add_one(count);
+        increment(count);
         self.refusal.set(Some(refusal));
         refusal
     }
 
-    /// This machine could open no connection for it.
-    pub fn has_no_connection(&self, why: &dyn fmt::Display) {
-        debug!("{self} is not begun: {why}");
+    /// Records that this machine failed to open a connection for the attempt.
+    pub fn note_no_connection(&self, why: &dyn fmt::Display) {
+        debug!("{self} not begun: {why}");
         self.counts.no_connection();
     }
 
-    /// Why it was refused, since it last began.
+    /// Why the attempt was refused since it last began, if it was.
     pub fn refusal(&self) -> Option<Refusal> {
         self.refusal.get()
     }
 
-    /// Keeps a connection until it is begun anew.
-    pub fn keeps(&self, connected: Socket) {
-        self.connected.set(Some(connected));
+    /// Keeps a connection for when the attempt begins again.
+    pub fn keep_connection(&self, connection: Socket) {
+        self.kept_connection.set(Some(connection));
     }
 
-    pub fn kept(&self) -> Option<Socket> {
-        self.connected.take()
+    pub fn take_connection(&self) -> Option<Socket> {
+        self.kept_connection.take()
     }
 
-    /// There is nothing to write beyond what is in hand.
+    /// The sender has read the body to its end.
     pub fn body_ended(&self) {
-        self.is_whole.set(true);
-        if self.progress.get() == Progress::Begun && self.is_drained.get() {
+        self.is_body_ended.set(true);
+        if self.progress.get() == Progress::Begun && self.is_buffer_written.get() {
             self.completed();
         }
     }
 
-    /// So many of the bytes in hand are written.
-    pub fn wrote(&self, many: usize, in_hand: usize) {
-        self.is_drained.set(many == in_hand);
-        if many > 0 && self.progress.get() == Progress::Waiting {
+    /// Records that `count` of the `buffered` bytes were written.
+    pub fn bytes_written(&self, count: usize, buffered: usize) {
+        self.is_buffer_written.set(count == buffered);
+        if count > 0 && self.progress.get() == Progress::Waiting {
             self.progress.set(Progress::Begun);
         }
-        if self.is_whole.get() && self.is_drained.get() {
+        if self.is_body_ended.get() && self.is_buffer_written.get() {
             self.completed();
         }
     }
 
-    /// Its last byte is written: checks what it told once more. The node may have been held up in between.
+    /// The last byte has been written: checks the stated time budget once more, as the node may have been
+    /// delayed between the previous check and the write.
     fn completed(&self) {
         self.progress.set(Progress::Written);
         let now = Instant::now();
-        let (told, client_left) = (self.told.get(), self.deadline.client_left(now));
+        let (told, client_left) = (self.budget_told.get(), self.deadline.client_left(now));
         let took = now.saturating_duration_since(self.decided);
-        debug!("{self} told {told:.3?}, its client had {client_left:.3?} when its last byte was written, {took:.3?} after the decision");
-        add_one(&self.counts.written);
+        debug!("{self} written {took:.3?} after the decision: stated a budget of {told:.3?}, client had {client_left:.3?} left");
+        increment(&self.counts.written);
         let excess = told.saturating_sub(client_left);
         if !excess.is_zero() {
-            warn!("{self} told {excess:.3?} more than its client had left: the node was held up");
-            add_one(&self.counts.overstated);
+            warn!(
+                "{self} stated a budget {excess:.3?} larger than the client had left: the node was delayed"
+            );
+            increment(&self.counts.overstated);
             self.counts.longest_excess.set(self.counts.longest_excess.get().max(excess));
         }
     }
--- a/crates/coveroute-node/src/attempt/counts.rs
+++ b/crates/coveroute-node/src/attempt/counts.rs
@@ -1,8 +1,9 @@
-//! Counts of attempts: what they told their executors, and why some were not begun or did not go on.
+//! Counts of attempts: those whose stated time budget was too large, and those that were not begun or not
+//! completed.
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Counts of attempts since the process began.
+/// Counts of attempts since the process started; see [`AttemptFigures`] for their meaning.
 #[derive(Debug, Default)]
 pub struct AttemptCounts {
     pub(super) written: Cell<u64>,
@@ -16,37 +17,42 @@
     pub(super) no_connection: Cell<u64>,
 }
 
-/// What operators are shown of them.
+/// The counts as reported in the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptFigures {
-    /// Attempts whose last byte was written.
+    /// Attempts whose request was completely written.
     pub written: u64,
-    /// Of these, such that told their executor more than the client had left by then, and by how many seconds at most.
+    /// Of these, attempts that stated a larger time budget than the client had left by then.
     pub overstated: u64,
+    /// The largest such excess, in seconds.
     pub longest_excess: f64,
-    /// Times that an attempt was worded anew, as what it would have told no longer held when it could be written.
+    /// Requests that were rebuilt because their stated time budget was out of date before the first byte
+    /// could be written.
     pub told_anew: u64,
-    /// Attempts that were broken off before their last byte, as what they told no longer held.
+    /// Attempts that were aborted before their last byte because the stated time budget was out of date.
     pub broken_off: u64,
-    /// Attempts whose connection came up, or whose bytes could be written, when what they were decided by held no more.
+    /// Attempts whose decision had expired by the time the connection was established or bytes could be
+    /// written.
     pub too_late: u64,
-    /// Attempts that were decided on and not begun: the client had left, its time was over, or no connection was free.
+    /// Attempts that were decided on but not begun or not completed because the client had disconnected.
     pub client_left: u64,
+    /// Attempts that were decided on but not begun because the client's time budget was used up.
     pub time_over: u64,
+    /// Attempts that were decided on but not begun because no connection was available.
     pub no_connection: u64,
 }
 
-pub fn add_one(count: &Cell<u64>) {
+pub fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
 impl AttemptCounts {
     pub fn client_left(&self) {
-        add_one(&self.client_left);
+        increment(&self.client_left);
     }
 
     pub fn no_connection(&self) {
-        add_one(&self.no_connection);
+        increment(&self.no_connection);
     }
 
     pub fn figures(&self) -> AttemptFigures {
--- a/crates/coveroute-node/src/connection.rs
+++ b/crates/coveroute-node/src/connection.rs
@@ -1,4 +1,5 @@
-//! Connection: to an executor, for awc. Each byte of an attempt passes here, and goes on only while the attempt permits it.
+//! Connection: connections to executors, for awc. Every byte of an attempt's request is written here, and
+//! only while the attempt permits it.
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
@@ -19,16 +20,17 @@
 use crate::socket::Socket;
 use crate::transient;
 
+/// A connection that checks the current attempt before each write.
 #[derive(Debug)]
 pub struct Connection {
     socket: Socket,
-    /// Wakes what waits for the kernel's room when the attempt does not permit it any more.
-    permitted: Option<Pin<Box<Sleep>>>,
+    /// Wakes a write that waits for kernel buffer space when the attempt no longer permits it.
+    recheck: Option<Pin<Box<Sleep>>>,
 }
 
 impl Connection {
     fn new(socket: Socket) -> Self {
-        Connection { socket, permitted: None }
+        Connection { socket, recheck: None }
     }
 
     fn write_permitted(
@@ -38,19 +40,19 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         loop {
-            attempt.permits()?;
+            attempt.check_write()?;
             let written = Pin::new(&mut self.socket).poll_write(cx, bytes);
             if let Poll::Ready(written) = written {
-                self.permitted = None;
-                if let Ok(many) = &written {
-                    attempt.wrote(*many, bytes.len());
+                self.recheck = None;
+                if let Ok(count) = &written {
+                    attempt.bytes_written(*count, bytes.len());
                 }
                 return Poll::Ready(written);
             }
-            let until = || Box::pin(sleep_until(attempt.permits_until().into()));
-            ready!(self.permitted.get_or_insert_with(until).as_mut().poll(cx));
-            // A timer may be early by its own measure.
-            self.permitted = None;
+            let until = || Box::pin(sleep_until(attempt.write_until().into()));
+            ready!(self.recheck.get_or_insert_with(until).as_mut().poll(cx));
+            // Checks again rather than failing: the timer may fire slightly early.
+            self.recheck = None;
         }
     }
 }
@@ -88,38 +90,41 @@
     }
 }
 
-/// Between two tries to open a connection that fail on this machine.
-const AGAIN_AFTER: Duration = Duration::from_millis(10);
+/// Delay between attempts to open a connection that fail on this machine.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What a connection fails with, beside what passes, where it is this machine that can not open it: that says nothing of who listens.
-const OWN_FAILURES: [Errno; 4] = [Errno::EACCES, Errno::EADDRINUSE, Errno::EADDRNOTAVAIL, Errno::EPERM];
+/// Errors, beside transient ones, with which this machine fails to open a connection. They say nothing about
+/// the remote end.
+const LOCAL_ERRORS: [Errno; 4] = [Errno::EACCES, Errno::EADDRINUSE, Errno::EADDRNOTAVAIL, Errno::EPERM];
 
-fn is_own_failure(error: &io::Error) -> bool {
+fn is_local_error(error: &io::Error) -> bool {
     transient::is_transient(error)
-        || error.raw_os_error().is_some_and(|code| OWN_FAILURES.contains(&Errno::from_raw(code)))
+        || error.raw_os_error().is_some_and(|code| LOCAL_ERRORS.contains(&Errno::from_raw(code)))
 }
 
-/// Whether a request came to nothing since this machine could open no connection.
+/// Whether a request failed because this machine could not open a connection.
 pub fn could_not_connect(error: &SendRequestError) -> bool {
-    matches!(error, SendRequestError::Connect(awc::error::ConnectError::Io(e)) if is_own_failure(e))
+    matches!(error, SendRequestError::Connect(awc::error::ConnectError::Io(e)) if is_local_error(e))
 }
 
-/// Opens connections. One that comes up for an attempt whose words are too old by then is kept for it, and the attempt told so: it
-/// begins anew, with a fresh figure, on the same connection.
+/// Opens connections. If the time budget stated by an attempt is out of date once its connection is
+/// established, the connection is kept for the attempt and the request refused: the attempt begins again,
+/// with a current budget, on the same connection.
 #[derive(Clone)]
 pub struct Dialer {
     connector: ConnectorService,
-    /// For how long it tries again where this machine fails.
-    tries_for: Duration,
+    /// For how long failures of this machine are retried.
+    retry_for: Duration,
 }
 
 impl Dialer {
-    /// Of the time that a connection may take, tries again for this part: the rest is for one that then comes up.
-    const TRIES_SHARE: f64 = 0.6;
+    /// Share of the connect timeout for which failures of this machine are retried; the rest is left for the
+    /// connection that is then opened.
+    const RETRY_SHARE: f64 = 0.6;
 
-    /// One for connections that may take so long.
-    pub fn new(within: Duration) -> Self {
-        Dialer { connector: Connector::default().service(), tries_for: within.mul_f64(Self::TRIES_SHARE) }
+    /// Creates a dialer with the given connect timeout.
+    pub fn new(timeout: Duration) -> Self {
+        Dialer { connector: Connector::default().service(), retry_for: timeout.mul_f64(Self::RETRY_SHARE) }
     }
 
     async fn connect(self, uri: Uri) -> Result<Socket, ConnectError> {
@@ -128,12 +133,13 @@
             match self.connector.call(ConnectInfo::new(uri.clone())).await {
                 Ok(connected) => {
                     let (stream, _) = connected.into_parts();
-                    // A request's last bytes must not wait for the first ones' acknowledgement.
+                    // With Nagle's algorithm, a request's last bytes would wait until the first ones are
+                    // acknowledged.
                     let _ = stream.set_nodelay(true);
                     return Ok(Socket::new(stream));
                 }
-                Err(ConnectError::Io(e)) if is_own_failure(&e) && begun.elapsed() < self.tries_for => {
-                    sleep(AGAIN_AFTER).await;
+                Err(ConnectError::Io(e)) if is_local_error(&e) && begun.elapsed() < self.retry_for => {
+                    sleep(RETRY_DELAY).await;
                 }
                 Err(e) => return Err(e),
             }
@@ -150,14 +156,14 @@
 
     fn call(&self, info: ConnectInfo<Uri>) -> Self::Future {
         let (uri, dialer) = (info.request().clone(), self.clone());
-        if let Some(socket) = Attempt::current().and_then(|attempt| attempt.kept()) {
+        if let Some(socket) = Attempt::current().and_then(|attempt| attempt.take_connection()) {
             return Box::pin(async move { Ok(Connected::new(uri, Connection::new(socket))) });
         }
         Box::pin(async move {
             let socket = dialer.connect(uri.clone()).await?;
-            match Attempt::current().map(|attempt| (attempt.told_holds(), attempt)) {
+            match Attempt::current().map(|attempt| (attempt.check_budget(), attempt)) {
                 Some((Err(refusal), attempt)) => {
-                    attempt.keeps(socket);
+                    attempt.keep_connection(socket);
                     Err(ConnectError::Io(refusal.into()))
                 }
                 _ => Ok(Connected::new(uri, Connection::new(socket))),
--- a/crates/coveroute-node/src/crossings.rs
+++ b/crates/coveroute-node/src/crossings.rs
@@ -186,7 +186,7 @@
         let socket = listener.accept().await.expect("a connection").0;
         let guest = Rc::new(Guest::new(-1));
         let mut stream = Stream::new(socket, guest.clone());
-        guest.rests();
+        guest.set_answered();
         assert!(!guest.is_busy(), "nothing is on its way");
         // More than the kernel takes for a client that reads nothing.
         let answer = vec![b'x'; 32 << 20];
@@ -212,9 +212,9 @@
 #[test]
 fn a_client_that_has_said_too_much_stays_where_its_job_is() {
     let guest = Guest::new(-1);
-    guest.waits();
-    guest.waits_for(1);
-    assert!(guest.leaves().is_some() && guest.goes_on());
-    guest.overruns();
-    assert!(guest.leaves().is_none() && !guest.goes_on());
+    guest.set_waiting();
+    guest.set_job(1);
+    assert!(guest.leaves().is_some() && guest.is_reusable());
+    guest.set_overrun();
+    assert!(guest.leaves().is_none() && !guest.is_reusable());
 }
--- a/crates/coveroute-node/src/descriptors/tests.rs
+++ b/crates/coveroute-node/src/descriptors/tests.rs
@@ -1,33 +1,33 @@
-//! Tests of what the node takes its descriptors for.
+//! Tests of the connection limit that follows from running out of file descriptors.
 use super::*;
 
 const LEAST: usize = 30;
 const TICK: Duration = Duration::from_millis(100);
 
 #[test]
-fn a_shortage_that_goes_on_shrinks_the_bound_once() {
+fn a_continuing_shortage_lowers_the_limit_once() {
     let mut descriptors = Descriptors::default();
-    (0..50).for_each(|_| descriptors.run_out(80, LEAST));
-    assert_eq!(descriptors.connections(), 60);
-    descriptors.found();
-    descriptors.run_out(64, LEAST);
-    assert_eq!(descriptors.connections(), 48);
+    (0..50).for_each(|_| descriptors.exhausted(80, LEAST));
+    assert_eq!(descriptors.max_connections(), 60);
+    descriptors.accept_succeeded();
+    descriptors.exhausted(64, LEAST);
+    assert_eq!(descriptors.max_connections(), 48);
 }
 
 #[test]
-fn a_shortage_of_others_making_leaves_room() {
+fn a_shortage_with_few_connections_keeps_the_minimum() {
     let mut descriptors = Descriptors::default();
-    descriptors.run_out(3, LEAST);
-    assert_eq!(descriptors.connections(), LEAST);
+    descriptors.exhausted(3, LEAST);
+    assert_eq!(descriptors.max_connections(), LEAST);
 }
 
 #[test]
-fn what_was_taken_is_tried_again_faster_and_faster() {
+fn the_limit_grows_back_exponentially() {
     let mut descriptors = Descriptors::default();
-    descriptors.run_out(100, LEAST);
+    descriptors.exhausted(100, LEAST);
     descriptors.grow(TICK);
-    assert_eq!(descriptors.connections(), 75, "not before one was found");
-    descriptors.found();
+    assert_eq!(descriptors.max_connections(), 75, "no growth before an accept succeeds");
+    descriptors.accept_succeeded();
     (0..60).for_each(|_| descriptors.grow(TICK));
-    assert!((75 + 63..75 + 127).contains(&descriptors.connections()), "{descriptors:?}");
+    assert!((75 + 63..75 + 127).contains(&descriptors.max_connections()), "{descriptors:?}");
 }
--- a/crates/coveroute-node/src/guest.rs
+++ b/crates/coveroute-node/src/guest.rs
@@ -1,4 +1,5 @@
-//! A guest: one accepted connection, what it does now and since when, and the stream that notes what it says.
+//! Guest: the state of one accepted client connection, and the stream wrapper that updates it as bytes
+//! arrive.
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -20,90 +21,95 @@
 use crate::relay::Answer;
 use crate::socket::Socket;
 
+/// Where a connection stands in the request cycle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Doing {
-    /// Has connected, and said nothing.
+    /// Connected; no byte has arrived yet.
     Silent,
-    /// A request has begun and is not whole.
+    /// A request has begun to arrive and is incomplete.
     Asking,
-    /// Waits for its answer.
+    /// The request is complete; its response is pending.
     Waiting,
-    /// Has had its answer.
+    /// The last request has been answered.
     Resting,
 }
 
-/// What may become of a guest, in the order in which they lose their places to others.
+/// A connection's eviction class. Lower values are closed first to make room for new connections.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum Claim {
-    /// Has had its time to say what it wants.
+    /// Exceeded the time limit for sending a request.
     Overdue,
-    /// Has not asked for anything yet.
+    /// Has not completed a request yet.
     None,
+    /// Idle after an answered request.
     Rested,
-    /// An answer is owed, or has only just left.
+    /// A response is pending or was sent only just now: not evicted.
     Owed,
 }
 
-/// From connecting, or from a request's first byte, to its last: many times what an honest client's 64 KiB
-/// take on a busy core, and inside the three seconds in which whoever is not served is told or closed.
-const ASKS_WITHIN: Duration = Duration::from_millis(2200);
-/// A connection that has stood idle for so long may be closed for another: its last answer has long left by
-/// then, and a client that has only just connected has had time to say what it wants.
-const IDLE_AT_LEAST: Duration = Duration::from_millis(250);
-
-/// How much a client may have said beyond what it is answered for: a whole further request, its head and its body. The
-/// server's library keeps 128 KiB, and once it holds that many it neither reads on nor waits, but spends the core.
-const SAID_MOST: usize = 96 * 1024;
-/// Read at a time, so that what is held stays under that.
-const READ_MOST: usize = 16 * 1024;
-/// Of what comes in one breath this much is looked at before more is read: a whole request may stand in it.
-const BREATH: usize = 64 * 1024;
-
-/// What becomes of bytes that could be read now.
+/// Time limit from connecting, or from a request's first byte, to its last byte: many times what a
+/// well-behaved client needs for 64 KiB on a busy core, and within the three seconds in which every client
+/// that is not served must be answered or disconnected.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
+/// Minimum idle time before a connection may be closed in favor of another. By then its last response has
+/// been sent, and a client that has just connected has had time to send a request.
+const MIN_IDLE: Duration = Duration::from_millis(250);
+
+/// Bytes that are buffered while a request is pending: one more complete request, head and body. actix-http
+/// buffers 128 KiB; with a full buffer it neither reads nor waits, but spins and takes up the core.
+const MAX_BUFFERED: usize = 96 * 1024;
+/// Largest single read, so that the buffered bytes stay below actix-http's limit.
+const MAX_READ: usize = 16 * 1024;
+/// Bytes after which reading yields, so that they are parsed before more are read: they may hold a complete
+/// request.
+const MAX_READ_BURST: usize = 64 * 1024;
+
+/// What to do with bytes that are ready to be read.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Hears {
-    Reads,
-    /// First what has come is looked at.
-    Looks,
-    /// It has said too much while it waits: only whether it stays is listened for.
-    Drops,
+enum ReadAction {
+    Read,
+    /// Let the parser process what has been read first.
+    Yield,
+    /// The client sent too much while its request is pending: read only to detect the end of the connection.
+    Discard,
 }
 
 pub struct Guest {
     doing: Cell<Doing>,
     since: Cell<Instant>,
-    /// When the newest byte that it has said came.
-    arrived: Cell<Instant>,
-    /// Since when it may have waited to be accepted, until its first read.
-    waited_since: Cell<Option<Instant>>,
-    /// Its socket, until that is closed.
+    /// When the newest byte from the client arrived.
+    newest_arrival: Cell<Instant>,
+    /// Since when the connection may have been waiting to be accepted; cleared by the first read.
+    accept_wait_since: Cell<Option<Instant>>,
+    /// The connection's socket; `None` once it is closed.
     socket: Cell<Option<RawFd>>,
-    /// The job that it waits for.
+    /// The pending job.
     job: Cell<Option<InvId>>,
-    /// More came while it waited, and stands in the server's buffer.
-    ahead: Cell<bool>,
-    /// How much has been read since it last had an answer, and how much of that when it was last looked at.
-    said: Cell<(usize, usize)>,
-    /// Some of what it said was dropped: this connection can't go on after the answer.
-    overran: Cell<bool>,
-    /// Not all of an answer could be written yet.
-    stuck: Cell<bool>,
-    /// It is on its way to another process.
-    gone: Cell<bool>,
+    /// More bytes arrived while a request was pending; they are in actix-http's buffer.
+    has_pipelined: Cell<bool>,
+    /// Bytes received since the last response, and the value of that count at the last yield to the parser.
+    received: Cell<(usize, usize)>,
+    /// Received bytes were discarded: the connection can't be reused after the response.
+    has_overrun: Cell<bool>,
+    /// A response is only partly written.
+    is_write_pending: Cell<bool>,
+    /// The connection was handed over to another process.
+    is_handed_over: Cell<bool>,
+    /// Asks the task that serves the connection to close it.
     pub close: Notify,
 }
 
-/// Who waits for a job's answer.
+/// The client that waits for a job's answer.
 pub struct Client {
     pub answer: oneshot::Sender<Answer>,
-    /// None where nobody is connected.
+    /// `None` when no connection belongs to the job.
     pub guest: Option<Rc<Guest>>,
 }
 
-/// All guests of a door, by their addresses.
+/// All open client connections of a [`crate::server::Door`], by peer address.
 pub type Guests = Rc<RefCell<BTreeMap<SocketAddr, Rc<Guest>>>>;
 
-/// What of a guest may go to another process.
+/// How a connection can be handed over to another process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Leaves {
     Idle,
@@ -114,31 +120,33 @@
     pub fn new(socket: RawFd) -> Self {
         let now = Instant::now();
         let (doing, since, job) = (Cell::new(Doing::Silent), Cell::new(now), Cell::new(None));
-        let (arrived, waited_since) = (Cell::new(now), Cell::new(None));
-        let (ahead, stuck, gone) = (Cell::new(false), Cell::new(false), Cell::new(false));
-        let (said, overran, socket) = (Cell::new((0, 0)), Cell::new(false), Cell::new(Some(socket)));
+        let (newest_arrival, accept_wait_since) = (Cell::new(now), Cell::new(None));
+        let (has_pipelined, is_write_pending, is_handed_over) =
+            (Cell::new(false), Cell::new(false), Cell::new(false));
+        let (received, has_overrun, socket) = (Cell::new((0, 0)), Cell::new(false), Cell::new(Some(socket)));
         Guest {
             doing,
             since,
-            arrived,
-            waited_since,
+            newest_arrival,
+            accept_wait_since,
             socket,
             job,
-            ahead,
-            said,
-            overran,
-            stuck,
-            gone,
+            has_pipelined,
+            received,
+            has_overrun,
+            is_write_pending,
+            is_handed_over,
             close: Notify::new(),
         }
     }
 
-    /// One that may have waited since then to be accepted.
-    pub fn waited_since(self, since: Option<Instant>) -> Self {
-        self.waited_since.set(since);
+    /// Records since when the connection may have been waiting to be accepted.
+    pub fn accept_wait_since(self, since: Option<Instant>) -> Self {
+        self.accept_wait_since.set(since);
         self
     }
 
+    /// A connection that has been in the given state for the given time.
     #[cfg(test)]
     pub fn since_long(doing: Doing, age: Duration) -> Self {
         let since = Instant::now().checked_sub(age).expect("a machine that is up for longer");
@@ -161,146 +169,153 @@
         !self.is_busy() && self.doing() != Doing::Waiting && self.since().elapsed() >= least
     }
 
-    /// A request is on its way in, or an answer on its way out. Guards against a stop in between: the request's last
-    /// byte may come with the very next breath, and then it counts as taken.
+    /// Whether a request is being received or a response being written. The node must not stop in between:
+    /// the request's last byte may be in the next read, and then the request counts as accepted.
     pub fn is_busy(&self) -> bool {
-        self.doing() == Doing::Asking || self.stuck.get()
+        self.doing() == Doing::Asking || self.is_write_pending.get()
     }
 
     pub fn claim(&self) -> Claim {
         let stood = self.since().elapsed();
         match self.doing() {
-            Doing::Silent | Doing::Asking if stood >= ASKS_WITHIN => Claim::Overdue,
-            Doing::Silent | Doing::Asking if stood >= IDLE_AT_LEAST => Claim::None,
-            Doing::Resting if stood >= IDLE_AT_LEAST => Claim::Rested,
+            Doing::Silent | Doing::Asking if stood >= REQUEST_TIMEOUT => Claim::Overdue,
+            Doing::Silent | Doing::Asking if stood >= MIN_IDLE => Claim::None,
+            Doing::Resting if stood >= MIN_IDLE => Claim::Rested,
             _ => Claim::Owed,
         }
     }
 
-    /// Guards against clients that say much and leave: their end stands behind it all, and has to be come to.
-    fn hears(&self) -> Hears {
-        let (said, looked) = self.said.get();
+    /// Decides what to do with readable bytes. A client may send a lot and disconnect: its end of stream lies
+    /// behind all those bytes, so reading must go on until it is reached.
+    fn read_action(&self) -> ReadAction {
+        let (received, parsed) = self.received.get();
         match self.doing() {
-            Doing::Waiting if said >= SAID_MOST => {
-                self.overruns();
-                Hears::Drops
+            Doing::Waiting if received >= MAX_BUFFERED => {
+                self.set_overrun();
+                ReadAction::Discard
             }
-            Doing::Silent | Doing::Asking | Doing::Resting if said - looked >= BREATH => {
-                self.said.set((said, said));
-                Hears::Looks
+            Doing::Silent | Doing::Asking | Doing::Resting if received - parsed >= MAX_READ_BURST => {
+                self.received.set((received, received));
+                ReadAction::Yield
             }
-            _ => Hears::Reads,
+            _ => ReadAction::Read,
         }
     }
 
-    /// Whether more may be asked for on its connection.
-    pub fn goes_on(&self) -> bool {
-        !self.overran.get()
+    /// Whether the connection can carry further requests.
+    pub fn is_reusable(&self) -> bool {
+        !self.has_overrun.get()
     }
 
-    /// When the newest byte that it has said came. A request's time counts from its last byte.
-    pub fn arrived(&self) -> Instant {
-        self.arrived.get()
+    /// When the newest byte arrived. A request's time budget counts from its last byte.
+    pub fn newest_arrival(&self) -> Instant {
+        self.newest_arrival.get()
     }
 
-    /// When the newest byte came that a read could bring now: by the kernel, else since it may have waited.
-    fn newest_byte(&self) -> Instant {
-        let (now, waited_since) = (Instant::now(), self.waited_since.take());
+    /// When the newest unread byte arrived: as the kernel reports it, or else the earliest time at which the
+    /// connection may have begun to wait to be accepted.
+    fn newest_byte_time(&self) -> Instant {
+        let (now, accept_wait_since) = (Instant::now(), self.accept_wait_since.take());
         let age = self.socket.get().and_then(newest_byte_age);
-        age.and_then(|age| now.checked_sub(age)).or(waited_since).unwrap_or(now)
+        age.and_then(|age| now.checked_sub(age)).or(accept_wait_since).unwrap_or(now)
     }
 
-    /// Bytes have come, the newest at that moment. One that has connected has its time from then on: saying a little does not renew it.
-    fn heard(&self, many: usize, arrived: Instant) {
-        self.arrived.set(arrived);
-        let (said, looked) = self.said.get();
-        self.said.set((said + many, looked));
+    /// Records received bytes, the newest of which arrived at the given time. On a new connection the request
+    /// time limit runs from connecting: sending a few bytes does not restart it.
+    fn bytes_received(&self, count: usize, newest_arrival: Instant) {
+        self.newest_arrival.set(newest_arrival);
+        let (received, parsed) = self.received.get();
+        self.received.set((received + count, parsed));
         match self.doing() {
             Doing::Silent => self.doing.set(Doing::Asking),
-            Doing::Resting => self.now(Doing::Asking),
+            Doing::Resting => self.enter(Doing::Asking),
             Doing::Asking => {}
-            Doing::Waiting => self.ahead.set(true),
+            Doing::Waiting => self.has_pipelined.set(true),
         }
     }
 
-    pub fn waits(&self) {
-        self.now(Doing::Waiting);
+    /// A complete request has arrived.
+    pub fn set_waiting(&self) {
+        self.enter(Doing::Waiting);
     }
 
-    /// The job that it waits for has this id.
-    pub fn waits_for(&self, id: InvId) {
+    /// Sets the id of the pending job.
+    pub fn set_job(&self, id: InvId) {
         self.job.set(Some(id));
     }
 
-    /// Whether it can go as it is: all that it said is known, and all that it was told is written.
+    /// Whether and how the connection can be handed over now: only if nothing received is unparsed and every
+    /// response is completely written.
     pub fn leaves(&self) -> Option<Leaves> {
         match (self.doing(), self.job.get()) {
-            _ if self.ahead.get() || self.stuck.get() || self.gone.get() => None,
+            _ if self.has_pipelined.get() || self.is_write_pending.get() || self.is_handed_over.get() => None,
             (Doing::Waiting, Some(id)) => Some(Leaves::Waiting(id)),
             (Doing::Silent | Doing::Resting, _) => Some(Leaves::Idle),
             (Doing::Waiting | Doing::Asking, _) => None,
         }
     }
 
-    /// It has gone to another process: what serves it here ends, before it reads on.
+    /// Marks the connection as handed over: the task that serves it here ends before it reads again.
     pub fn goes(&self) {
-        self.gone.set(true);
+        self.is_handed_over.set(true);
         self.close.notify_one();
     }
 
-    /// Its socket, once more.
+    /// Duplicates the connection's socket.
     pub fn socket(&self) -> io::Result<OwnedFd> {
         let socket = self.socket.get().ok_or(io::ErrorKind::NotConnected)?;
-        // SAFETY: whoever closes it tells so first.
+        // SAFETY: `closed` is called before the socket is closed, so the descriptor is still open here.
         unsafe { BorrowedFd::borrow_raw(socket) }.try_clone_to_owned()
     }
 
-    /// How much the kernel holds that has not been read.
+    /// Bytes in the kernel's receive buffer.
     pub fn unread(&self) -> usize {
-        let mut many: libc::c_int = 0;
-        // SAFETY: writes one number; a socket that is none is told as an error.
-        let told = unsafe { libc::ioctl(self.socket.get().unwrap_or(-1), libc::FIONREAD, &mut many) };
+        let mut count: libc::c_int = 0;
+        // SAFETY: writes one integer; an invalid descriptor is reported as an error.
+        let told = unsafe { libc::ioctl(self.socket.get().unwrap_or(-1), libc::FIONREAD, &mut count) };
         if told == 0 {
-            many as usize
+            count as usize
         } else {
             0
         }
     }
 
-    /// Some of what it said is dropped: after its answer it can't go on, here or in another process.
-    pub fn overruns(&self) {
-        self.overran.set(true);
-        self.ahead.set(true);
+    /// Records that received bytes are discarded: the connection can't be reused after the response, here or
+    /// in another process.
+    pub fn set_overrun(&self) {
+        self.has_overrun.set(true);
+        self.has_pipelined.set(true);
     }
 
-    /// Its socket is about to be closed, or is another guest's.
+    /// The socket is about to be closed, or now belongs to another `Guest`.
     pub fn closed(&self) {
         self.socket.set(None);
     }
 
-    /// Whether its client has closed the connection, or half of it, behind whatever has not been read yet. Guards
-    /// against a busy node, which would learn of it by its turn: the kernel is asked.
+    /// Whether the client has closed the connection or its sending half, even behind unread bytes. Asks the
+    /// kernel, since a busy node would see the event only after those that were queued before it.
     pub fn has_left(&self) -> bool {
         let Some(fd) = self.socket.get() else { return true };
         let mut look = libc::pollfd { fd, events: libc::POLLRDHUP, revents: 0 };
-        // SAFETY: one record, which outlives the call; it waits for nothing.
+        // SAFETY: passes one record that outlives the call; a timeout of 0 does not block.
         unsafe { libc::poll(&mut look, 1, 0) > 0 }
     }
 
-    pub fn rests(&self) {
+    /// The pending request has been answered.
+    pub fn set_answered(&self) {
         self.job.set(None);
-        self.said.set((0, 0));
-        self.now(Doing::Resting);
+        self.received.set((0, 0));
+        self.enter(Doing::Resting);
     }
 
-    fn now(&self, doing: Doing) {
+    fn enter(&self, doing: Doing) {
         self.doing.set(doing);
         self.since.set(Instant::now());
     }
 }
 
-/// A guest's stream. Guards against clients that never finish what they say, on whichever request: a library's
-/// time limit sees to the first head only.
+/// The stream of a client connection. Tracks when requests begin and end, so that clients that never complete
+/// a request are disconnected on any request: actix-http's timeout covers only the first request head.
 pub struct Stream {
     socket: Socket,
     guest: Rc<Guest>,
@@ -320,34 +335,34 @@
 
 impl AsyncRead for Stream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        match self.guest.hears() {
-            Hears::Reads => {}
-            Hears::Looks => {
+        match self.guest.read_action() {
+            ReadAction::Read => {}
+            ReadAction::Yield => {
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
-            Hears::Drops => return self.drop_all(cx),
+            ReadAction::Discard => return self.discard(cx),
         }
-        // What fits in one go, and no more: the buffer given may be as large as all that was said before.
-        let mut part = [MaybeUninit::uninit(); READ_MOST];
-        let room = buf.remaining().min(READ_MOST);
+        // Bounds the read: the given buffer may be as large as everything received so far.
+        let mut part = [MaybeUninit::uninit(); MAX_READ];
+        let room = buf.remaining().min(MAX_READ);
         let mut part = ReadBuf::uninit(&mut part[..room]);
-        let arrived = self.guest.newest_byte();
+        let newest_arrival = self.guest.newest_byte_time();
         let read = Pin::new(&mut self.socket).poll_read(cx, &mut part);
         if !part.filled().is_empty() {
             buf.put_slice(part.filled());
-            self.guest.heard(part.filled().len(), arrived);
+            self.guest.bytes_received(part.filled().len(), newest_arrival);
         }
         read
     }
 }
 
 impl Stream {
-    /// Reads on to the client's end, if it has come, and keeps nothing.
-    fn drop_all(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
-        let mut nothing = [MaybeUninit::uninit(); READ_MOST];
+    /// Reads and discards everything up to the end of the stream, if that has arrived.
+    fn discard(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
+        let mut scratch = [MaybeUninit::uninit(); MAX_READ];
         loop {
-            let mut dropped = ReadBuf::uninit(&mut nothing);
+            let mut dropped = ReadBuf::uninit(&mut scratch);
             match Pin::new(&mut self.socket).poll_read(cx, &mut dropped) {
                 Poll::Ready(Ok(())) if !dropped.filled().is_empty() => {}
                 end => return end,
@@ -359,7 +374,7 @@
 impl AsyncWrite for Stream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.socket).poll_write(cx, bytes);
-        self.guest.stuck.set(written.is_pending());
+        self.guest.is_write_pending.set(written.is_pending());
         written
     }
 
--- a/crates/coveroute-node/src/happening.rs
+++ b/crates/coveroute-node/src/happening.rs
@@ -1,4 +1,4 @@
-//! Happenings: what the units on sockets tell the driver.
+//! Happenings: the events that the socket modules send to the driver.
 use std::rc::Rc;
 
 use bytes::Bytes;
@@ -16,47 +16,48 @@
 
 pub type Happenings = mpsc::UnboundedSender<Happening>;
 
-/// What operators are shown: the engine's figures, and the sockets'.
+/// The figures reported in the metrics: the engine's and those of attempts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeFigures {
     pub engine: Figures,
     pub attempts: AttemptFigures,
 }
 
-/// What the units on sockets tell the driver.
+/// An event for the driver.
 pub enum Happening {
+    /// A client's request was read completely.
     Taken(InvId, Box<Job>, Client),
     /// The client has closed its connection.
     Left(InvId),
+    /// An executor's reply to a forward, by the forward's number.
     Replied(InvId, usize, Reply),
-    /// What an executor tells, as it came too, and who waits for whether a process has it.
+    /// An executor's job status update, parsed and as received, and where to report whether a process of this
+    /// node accepted it.
     News(News, Bytes, Option<oneshot::Sender<bool>>),
-    /// What an executor tells, of no other process's job: whether it is then acknowledged.
+    /// A job status update that no other process of this node recognized as its own, and whether it is
+    /// acknowledged even if this process does not recognize it either.
     Returned(News, Option<oneshot::Sender<bool>>, bool),
-    /// A successor asks for what it begins with.
+    /// A successor process asks for the state that it starts with.
     Handing(oneshot::Sender<Handed>),
-    /// It has it.
+    /// The successor has received that state.
     Linked(Rc<Link>),
-    /// What another process of this node says, on the link of this number.
+    /// A message from another process of this node, on the link with this number.
     Said(Side, u64, Said),
+    /// The result of a probe of an executor.
     Probed(Tgt, Outcome, Report),
+    /// News of the list of executors, for the watch with this number.
     Watch(u64, Watched),
-    /// Another node's message.
-    Heard {
-        from: usize,
-        told: Told,
-        mark: u32,
-        count: u8,
-    },
-    /// The operators ask for the configuration to be read anew: what it says, or why it is not fit. With it the fleet's
-    /// file, where there is one.
+    /// A message from another node.
+    Heard { from: usize, told: Told, mark: u32, count: u8 },
+    /// The operators requested a reload: the new configuration or why it is invalid, and the fleet file, if
+    /// there is one.
     Reload(Result<Box<Config>, String>, Option<Plan>),
-    /// The door has ended a job of this operation by itself.
+    /// The server answered a request for this operation itself.
     Ended(String, Verdict),
-    /// Operators ask for the figures.
+    /// Operators requested the metrics.
     Asked(oneshot::Sender<NodeFigures>),
-    /// Of tenants' shares, what is this node's now.
+    /// This node's current part of the tenants' shares.
     Quotas(Vec<(String, f64)>),
-    /// The platform asks the node to stop.
+    /// The platform requested that the node stop.
     Stop,
 }
--- a/crates/coveroute-node/src/logger.rs
+++ b/crates/coveroute-node/src/logger.rs
@@ -1,38 +1,41 @@
-//! Log lines on standard error: time, level, unit and words.
+//! Logger: writes log lines to standard error: time, level, module and message.
 use std::io::Write;
 use std::sync::Mutex;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use log::{LevelFilter, Log, Metadata, Record};
 
-/// Lines in a second, up to which all are written; from debug on there is no bound. Guards against clients that
-/// could fill a disk, or a core, by being told of: what the node says of itself is some lines a second.
-const MOST: u32 = 100;
+/// Maximum number of lines written per second; unlimited at the levels debug and trace. Otherwise clients
+/// could fill a disk or take up a core with messages about them; the node's own messages are a few lines per
+/// second.
+const MAX_LINES_PER_SECOND: u32 = 100;
 
-/// How many lines the second that runs has had.
+/// Rate limiter: counts the lines of the current second.
 #[derive(Debug)]
 pub struct Pace {
     pub second: u64,
     pub lines: u32,
 }
 
+/// Whether a line is written.
 #[derive(Debug, PartialEq)]
 pub enum Turn {
     Written,
-    /// After so many that were left out.
+    /// Written, after this many lines were left out.
     WrittenAfter(u32),
     LeftOut,
 }
 
 impl Pace {
+    /// Decides on a line in the given second.
     pub fn turn(&mut self, second: u64) -> Turn {
-        let left_out = self.lines.saturating_sub(MOST);
+        let left_out = self.lines.saturating_sub(MAX_LINES_PER_SECOND);
         if self.second != second {
             (self.second, self.lines) = (second, 1);
             return if left_out > 0 { Turn::WrittenAfter(left_out) } else { Turn::Written };
         }
         self.lines = self.lines.saturating_add(1);
-        if self.lines > MOST {
+        if self.lines > MAX_LINES_PER_SECOND {
             Turn::LeftOut
         } else {
             Turn::Written
@@ -44,7 +47,7 @@
 
 impl Log for Stderr {
     fn enabled(&self, metadata: &Metadata) -> bool {
-        // The libraries call each client's mistake an error: their lines are for those who look for them.
+        // Libraries log every client mistake as an error: their lines are shown only from debug on.
         let own = metadata.target().starts_with(env!("CARGO_BIN_NAME"));
         metadata.level() <= log::max_level() && (own || log::max_level() >= LevelFilter::Debug)
     }
@@ -54,10 +57,10 @@
             return;
         }
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |unix| unix.as_secs_f64());
-        let unit = record.target().rsplit("::").next().unwrap_or_default();
+        let module = record.target().rsplit("::").next().unwrap_or_default();
         let all = log::max_level() >= LevelFilter::Debug;
         let turn = self.0.lock().map_or(Turn::Written, |mut pace| pace.turn(unix as u64));
-        // A log that can't be written must not stop the node.
+        // Errors are ignored: a log that can't be written must not stop the node.
         match turn {
             Turn::LeftOut if !all => return,
             Turn::WrittenAfter(lines) if !all => {
@@ -65,12 +68,13 @@
             }
             _ => {}
         }
-        let _ = writeln!(std::io::stderr(), "{unix:.3} {:5} {unit}: {}", record.level(), record.args());
+        let _ = writeln!(std::io::stderr(), "{unix:.3} {:5} {module}: {}", record.level(), record.args());
     }
 
     fn flush(&self) {}
 }
 
+/// Installs the logger.
 pub fn start(level: LevelFilter) {
     static LOGGER: Stderr = Stderr(Mutex::new(Pace { second: 0, lines: 0 }));
     if log::set_logger(&LOGGER).is_ok() {
--- a/crates/coveroute-node/src/operators.rs
+++ b/crates/coveroute-node/src/operators.rs
@@ -1,5 +1,5 @@
-//! The operators' door: an address of its own, on which the node tells whether it serves, and its figures. One call
-//! to a connection. It shares nothing with the clients' door but the process: neither its bound nor its places.
+//! Operators: the management endpoint, on an address of its own, with the readiness check and the metrics.
+//! Each connection carries one request. Limits and connection slots are independent of those for clients.
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,32 +25,33 @@
 const READY: &str = "/v1/readyz";
 const METRICS: &str = "/v1/metrics";
 
-/// Connections at a time, of the descriptors that the clients' door leaves: several screens and some dozen
-/// callers that only stay.
-const MOST: usize = 32;
-/// For a whole call, from connecting to the answer's last byte: twice what an answer may take.
-const WITHIN: Duration = Duration::from_secs(2);
+/// Maximum number of connections, from the descriptors that the client limit leaves: enough for several
+/// dashboards and some dozen connections that only stay open.
+const MAX_CONNECTIONS: usize = 32;
+/// Time limit for a request, from connecting to the response's last byte: twice the time that a response may
+/// take.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The figures as operators name them.
+/// The metrics as serialized.
 #[derive(Serialize)]
-struct Shown {
+struct Metrics {
     results: BTreeMap<String, Results>,
     forwards: u64,
     outstanding: usize,
     discovered: usize,
     ejected: usize,
-    list: ListShown,
-    attempts: AttemptsShown,
+    list: ListMetrics,
+    attempts: AttemptMetrics,
     sighup_applied: u64,
     sighup_rejected: u64,
-    /// What it knows of the other nodes, where nodes know each other.
+    /// The node's view of the fleet, if it is in one.
     #[serde(skip_serializing_if = "Option::is_none")]
     fleet: Option<fleet::Shown>,
 }
 
-/// The list of executors that this node holds; seconds are null before discovery was first heard of.
+/// The node's list of executors. The times are null until discovery first answered.
 #[derive(Serialize)]
-struct ListShown {
+struct ListMetrics {
     version: u64,
     state: &'static str,
     first_heard_s: Option<f64>,
@@ -58,9 +59,9 @@
     refused_without: u64,
 }
 
-impl From<ListFigures> for ListShown {
-    fn from(list: ListFigures) -> ListShown {
-        ListShown {
+impl From<ListFigures> for ListMetrics {
+    fn from(list: ListFigures) -> ListMetrics {
+        ListMetrics {
             version: list.version,
             state: list.state,
             first_heard_s: list.first_heard,
@@ -70,9 +71,9 @@
     }
 }
 
-/// What attempts told their executors of the clients' time, and why some were not begun.
+/// Counts of attempts; see [`AttemptFigures`].
 #[derive(Serialize)]
-struct AttemptsShown {
+struct AttemptMetrics {
     written: u64,
     overstated: u64,
     longest_excess_s: f64,
@@ -84,9 +85,9 @@
     no_connection: u64,
 }
 
-impl From<AttemptFigures> for AttemptsShown {
-    fn from(figures: AttemptFigures) -> AttemptsShown {
-        AttemptsShown {
+impl From<AttemptFigures> for AttemptMetrics {
+    fn from(figures: AttemptFigures) -> AttemptMetrics {
+        AttemptMetrics {
             written: figures.written,
             overstated: figures.overstated,
             longest_excess_s: figures.longest_excess,
@@ -107,13 +108,13 @@
     aborted: u64,
 }
 
-impl From<NodeFigures> for Shown {
-    fn from(NodeFigures { engine: figures, attempts }: NodeFigures) -> Shown {
+impl From<NodeFigures> for Metrics {
+    fn from(NodeFigures { engine: figures, attempts }: NodeFigures) -> Metrics {
         let results = figures.operations.into_iter().map(|(name, tally)| {
             let (succeeded, declined, aborted) = (tally.succeeded, tally.throttled, tally.errored);
             (name.to_string(), Results { succeeded, declined, aborted })
         });
-        Shown {
+        Metrics {
             results: results.collect(),
             forwards: figures.forwards,
             outstanding: figures.outstanding,
@@ -128,7 +129,7 @@
     }
 }
 
-/// What the calls share.
+/// The state shared by all requests of operators.
 pub struct Desk {
     life: Rc<Life>,
     happenings: Happenings,
@@ -144,7 +145,7 @@
         let mut answer = match (request.path(), request.method()) {
             (READY, &Method::GET | &Method::HEAD) if self.life.is_ready() => text(StatusCode::OK, "ready\n"),
             (READY, &Method::GET | &Method::HEAD) => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            (METRICS, &Method::GET | &Method::HEAD) => self.figures().await,
+            (METRICS, &Method::GET | &Method::HEAD) => self.metrics().await,
             (READY | METRICS, _) => {
                 let mut answer = text(StatusCode::METHOD_NOT_ALLOWED, "figures are read by GET\n");
                 answer.headers_mut().insert(ALLOW, HeaderValue::from_static("GET, HEAD"));
@@ -156,14 +157,13 @@
         answer
     }
 
-    /// Asked of the driver, which alone has the books: after all that came before.
-    async fn figures(&self) -> Response<BoxBody> {
-        let (tell, told) = oneshot::channel();
-        let _ = self.happenings.send(Happening::Asked(tell));
+    /// Requests the metrics from the driver, which owns them and handles the events before this one first.
+    async fn metrics(&self) -> Response<BoxBody> {
+        let (reply, replied) = oneshot::channel();
+        let _ = self.happenings.send(Happening::Asked(reply));
         let fleet = || self.carrier.as_ref().map(|carrier| carrier.shown());
-        let shown = told.await.ok().map(|figures| Shown { fleet: fleet(), ..Shown::from(figures) });
-        let shown = shown.map(|shown| serde_json::to_vec(&shown));
-        let Some(Ok(body)) = shown else {
+        let metrics = replied.await.ok().map(|figures| Metrics { fleet: fleet(), ..Metrics::from(figures) });
+        let Some(Ok(body)) = metrics.map(|metrics| serde_json::to_vec(&metrics)) else {
             return text(StatusCode::SERVICE_UNAVAILABLE, "the node has ended\n");
         };
         let mut answer = Response::with_body(StatusCode::OK, body).map_into_boxed_body();
@@ -176,35 +176,35 @@
     Response::with_body(status, words).map_into_boxed_body()
 }
 
-/// Accepts calls for as long as the process lives. Guards against callers that connect and say nothing, or half:
-/// each has its time, and where they are too many who came first goes.
+/// Accepts operators' connections for as long as the process runs. Connections that send no complete request
+/// are closed: each has a time limit, and beyond the maximum number the oldest is closed.
 pub async fn accept(listener: TcpListener, desk: Rc<Desk>) {
     let service = HttpService::build()
         .keep_alive(KeepAlive::Disabled)
-        .client_request_timeout(Duration::ZERO) // The whole call has a limit.
+        .client_request_timeout(Duration::ZERO) // `REQUEST_TIMEOUT` limits the whole exchange.
         .h1(actix_service::fn_service(move |request| {
             let desk = desk.clone();
             async move { Ok::<_, std::convert::Infallible>(desk.answer(request).await) }
         }))
         .new_service(());
     let Ok(service) = service.await else { return };
-    let mut calls: VecDeque<JoinHandle<()>> = VecDeque::new();
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
             Ok((socket, peer)) => {
-                calls.retain(|call| !call.is_finished());
-                if calls.len() >= MOST {
-                    calls.pop_front().into_iter().for_each(|first| first.abort());
+                connections.retain(|connection| !connection.is_finished());
+                if connections.len() >= MAX_CONNECTIONS {
+                    connections.pop_front().into_iter().for_each(|oldest| oldest.abort());
                 }
                 let serving = service.call((Socket::new(socket), Some(peer)));
-                calls.push_back(actix_rt::spawn(async move {
-                    if let Ok(Err(e)) = timeout(WITHIN, serving).await {
-                        debug!("operators' door: {peer}: {e:?}");
+                connections.push_back(actix_rt::spawn(async move {
+                    if let Ok(Err(e)) = timeout(REQUEST_TIMEOUT, serving).await {
+                        debug!("management endpoint: {peer}: {e:?}");
                     }
                 }));
             }
             Err(e) => {
-                warn!("operators' door: accept: {e}");
+                warn!("management endpoint: can't accept a connection: {e}");
                 sleep(Duration::from_millis(10)).await;
             }
         }
--- a/crates/coveroute-node/src/phase.rs
+++ b/crates/coveroute-node/src/phase.rs
@@ -1,4 +1,5 @@
-//! What all units read of the node: its phase, which the driver moves on with the engine, and what is in hand.
+//! Phase: the node state that all modules share: its lifecycle phase, which the driver copies from the
+//! engine, and the requests in progress.
 use std::cell::Cell;
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -7,38 +8,41 @@
 use coveroute_engine::Phase;
 use tokio::sync::watch;
 
+/// The state of this process that its modules share.
 #[derive(Debug)]
 pub struct Life {
     phase: Cell<Phase>,
-    held: Cell<usize>,
-    /// Whose lists of executors are taken unasked, if anybody's.
+    /// Number of requests in progress.
+    in_progress: Cell<usize>,
+    /// The address from which pushed lists of executors are accepted, if from any.
     lists_from: Cell<Option<IpAddr>>,
-    /// The longest that a client can be told to stay away.
+    /// The longest Retry-After that clients are given, in seconds.
     max_pause: Cell<f64>,
-    /// Whether clients' connections are taken: not once a successor does.
+    /// Whether this process accepts client connections; not once a successor does.
     takes: watch::Sender<bool>,
-    /// Another process of this node lives: the limits count for both together.
+    /// Another process of this node is alive: the limits apply to both together.
     paired: Cell<bool>,
-    /// The process before still takes connections.
+    /// The previous process of this node still accepts connections.
     follows: Cell<bool>,
-    next: Cell<InvId>,
+    next_id: Cell<InvId>,
 }
 
-/// A request in hand, from its head to its answer.
-pub struct Held(Rc<Life>);
+/// Counts a request as in progress until it is dropped.
+pub struct RequestGuard(Rc<Life>);
 
-impl Drop for Held {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.held.set(self.0.held.get() - 1);
+        self.0.in_progress.set(self.0.in_progress.get() - 1);
     }
 }
 
 impl Life {
     pub fn new() -> Self {
-        let (phase, held, lists_from) = (Cell::new(Phase::Starting), Cell::new(0), Cell::new(None));
+        let (phase, in_progress, lists_from) = (Cell::new(Phase::Starting), Cell::new(0), Cell::new(None));
         let (max_pause, takes) = (Cell::new(0.0), watch::Sender::new(true));
         let (paired, follows) = (Cell::new(false), Cell::new(false));
-        Life { phase, held, lists_from, max_pause, takes, paired, follows, next: Cell::new(0) }
+        let next_id = Cell::new(0);
+        Life { phase, in_progress, lists_from, max_pause, takes, paired, follows, next_id }
     }
 
     pub fn lists_from(&self) -> Option<IpAddr> {
@@ -49,10 +53,10 @@
         self.lists_from.set(who);
     }
 
-    /// An id for an invocation that comes to this process.
+    /// A new id for an invocation in this process.
     pub fn next_id(&self) -> InvId {
-        let id = self.next.get();
-        self.next.set(id.wrapping_add(1));
+        let id = self.next_id.get();
+        self.next_id.set(id.wrapping_add(1));
         id
     }
 
@@ -72,14 +76,15 @@
         self.phase.set(phase);
     }
 
-    pub fn hold(self: &Rc<Self>) -> Held {
-        self.held.set(self.held.get() + 1);
-        Held(self.clone())
+    /// Counts a request as in progress until the guard is dropped.
+    pub fn request_guard(self: &Rc<Self>) -> RequestGuard {
+        self.in_progress.set(self.in_progress.get() + 1);
+        RequestGuard(self.clone())
     }
 
-    /// Whether no request is in hand.
+    /// Whether no request is in progress.
     pub fn idle(&self) -> bool {
-        self.held.get() == 0
+        self.in_progress.get() == 0
     }
 
     pub fn takes(&self) -> bool {
@@ -90,13 +95,13 @@
         self.takes.send_replace(takes);
     }
 
-    /// Waits until connections are taken, or are not any more.
+    /// Waits until this process accepts connections (`true`) or no longer does (`false`).
     pub async fn until_takes(&self, takes: bool) {
-        // Can't fail: the sender lives as long as this does.
+        // Can't fail: `self` owns the sender.
         let _ = self.takes.subscribe().wait_for(|now| *now == takes).await;
     }
 
-    /// Of the node's limits, what is this process's now.
+    /// This process's share of a limit of the node: half while another process of the node is alive.
     pub fn part(&self, of: usize) -> usize {
         if self.paired.get() {
             of / 2
@@ -105,6 +110,7 @@
         }
     }
 
+    /// Whether another process of this node is alive.
     pub fn paired(&self) -> bool {
         self.paired.get()
     }
@@ -113,16 +119,17 @@
         self.paired.set(paired);
     }
 
+    /// Sets whether the previous process of this node still accepts connections.
     pub fn follow(&self, follows: bool) {
         self.follows.set(follows);
     }
 
-    /// Whether operators may stop what was there before.
+    /// Whether the node is up and operators may stop the one that it replaces.
     pub fn is_ready(&self) -> bool {
         self.is_up() && !self.follows.get()
     }
 
-    /// Whether the front may send clients here.
+    /// Whether the front load balancer may send clients here.
     pub fn is_up(&self) -> bool {
         self.phase().is_up()
     }
--- a/crates/coveroute-node/src/probe.rs
+++ b/crates/coveroute-node/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probe: what a node asks an executor beside jobs, and tells it of one.
+//! Probe: requests to executors other than jobs: health probes, and giving up a job.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -11,46 +11,50 @@
 use crate::send;
 use crate::wire;
 
-/// How often a probe is sent: three in a row that meet a connection which nobody told us was closed are rare, even
-/// where a fifth of them are.
-const PROBES_SENT: usize = 3;
+/// How often a probe is sent at most. That three in a row meet a connection that was closed without notice is
+/// rare, even where a fifth of the connections are.
+const MAX_PROBE_TRIES: usize = 3;
 
-/// Asks an executor whether it serves, and for its load where it reports that. Guards against connections that
-/// have been kept and are reset at the next request, by what lies between or by the executor: that says nothing
-/// of the executor, and asking again is harmless. A process that has died refuses the next one.
+/// Asks an executor whether it is alive, and for its load if executors report that. A reset is retried: an
+/// idle connection may be reset at the next request by an intermediary or by the executor, which says nothing
+/// about the executor's health, and repeating a probe is harmless. If the process has died, the next
+/// connection is refused.
 pub async fn probe(lease: Lease, reports: bool, patience: Duration) -> (Outcome, Report) {
     let path = if reports { wire::LOAD } else { wire::ALIVE };
     let ask = || async {
-        let mut answer = lease.client().get(format!("http://{}{path}", lease.addr())).send().await?;
-        let body = answer.body().limit(wire::BODY_MOST).await.unwrap_or_default();
-        Ok((answer.status().as_u16(), body))
+        let mut response = lease.client().get(format!("http://{}{path}", lease.addr())).send().await?;
+        let body = response.body().limit(wire::BODY_MOST).await.unwrap_or_default();
+        Ok((response.status().as_u16(), body))
     };
     let asked = async {
-        for _ in 1..PROBES_SENT {
+        for _ in 1..MAX_PROBE_TRIES {
             match ask().await {
-                Err(e) if send::broken(&e) == Outcome::Reset => debug!("{}: asks again: {e}", lease.addr()),
-                told => return told,
+                Err(e) if send::failure_outcome(&e) == Outcome::Reset => {
+                    debug!("probing {} again after a reset: {e}", lease.addr())
+                }
+                result => return result,
             }
         }
         ask().await
     };
     match timeout(patience, asked).await {
         Err(_) => (Outcome::TimedOut, Report::default()),
-        // As where no connection is free: it says nothing of the executor.
+        // Handled like a lack of free connections: it says nothing about the executor.
         Ok(Err(e)) if could_not_connect(&e) => (Outcome::Full, Report::default()),
-        Ok(Err(e)) => (send::broken(&e), Report::default()),
+        Ok(Err(e)) => (send::failure_outcome(&e), Report::default()),
         Ok(Ok((200, body))) => (Outcome::Succeeded, send::report(&body)),
         Ok(Ok((503, body))) => (Outcome::Full, send::report(&body)),
         Ok(Ok(_)) => (Outcome::Errored, Report::default()),
     }
 }
 
-/// Tells an executor to give up a job that it has taken; whatever it answers, the forward has ended for us.
+/// Tells an executor to give up a job that it has accepted. The response is ignored: for this node the
+/// forward has ended.
 pub async fn give_up(lease: Lease, call: Arc<str>, patience: Duration) {
     let uri = format!("http://{}{}/{call}", lease.addr(), wire::JOBS);
     let tell = async {
-        if let Ok(mut answer) = lease.client().delete(uri).send().await {
-            let _ = answer.body().limit(wire::BODY_MOST).await;
+        if let Ok(mut response) = lease.client().delete(uri).send().await {
+            let _ = response.body().limit(wire::BODY_MOST).await;
         }
     };
     let _ = timeout(patience, tell).await;
--- a/crates/coveroute-node/src/relay.rs
+++ b/crates/coveroute-node/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relay: an invocation's final answer, as the client gets it.
+//! Relay: an invocation's final answer and its HTTP response to the client.
 use actix_http::body::BoxBody;
 use actix_http::header::{HeaderValue, RETRY_AFTER};
 use actix_http::{Response, StatusCode};
@@ -6,15 +6,16 @@
 use coveroute_engine as engine;
 use coveroute_engine::Unfit;
 
+/// The final answer to a client's request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// What an executor made, as it came.
+    /// The executor's result, unchanged.
     Succeeded(Bytes),
-    /// Trying again is harmless, best after `pause` seconds.
+    /// The request may safely be sent again, preferably after `pause` seconds.
     Throttled { pause: f64 },
-    /// It may have run.
+    /// The job failed or may have run.
     Errored,
-    /// Never taken, and wrong in itself.
+    /// The request is invalid and was not accepted.
     Unfit(StatusCode, &'static str),
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl Answer {
-    /// As it is written to a connection that no server of ours has.
+    /// Encodes the response for a connection that actix-http does not serve.
     pub fn bytes(self, keep: bool) -> Vec<u8> {
         let (status, body, pause) = self.parts();
         let (code, reason) = (status.as_u16(), status.canonical_reason().unwrap_or_default());
@@ -53,6 +54,7 @@
         [head.as_bytes(), b"\r\n", &body].concat()
     }
 
+    /// The status, the body, and the Retry-After in seconds or 0 for none.
     fn parts(self) -> (StatusCode, Bytes, f64) {
         match self {
             Answer::Succeeded(result) => (StatusCode::OK, result, 0.0),
--- a/crates/coveroute-node/src/send.rs
+++ b/crates/coveroute-node/src/send.rs
@@ -1,4 +1,4 @@
-//! Send: one forward of an invocation to an executor, and what its connection tells of it.
+//! Send: sends one forward of an invocation to an executor and interprets the response.
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
 use std::pin::{pin, Pin};
@@ -24,16 +24,17 @@
 use crate::take_in::Job;
 use crate::wire;
 
-/// The rest of an answer whose head has told all; a connection that takes longer is not worth keeping.
-const REST_WITHIN: Duration = Duration::from_secs(1);
+/// Time limit for reading the body of a response, which carries no information beyond its head. A connection
+/// that takes longer is closed rather than reused.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often an attempt is begun while its connection comes up or the kernel has no room: once more after a connection that came up
-/// late, and once after a node that was held up just then.
-const BEGUN_MOST: usize = 3;
+/// How often an attempt may begin before its first byte is written: a second time if its connection is
+/// established late, and a third time if the node is delayed just then.
+const MAX_BEGINS: usize = 3;
 
-/// Sends the job as it came. Tells the reply as soon as it is known.
-/// An executor that does not say in time that it has the job is told of first, then given up, by closing the
-/// connection. Guards against machines that vanish and jobs that get lost: neither says anything.
+/// Sends the job unchanged and reports the reply through `tell` as soon as it is known. If the executor does
+/// not acknowledge the job in time, that is first reported, and later the connection is closed. This covers
+/// machines that vanish and jobs that get lost, neither of which causes an error.
 pub async fn forward(
     lease: Lease,
     job: &Job,
@@ -42,73 +43,80 @@
     tell: impl Fn(Reply),
 ) {
     let mut sent = pin!(exchange(&lease, job, &attempt, || tell(Reply::Written)));
-    let mut answer = timeout(patience.heard, &mut sent).await;
-    if answer.is_err() {
+    let mut response = timeout(patience.heard, &mut sent).await;
+    if response.is_err() {
         tell(Reply::Unheard);
-        answer = timeout(patience.taken.saturating_sub(patience.heard), sent).await;
+        response = timeout(patience.taken.saturating_sub(patience.heard), sent).await;
     }
-    match answer {
+    match response {
         Err(_) => tell(Reply::Ended(Outcome::TimedOut, Report::default())),
-        Ok(Err(NotSent::Refused(Refusal::ClientLeft))) => {
-            // What serves the client ends, and tells that it has left.
+        Ok(Err(SendError::Refused(Refusal::ClientDisconnected))) => {
+            // Ends the task that serves the client, which reports the disconnect.
             attempt.client().iter().for_each(|client| client.close.notify_one());
         }
-        Ok(Err(NotSent::Refused(_))) => tell(Reply::Ended(Outcome::Moot, Report::default())),
-        Ok(Err(NotSent::NoConnection(e))) => {
-            attempt.has_no_connection(&e);
+        Ok(Err(SendError::Refused(_))) => tell(Reply::Ended(Outcome::Moot, Report::default())),
+        Ok(Err(SendError::NoConnection(e))) => {
+            attempt.note_no_connection(&e);
             tell(Reply::Ended(Outcome::Moot, Report::default()));
         }
-        Ok(Err(NotSent::Broken(e))) => {
-            debug!("{}: {e}", lease.addr());
-            tell(Reply::Ended(broken(&e), Report::default()));
+        Ok(Err(SendError::Failed(e))) => {
+            debug!("exchange with executor {} failed: {e}", lease.addr());
+            tell(Reply::Ended(failure_outcome(&e), Report::default()));
         }
-        Ok(Ok(mut answer)) => {
-            tell(reply(answer.status(), answer.headers()));
-            let _ = timeout(REST_WITHIN, answer.body().limit(wire::BODY_MOST)).await;
+        Ok(Ok(mut response)) => {
+            tell(reply(response.status(), response.headers()));
+            let _ = timeout(DRAIN_TIMEOUT, response.body().limit(wire::BODY_MOST)).await;
         }
     }
 }
 
-/// Why an exchange came to no answer.
-enum NotSent {
-    /// Not all bytes were written.
+/// Why an exchange ended without a response.
+enum SendError {
+    /// The attempt refused to write before all bytes were written.
     Refused(Refusal),
-    /// This machine could open no connection.
+    /// This machine could not open a connection.
     NoConnection(SendRequestError),
-    Broken(SendRequestError),
+    /// The connection or the exchange on it failed.
+    Failed(SendRequestError),
 }
 
-/// Words the request and writes it, anew where what it told no longer holds when it could be written.
+/// Builds the request and sends it. Builds it again if its stated time budget is out of date before the first
+/// byte is written.
 async fn exchange(
     lease: &Lease,
     job: &Job,
     attempt: &Rc<Attempt>,
     tell_written: impl Fn(),
-) -> Result<ClientResponse, NotSent> {
+) -> Result<ClientResponse, SendError> {
     let uri = Uri::builder().scheme("http").authority(lease.addr().to_string());
-    // Can't fail: both parts were read as such before.
+    // Can't fail: both parts were parsed before.
     let uri = uri.path_and_query(job.target.clone()).build().unwrap_or_default();
-    for _ in 0..BEGUN_MOST {
-        let left = attempt.begins().map_err(NotSent::Refused)?;
+    for _ in 0..MAX_BEGINS {
+        let left = attempt.begin().map_err(SendError::Refused)?;
         let mut request = lease.client().request(job.method.clone(), uri.clone());
         *request.headers_mut() = headers(&job.headers, left);
         let body = Body { bytes: job.body.clone(), attempt: attempt.clone() };
-        let sent = attempt.drives(watched(request.send_body(body), attempt, &tell_written)).await;
+        let sent =
+            attempt.run_exchange(report_written(request.send_body(body), attempt, &tell_written)).await;
         match (sent, attempt.progress(), attempt.refusal()) {
-            (Ok(answer), ..) => return Ok(answer),
-            (Err(_), Progress::Waiting, Some(Refusal::ToldTooMuch)) => {}
-            (Err(_), Progress::Waiting, Some(refusal)) => return Err(NotSent::Refused(refusal)),
-            (Err(_), Progress::Begun, Some(refusal @ (Refusal::ClientLeft | Refusal::TooLate))) => {
-                return Err(NotSent::Refused(refusal));
+            (Ok(response), ..) => return Ok(response),
+            (Err(_), Progress::Waiting, Some(Refusal::BudgetOverstated)) => {}
+            (Err(_), Progress::Waiting, Some(refusal)) => return Err(SendError::Refused(refusal)),
+            (
+                Err(_),
+                Progress::Begun,
+                Some(refusal @ (Refusal::ClientDisconnected | Refusal::DecisionExpired)),
+            ) => {
+                return Err(SendError::Refused(refusal));
             }
-            (Err(e), ..) if could_not_connect(&e) => return Err(NotSent::NoConnection(e)),
-            (Err(e), ..) => return Err(NotSent::Broken(e)),
+            (Err(e), ..) if could_not_connect(&e) => return Err(SendError::NoConnection(e)),
+            (Err(e), ..) => return Err(SendError::Failed(e)),
         }
     }
-    Err(NotSent::Refused(Refusal::ToldTooMuch))
+    Err(SendError::Refused(Refusal::BudgetOverstated))
 }
 
-/// A job's body, which tells the attempt when all of it was asked for.
+/// A job's body. Notifies the attempt when the HTTP client has read it to the end.
 struct Body {
     bytes: Bytes,
     attempt: Rc<Attempt>,
@@ -117,8 +125,9 @@
 impl MessageBody for Body {
     type Error = Infallible;
 
-    /// Also of an empty one it is not told, as nothing would be asked for then: the client sends it in chunks,
-    /// of which there are none, and so frames it as empty.
+    /// An empty body has no stated size either, since `poll_next` would then never be called and the attempt
+    /// not notified: the HTTP client sends it chunked, with no chunk but the last, which also frames an empty
+    /// body.
     fn size(&self) -> BodySize {
         match self.bytes.len() {
             0 => BodySize::Stream,
@@ -135,12 +144,16 @@
     }
 }
 
-/// Drives the exchange, and tells once that the request has been written whole.
-async fn watched<T>(exchange: impl Future<Output = T>, attempt: &Attempt, tell_written: impl Fn()) -> T {
-    let (mut exchange, mut told) = (pin!(exchange), false);
+/// Runs the exchange and calls `tell_written` once when the request has been completely written.
+async fn report_written<T>(
+    exchange: impl Future<Output = T>,
+    attempt: &Attempt,
+    tell_written: impl Fn(),
+) -> T {
+    let (mut exchange, mut reported) = (pin!(exchange), false);
     poll_fn(|context| {
         let polled = exchange.as_mut().poll(context);
-        if attempt.progress() == Progress::Written && !std::mem::replace(&mut told, true) {
+        if attempt.progress() == Progress::Written && !std::mem::replace(&mut reported, true) {
             tell_written();
         }
         polled
@@ -148,9 +161,9 @@
     .await
 }
 
-/// All that the client sent, but for what holds for its own connection only and for the time left.
-pub fn headers(came: &HeaderMap, left: Duration) -> HeaderMap {
-    const OWN: [HeaderName; 9] = [
+/// The client's headers without the hop-by-hop ones, with the time budget set to what is left.
+pub fn headers(received: &HeaderMap, left: Duration) -> HeaderMap {
+    const HOP_BY_HOP: [HeaderName; 9] = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
         header::EXPECT,
@@ -161,39 +174,42 @@
         header::TRANSFER_ENCODING,
         header::UPGRADE,
     ];
-    let mut headers = HeaderMap::with_capacity(came.len());
-    let kept = came.iter().filter(|(name, _)| !OWN.contains(name) && name.as_str() != "keep-alive");
+    let mut headers = HeaderMap::with_capacity(received.len());
+    let kept =
+        received.iter().filter(|(name, _)| !HOP_BY_HOP.contains(name) && name.as_str() != "keep-alive");
     kept.for_each(|(name, value)| headers.append(name.clone(), value.clone()));
     let left = HeaderValue::from(u64::try_from(left.as_millis()).unwrap_or(u64::MAX));
     headers.insert(HeaderName::from_static(wire::BUDGET_MS), left);
     headers
 }
 
+/// Interprets the head of an executor's response to a job.
 pub fn reply(status: StatusCode, headers: &HeaderMap) -> Reply {
     let rejected = headers.get(wire::REJECTED).is_some_and(|value| value == "1");
     let load = headers.get(wire::LOAD_REPORT).map_or(&b""[..], |value| value.as_bytes());
     let outcome = match (status.as_u16(), rejected) {
         (202, _) => return Reply::Taken,
-        // Only its own word proves that it never ran.
+        // Only the executor's own statement proves that the job never ran.
         (503 | 504, true) => Outcome::Full,
         (500, _) => Outcome::Errored,
         (400..=499, _) => return Reply::Unfit(status.as_u16(), report(load)),
         _ => {
-            warn!("an executor answered {status} to a job");
+            warn!("unexpected status {status} from an executor in response to a job");
             Outcome::Errored
         }
     };
     Reply::Ended(outcome, report(load))
 }
 
-/// A load report; none where it can't be read.
+/// Parses a load report; one that can't be parsed yields an empty report.
 pub fn report(text: &[u8]) -> Report {
     serde_json::from_slice::<Gauge>(text).unwrap_or_default().into()
 }
 
-/// What a broken exchange proves. awc tells a connection that ended without an answer in the same words as
-/// one that never came up, but for `Disconnected`; an error in writing means that the last byte never left.
-pub fn broken(error: &SendRequestError) -> Outcome {
+/// What a failed exchange proves. awc reports a connection that ended without a response with the same error
+/// type as one that was never established, except for the variant `Disconnected`. A write error means that
+/// the last byte was never sent.
+pub fn failure_outcome(error: &SendRequestError) -> Outcome {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => Outcome::Reset,
         SendRequestError::Connect(_) | SendRequestError::Send(_) | SendRequestError::Url(_) => {
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -1,4 +1,4 @@
-//! The door: accepts clients' and executors' connections, within a bound, and serves each by actix-http.
+//! Server: accepts connections from clients and executors, up to a limit, and serves each with actix-http.
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::io::ErrorKind;
@@ -31,57 +31,71 @@
 use crate::socket::Socket;
 use crate::{callbacks, discovery, take_in, wire};
 
-/// A connection that stands idle is closed then, whether or not others want its place.
-const IDLE_MOST: Duration = Duration::from_secs(120);
-/// What an accept fails with where no descriptor is left, to the process or on the machine.
-const OUT: [Errno; 2] = [Errno::EMFILE, Errno::ENFILE];
-/// How often connections are looked through.
+/// An idle connection is closed after this time, whether or not its place is needed.
+const MAX_IDLE: Duration = Duration::from_secs(120);
+/// Errors of accept when the process or the machine has no file descriptor left.
+const DESCRIPTORS_EXHAUSTED: [Errno; 2] = [Errno::EMFILE, Errno::ENFILE];
+/// Interval at which connections are checked for timeouts.
 const SWEEP_EVERY: Duration = Duration::from_millis(100);
-/// How long a client that is told to come back when all is crowded should stay away, where it can be told:
-/// about as long as the work in hand takes.
-const CROWDED_FOR: f64 = 1.0;
+/// Retry-After, in seconds, for clients that are rejected because too many requests are pending, unless the
+/// configured maximum is lower: about as long as the pending work takes.
+const OVERLOAD_RETRY_AFTER: f64 = 1.0;
 
-/// How a connection goes on after its answer.
+/// What happens to a connection after its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Next {
-    Asks,
-    Closes,
+enum AfterResponse {
+    KeepOpen,
+    Close,
 }
 
-/// What the requests of all connections share.
+/// The state shared by all client connections.
 pub struct Door {
     clock: Clock,
     life: Rc<Life>,
     happenings: Happenings,
     guests: Guests,
-    /// Connections that wait for an answer, and connections beyond those, idle or only answered.
-    most: usize,
-    beyond: usize,
-    /// Since when connections may wait to be accepted, where some may.
-    waiting_since: Cell<Option<Instant>>,
+    /// Maximum number of connections with a pending request.
+    max_waiting: usize,
+    /// Maximum number of connections beyond those: idle, or given only an immediate answer.
+    max_others: usize,
+    /// Since when connections may have been waiting to be accepted; `None` if none is waiting.
+    accept_wait_since: Cell<Option<Instant>>,
     descriptors: Cell<Descriptors>,
-    /// Told when a connection has ended.
-    left: Notify,
+    /// Notified when a connection has ended.
+    connection_ended: Notify,
 }
 
 impl Door {
-    pub fn new(clock: Clock, life: Rc<Life>, happenings: Happenings, (most, beyond): (usize, usize)) -> Self {
-        let (guests, descriptors, left) = (Guests::default(), Cell::default(), Notify::new());
-        let waiting_since = Cell::new(None);
-        Door { clock, life, happenings, guests, most, beyond, waiting_since, descriptors, left }
+    pub fn new(
+        clock: Clock,
+        life: Rc<Life>,
+        happenings: Happenings,
+        (max_waiting, max_others): (usize, usize),
+    ) -> Self {
+        Door {
+            clock,
+            life,
+            happenings,
+            guests: Guests::default(),
+            max_waiting,
+            max_others,
+            accept_wait_since: Cell::new(None),
+            descriptors: Cell::default(),
+            connection_ended: Notify::new(),
+        }
     }
 
     pub fn guests(&self) -> Guests {
         self.guests.clone()
     }
 
-    fn close(&self, which: impl Fn(&Guest) -> bool) {
+    fn close_all(&self, which: impl Fn(&Guest) -> bool) {
         self.guests.borrow().values().filter(|guest| which(guest)).for_each(|guest| guest.close.notify_one());
     }
 
-    /// Closes connections to make room, `most` of them: those that have not asked for anything before those
-    /// that will again, and of each the longest idle first.
-    fn make_room(&self, most: usize) {
+    /// Closes up to `most` connections to make room: first those without a completed request, then those that
+    /// are idle after one, and in each group the longest idle first.
+    fn evict_idle(&self, most: usize) {
         let guests = self.guests.borrow();
         let mut idle: Vec<_> = guests.values().map(|guest| (guest.claim(), guest)).collect();
         idle.retain(|guest| guest.0 < Claim::Owed);
@@ -89,46 +103,49 @@
         idle.into_iter().take(most).for_each(|guest| guest.1.close.notify_one());
     }
 
-    /// Waits for a place for one more connection. Guards against clients that are connected and never heard:
-    /// the kernel has accepted them, so that what they sent counts as taken.
-    async fn place(&self) {
-        const AT_ONCE: usize = 16; // Idle ones closed for each that comes: clients that only connect lose.
+    /// Waits until one more connection may be opened, evicting idle ones. Otherwise clients could stay
+    /// connected without being served: the kernel has accepted their connections, so that the requests they
+    /// sent count as accepted.
+    async fn wait_for_capacity(&self) {
+        const AT_ONCE: usize = 16; // Idle connections closed for each new one, so that clients that only connect lose.
         let open = || self.guests.borrow().len();
-        let (most, beyond) = (self.life.part(self.most), self.life.part(self.beyond));
-        let all = (most + beyond).min(self.descriptors.get().connections());
-        if open() >= all.saturating_sub(beyond.div_ceil(2)) {
-            self.make_room(AT_ONCE);
+        let (waiting, others) = (self.life.part(self.max_waiting), self.life.part(self.max_others));
+        let all = (waiting + others).min(self.descriptors.get().max_connections());
+        // Evicts early, to keep half of the places beyond the waiting connections free.
+        if open() >= all.saturating_sub(others.div_ceil(2)) {
+            self.evict_idle(AT_ONCE);
         }
         while open() >= all {
-            self.lets_wait();
-            self.make_room(AT_ONCE);
-            let _ = timeout(Duration::from_millis(10), self.left.notified()).await;
+            self.note_accept_blocked();
+            self.evict_idle(AT_ONCE);
+            let _ = timeout(Duration::from_millis(10), self.connection_ended.notified()).await;
         }
     }
 
-    fn note_descriptors(&self, note: impl FnOnce(&mut Descriptors)) {
+    fn update_descriptors(&self, update: impl FnOnce(&mut Descriptors)) {
         let mut descriptors = self.descriptors.get();
-        note(&mut descriptors);
+        update(&mut descriptors);
         self.descriptors.set(descriptors);
     }
 
-    /// No descriptor was left for a connection. Guards against idle clients that hold them for as long as they stay,
-    /// where the bound is no bound: the machine gives fewer than the configuration says, or other files hold some.
-    fn runs_out(&self) {
-        const CLOSED: usize = 4; // One in so many is closed at a time, if it is idle.
-        const LEAST: usize = 4; // One in so many of the bound is held at least.
+    /// Handles an accept that failed for lack of a file descriptor: lowers the limit on connections and
+    /// evicts idle ones. The configured limit can be too high where the machine grants fewer descriptors than
+    /// configured or other files hold some; idle clients would then hold the descriptors indefinitely.
+    fn descriptors_exhausted(&self) {
+        const CLOSED: usize = 4; // At most one in this many open connections is evicted at a time.
+        const LEAST: usize = 4; // The limit is not lowered below the configured one divided by this.
         let open = self.guests.borrow().len();
-        let least = (self.life.part(self.most) + self.life.part(self.beyond)) / LEAST;
-        self.note_descriptors(|descriptors| descriptors.run_out(open, least));
-        self.make_room(open.div_ceil(CLOSED));
+        let least = (self.life.part(self.max_waiting) + self.life.part(self.max_others)) / LEAST;
+        self.update_descriptors(|descriptors| descriptors.exhausted(open, least));
+        self.evict_idle(open.div_ceil(CLOSED));
     }
 
-    /// From now on connections may wait to be accepted, if none did before.
-    fn lets_wait(&self) {
-        self.waiting_since.set(self.waiting_since.get().or_else(|| Some(Instant::now())));
+    /// Records that connections may be waiting to be accepted from now on, unless some already are.
+    fn note_accept_blocked(&self) {
+        self.accept_wait_since.set(self.accept_wait_since.get().or_else(|| Some(Instant::now())));
     }
 
-    /// Looks for the next connection. Where there is none, none waits.
+    /// Polls for the next connection. If there is none, no connection is waiting to be accepted.
     fn poll_accept(
         &self,
         listener: &TcpListener,
@@ -136,16 +153,16 @@
     ) -> Poll<std::io::Result<(TcpStream, SocketAddr)>> {
         let accepted = listener.poll_accept(cx);
         if accepted.is_pending() {
-            self.waiting_since.set(None);
+            self.accept_wait_since.set(None);
         }
         accepted
     }
 
-    /// The next connection, while they are taken here.
-    async fn accepts(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
+    /// Accepts the next connection, at a time when this process takes connections.
+    async fn next_connection(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
         loop {
             self.life.until_takes(true).await;
-            self.place().await;
+            self.wait_for_capacity().await;
             tokio::select! {
                 biased;
                 () = self.life.until_takes(false) => {}
@@ -157,20 +174,20 @@
     async fn serve(self: Rc<Self>, request: Request) -> Response<BoxBody> {
         let guest = request.peer_addr().and_then(|peer| self.guests.borrow().get(&peer).cloned());
         let (answer, next) = self.answer(request, guest.as_ref()).await;
-        let goes_on = guest.as_ref().is_none_or(|guest| guest.goes_on());
-        let keep = next == Next::Asks && goes_on && self.keeps(&answer);
-        guest.iter().for_each(|guest| guest.rests());
+        let is_reusable = guest.as_ref().is_none_or(|guest| guest.is_reusable());
+        let keep = next == AfterResponse::KeepOpen && is_reusable && self.keeps(&answer);
+        guest.iter().for_each(|guest| guest.set_answered());
         answer.response(keep)
     }
 
-    /// Whether the connection may be used again. Guards against a restart that leaves clients with no node at
-    /// all, while the one before is not up yet: new connections go elsewhere, but those that are open serve
-    /// on. With what is given back the client is sent elsewhere. Who sent what is unfit gives its place to
-    /// others.
+    /// Whether the connection stays open after this answer. While the node is leaving, new connections go
+    /// elsewhere but open ones stay in use, so that a restart does not leave clients without a node while the
+    /// one restarted before is not up yet; a client whose job is returned to it for an immediate retry is
+    /// sent to another node by closing. After an invalid request the connection is closed to free its place.
     pub fn keeps(&self, answer: &Answer) -> bool {
         match self.life.phase() {
             _ if matches!(answer, Answer::Unfit(..)) => false,
-            // It goes to the process after this one.
+            // The connection will be handed over to the successor process.
             _ if !self.life.takes() => true,
             Phase::Starting | Phase::Serving | Phase::Reloading => true,
             Phase::Leaving => !matches!(answer, Answer::Throttled { pause } if *pause <= 0.0),
@@ -178,23 +195,23 @@
         }
     }
 
-    async fn answer(&self, mut request: Request, guest: Option<&Rc<Guest>>) -> (Answer, Next) {
-        let came = guest.map_or_else(|| self.clock.now(), |guest| self.clock.at(guest.arrived()));
+    async fn answer(&self, mut request: Request, guest: Option<&Rc<Guest>>) -> (Answer, AfterResponse) {
+        let came = guest.map_or_else(|| self.clock.now(), |guest| self.clock.at(guest.newest_arrival()));
         let answer = match (request.path(), request.method()) {
             (wire::UP, &Method::GET | &Method::HEAD) if self.life.is_up() => Answer::Succeeded("up\n".into()),
             (wire::UP, _) => Answer::Throttled { pause: 0.0 },
             (wire::NEWS, &Method::POST) => self.news(&mut request).await,
             (wire::NEWS, _) => Answer::Unfit(StatusCode::METHOD_NOT_ALLOWED, "news come by POST"),
-            (wire::HOSTS, _) => self.pushed(request).await,
+            (wire::HOSTS, _) => self.pushed_list(request).await,
             _ => {
                 let class = take_in::class(request.path()).to_owned();
                 match take_in::job(request, came).await {
                     Ok(job) => {
-                        guest.iter().for_each(|guest| guest.waits());
+                        guest.iter().for_each(|guest| guest.set_waiting());
                         return self.job(job, guest).await;
                     }
                     Err(unfit) => {
-                        if !matches!(unfit, Answer::Unfit(_, take_in::BROKE_OFF)) {
+                        if !matches!(unfit, Answer::Unfit(_, take_in::BODY_INCOMPLETE)) {
                             let _ = self.happenings.send(Happening::Ended(class, Verdict::Errored));
                         }
                         unfit
@@ -202,27 +219,28 @@
                 }
             }
         };
-        (answer, Next::Asks)
+        (answer, AfterResponse::KeepOpen)
     }
 
-    /// What an executor tells. While another process of this node lives it is acknowledged once the one has it that
-    /// serves the job; else at once, as before.
+    /// Handles an executor's job status update. While another process of this node is alive, the update is
+    /// acknowledged once the process that serves the job has received it, and otherwise at once.
     async fn news(&self, request: &mut Request) -> Answer {
-        let (tell, told) = self.life.paired().then(oneshot::channel).unzip();
-        let tell = Cell::new(tell);
-        let news = |body: &Bytes| Ok(Happening::News(callbacks::parse(body)?, body.clone(), tell.take()));
-        let answer = self.told(request, wire::BODY_MOST, "news", news).await;
-        match (answer, told) {
-            (Answer::Succeeded(had), Some(told)) => match told.await {
+        let (acknowledge, acknowledged) = self.life.paired().then(oneshot::channel).unzip();
+        let acknowledge = Cell::new(acknowledge);
+        let news =
+            |body: &Bytes| Ok(Happening::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
+        let answer = self.forward_body(request, wire::BODY_MOST, "a job status update", news).await;
+        match (answer, acknowledged) {
+            (Answer::Succeeded(body), Some(acknowledged)) => match acknowledged.await {
                 Ok(false) => Answer::Throttled { pause: 0.0 },
-                _ => Answer::Succeeded(had),
+                _ => Answer::Succeeded(body),
             },
             (answer, _) => answer,
         }
     }
 
-    /// A list that comes unasked. Guards against clients that push one: it is taken from discovery's host alone.
-    async fn pushed(&self, mut request: Request) -> Answer {
+    /// Handles a pushed list of executors. Only discovery's host may push one, so that clients can't.
+    async fn pushed_list(&self, mut request: Request) -> Answer {
         let peer = request.peer_addr().map(|peer| peer.ip());
         if peer.is_none() || peer != self.life.lists_from() {
             return Answer::Unfit(StatusCode::FORBIDDEN, "the list is not taken from there");
@@ -234,11 +252,12 @@
             let hosts = serde_json::from_slice::<Hosts>(body).map_err(|e| e.to_string())?;
             Ok(Happening::Watch(UNASKED, Watched::Listed(hosts.into())))
         };
-        self.told(&mut request, discovery::LIST_MOST, "a list", list).await
+        self.forward_body(&mut request, discovery::LIST_MOST, "a list of executors", list).await
     }
 
-    /// Passes on what a body of at most so many bytes tells; `what` it is goes into the log if it can't be read.
-    async fn told(
+    /// Parses a body of at most `most` bytes and sends the result to the driver. `what` names the body in the
+    /// log if it can't be parsed.
+    async fn forward_body(
         &self,
         request: &mut Request,
         most: usize,
@@ -256,57 +275,62 @@
                 Answer::Succeeded("".into())
             }
             Err(e) => {
-                warn!("{what} that can't be read: {e}");
+                warn!("can't parse {what}: {e}");
                 Answer::Unfit(StatusCode::BAD_REQUEST, "can't be read")
             }
         }
     }
 
-    async fn job(&self, job: take_in::Job, guest: Option<&Rc<Guest>>) -> (Answer, Next) {
-        let _held = self.life.hold();
-        let waits = |guest: &&Rc<Guest>| guest.doing() == Doing::Waiting;
-        if self.guests.borrow().values().filter(waits).count() > self.life.part(self.most) {
+    async fn job(&self, job: take_in::Job, guest: Option<&Rc<Guest>>) -> (Answer, AfterResponse) {
+        let _guard = self.life.request_guard();
+        let is_waiting = |guest: &&Rc<Guest>| guest.doing() == Doing::Waiting;
+        if self.guests.borrow().values().filter(is_waiting).count() > self.life.part(self.max_waiting) {
             let _ = self.happenings.send(Happening::Ended(job.call.class, Verdict::Throttled));
-            return (Answer::Throttled { pause: CROWDED_FOR.min(self.life.max_pause()) }, Next::Closes);
+            return (
+                Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.life.max_pause()) },
+                AfterResponse::Close,
+            );
         }
         let id = self.life.next_id();
-        guest.iter().for_each(|guest| guest.waits_for(id));
+        guest.iter().for_each(|guest| guest.set_job(id));
         let (answer, answered) = oneshot::channel();
         let client = Client { answer, guest: guest.cloned() };
         let _ = self.happenings.send(Happening::Taken(id, Box::new(job), client));
-        // Dropped with this future, when the client has closed the connection.
-        let mut visit = Visit { id, happenings: &self.happenings, over: false };
+        // actix-http drops this future, and the guard with it, when the client closes the connection.
+        let mut guard = DisconnectGuard { id, happenings: &self.happenings, answered: false };
         let answer = answered.await;
-        visit.over = true;
-        (answer.unwrap_or(Answer::Errored), Next::Asks)
+        guard.answered = true;
+        (answer.unwrap_or(Answer::Errored), AfterResponse::KeepOpen)
     }
 }
 
-/// Tells that the client has gone if it is dropped before it is over.
-struct Visit<'a> {
+/// Reports the client as disconnected if it is dropped before the job is answered.
+struct DisconnectGuard<'a> {
     id: InvId,
     happenings: &'a Happenings,
-    over: bool,
+    answered: bool,
 }
 
-impl Drop for Visit<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.answered {
             let _ = self.happenings.send(Happening::Left(self.id));
         }
     }
 }
 
-/// Accepts connections until the node's life ends.
-pub async fn accept(listener: TcpListener, door: Rc<Door>, mut comes: mpsc::UnboundedReceiver<Comes>) {
+/// Accepts connections for as long as the process runs; also serves those that the previous process hands
+/// over.
+pub async fn accept(listener: TcpListener, door: Rc<Door>, mut handed_over: mpsc::UnboundedReceiver<Comes>) {
     let serve = door.clone();
     let service = HttpService::build()
-        // What stands idle is closed here, by the bound; a library's time-out might cross a request.
+        // Idle connections are closed by `sweep` and by eviction; actix-http's timeout could race with a
+        // request.
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
-        // Lets a client that still writes read an early answer.
+        // Lets a client that is still sending read an early response.
         .client_disconnect_timeout(Duration::from_secs(1))
-        // A client that closes has gone: its request's future is dropped.
+        // A half-closed connection counts as a disconnected client: its request's future is dropped.
         .h1_allow_half_closed(false)
         .h1(fn_service(move |request| {
             let door = serve.clone();
@@ -317,28 +341,29 @@
     let service = Rc::new(service);
     loop {
         let accepted = tokio::select! {
-            // First: what comes once a successor takes connections is its.
+            // Handed-over connections come first; new ones belong to the successor once it takes them.
             biased;
-            Some(come) = comes.recv() => {
-                come.welcome(&door, &service);
+            Some(connection) = handed_over.recv() => {
+                connection.serve(&door, &service);
                 continue;
             }
-            accepted = door.accepts(&listener) => accepted,
+            accepted = door.next_connection(&listener) => accepted,
         };
         match accepted {
             Ok((socket, peer)) => {
-                door.note_descriptors(Descriptors::found);
+                door.update_descriptors(Descriptors::accept_succeeded);
                 let _ = socket.set_nodelay(true);
-                let waited_since = door.waiting_since.get();
-                welcome(&door, &service, socket, peer, waited_since);
+                let accept_wait_since = door.accept_wait_since.get();
+                serve_connection(&door, &service, socket, peer, accept_wait_since);
             }
-            // Another try may succeed at once.
+            // Transient: retried at once.
             Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
             Err(e) => {
-                warn!("accept: {e}");
-                door.lets_wait();
-                if e.raw_os_error().is_some_and(|code| OUT.contains(&Errno::from_raw(code))) {
-                    door.runs_out();
+                warn!("can't accept a connection: {e}");
+                door.note_accept_blocked();
+                if e.raw_os_error().is_some_and(|code| DESCRIPTORS_EXHAUSTED.contains(&Errno::from_raw(code)))
+                {
+                    door.descriptors_exhausted();
                 }
                 sleep(Duration::from_millis(10)).await;
             }
@@ -346,15 +371,15 @@
     }
 }
 
-/// A connection that comes from the process before.
+/// A client connection handed over by the previous process.
 pub enum Comes {
     Idle(TcpStream),
-    /// Its client waits for this job.
+    /// The client waits for the answer to this job.
     Waiting(TcpStream, Rc<Guest>, InvId, oneshot::Receiver<Answer>),
 }
 
 impl Comes {
-    fn welcome<S>(self, door: &Rc<Door>, service: &Rc<S>)
+    fn serve<S>(self, door: &Rc<Door>, service: &Rc<S>)
     where
         S: Service<(Stream, Option<SocketAddr>), Response = ()> + 'static,
         S::Error: std::fmt::Debug,
@@ -364,16 +389,16 @@
             Comes::Waiting(socket, guest, id, answered) => (socket, Some((guest, id, answered))),
         };
         match (socket.peer_addr(), job) {
-            (Ok(peer), None) => welcome(door, service, socket, peer, None),
+            (Ok(peer), None) => serve_connection(door, service, socket, peer, None),
             (Ok(peer), Some((guest, id, answered))) => {
                 let (door, service) = (door.clone(), service.clone());
                 actix_rt::spawn(async move {
-                    if let Some(socket) = door.attend(socket, (peer, guest), id, answered).await {
-                        welcome(&door, &service, socket, peer, None);
+                    if let Some(socket) = door.answer_pending(socket, (peer, guest), id, answered).await {
+                        serve_connection(&door, &service, socket, peer, None);
                     }
                 });
             }
-            // It has gone on its way here.
+            // The client disconnected during the handover.
             (Err(_), Some((guest, id, _))) => {
                 guest.closed();
                 let _ = door.happenings.send(Happening::Left(id));
@@ -384,93 +409,98 @@
 }
 
 impl Door {
-    /// Waits for a job's answer and writes it; the connection, if it may be used again.
-    async fn attend(
+    /// Waits for the answer to a handed-over job and writes it. Returns the connection if it stays open.
+    async fn answer_pending(
         &self,
         stream: TcpStream,
         (peer, guest): (SocketAddr, Rc<Guest>),
         id: InvId,
         answered: oneshot::Receiver<Answer>,
     ) -> Option<TcpStream> {
-        let _held = self.life.hold();
+        let _guard = self.life.request_guard();
         let mut socket = Socket::new(stream);
-        guest.waits();
-        guest.waits_for(id);
-        let mine = guest.clone();
+        guest.set_waiting();
+        guest.set_job(id);
+        let own = guest.clone();
         self.guests.borrow_mut().insert(peer, guest);
-        let mut visit = Visit { id, happenings: &self.happenings, over: false };
+        let mut guard = DisconnectGuard { id, happenings: &self.happenings, answered: false };
         let answer = tokio::select! {
-            // First: guards against an answer to a job that has gone on to the next process, where nobody answers here.
+            // The close request comes first: once the job is handed over to the next process, the answer's
+            // sender is dropped here, which must not become an error response.
             biased;
-            () = mine.close.notified() => None,
+            () = own.close.notified() => None,
             answer = answered => Some(answer.unwrap_or(Answer::Errored)),
-            () = gone(socket.stream(), &mine) => None,
+            () = until_disconnected(socket.stream(), &own) => None,
         };
         let kept = match answer {
             Some(answer) => {
-                visit.over = true;
-                let keep = self.keeps(&answer) && mine.goes_on();
+                guard.answered = true;
+                let keep = self.keeps(&answer) && own.is_reusable();
                 socket.write_all(&answer.bytes(keep)).await.is_ok() && keep
             }
             None => false,
         };
-        mine.closed();
+        own.closed();
         self.guests.borrow_mut().remove(&peer);
-        self.left.notify_one();
+        self.connection_ended.notify_one();
         kept.then(|| socket.into_stream())
     }
 }
 
-/// Until the client has closed, also behind more that it says meanwhile. That stays unread while it is little;
-/// beyond that it is dropped. Guards against a close that never comes, behind more than the kernel holds.
-async fn gone(socket: &TcpStream, guest: &Guest) {
-    const UNREAD_MOST: usize = 32 * 1024; // Half of what a kernel holds unread at the least.
-    let look = || match (guest.has_left(), guest.unread()) {
+/// Waits until the client has closed the connection, even behind unread bytes. Up to `UNREAD_MOST` such bytes
+/// stay in the kernel's buffer; more are read and discarded, as the close could not arrive behind a full
+/// buffer.
+async fn until_disconnected(socket: &TcpStream, guest: &Guest) {
+    const UNREAD_MOST: usize = 32 * 1024; // Half of the kernel's smallest receive buffer.
+    let poll = || match (guest.has_left(), guest.unread()) {
         (true, _) => Ok(true),
         (false, UNREAD_MOST..) => Ok(false),
         (false, _) => Err(std::io::ErrorKind::WouldBlock.into()),
     };
-    let mut nothing = vec![0; UNREAD_MOST];
-    // Waits for the next word of the kernel after each that was not the end.
-    while let Ok(false) = socket.async_io(Interest::READABLE, look).await {
-        guest.overruns();
-        while let Ok(1..) = socket.try_read(&mut nothing) {}
+    let mut scratch = vec![0; UNREAD_MOST];
+    // `WouldBlock` makes `async_io` wait for the kernel's next readiness event.
+    while let Ok(false) = socket.async_io(Interest::READABLE, poll).await {
+        guest.set_overrun();
+        while let Ok(1..) = socket.try_read(&mut scratch) {}
     }
 }
 
-fn welcome<S>(
+/// Registers the connection and serves it in a task of its own.
+fn serve_connection<S>(
     door: &Rc<Door>,
     service: &Rc<S>,
     socket: TcpStream,
     peer: SocketAddr,
-    waited_since: Option<Instant>,
+    accept_wait_since: Option<Instant>,
 ) where
     S: Service<(Stream, Option<SocketAddr>), Response = ()> + 'static,
     S::Error: std::fmt::Debug,
 {
-    let guest = Rc::new(Guest::new(socket.as_raw_fd()).waited_since(waited_since));
+    let guest = Rc::new(Guest::new(socket.as_raw_fd()).accept_wait_since(accept_wait_since));
     door.guests.borrow_mut().insert(peer, guest.clone());
     let stream = Stream::new(socket, guest.clone());
     let (door, serving) = (door.clone(), service.call((stream, Some(peer))));
     actix_rt::spawn(async move {
         tokio::select! {
-            // First: guards against a request that is read in the same breath as its connection is closed.
+            // The close request comes first, so that no request is read in the same poll in which the
+            // connection closes.
             biased;
             () = guest.close.notified() => {}
             ended = serving => if let Err(e) = ended { debug!("{peer}: {e:?}") },
         }
         door.guests.borrow_mut().remove(&peer);
-        door.left.notify_one();
+        door.connection_ended.notify_one();
     });
 }
 
-/// Closes what has not asked in time, and what stands idle: after long, or at once when the node closes.
+/// Periodically closes connections that exceed the request timeout and idle ones: after `MAX_IDLE`, or almost
+/// at once while the node is closing.
 pub async fn sweep(door: Rc<Door>) {
     loop {
         sleep(SWEEP_EVERY).await;
-        door.note_descriptors(|descriptors| descriptors.grow(SWEEP_EVERY));
+        door.update_descriptors(|descriptors| descriptors.grow(SWEEP_EVERY));
         let closing = door.life.phase() == Phase::Closing;
-        let idle = if closing { Duration::from_millis(100) } else { IDLE_MOST };
-        door.close(|guest| guest.claim() == Claim::Overdue || guest.idle_for(idle));
+        let idle = if closing { Duration::from_millis(100) } else { MAX_IDLE };
+        door.close_all(|guest| guest.claim() == Claim::Overdue || guest.idle_for(idle));
     }
 }
--- a/crates/coveroute-node/src/socket.rs
+++ b/crates/coveroute-node/src/socket.rs
@@ -1,6 +1,6 @@
-//! Socket: a TCP connection whose system calls may be interrupted, lack memory, and move fewer bytes than they could.
-//! Tokio's own stream ends on EINTR, and takes a call that moved a part for a sign that nothing more can be moved: it then waits for
-//! the kernel to tell of room, which need not happen.
+//! Socket: a TCP connection that tolerates interrupted system calls, a lack of kernel memory, and short reads
+//! and writes. Tokio's own stream fails on EINTR, and after a short read or write assumes that no more bytes
+//! can be transferred: it then waits for a readiness event from the kernel, which may never come.
 use std::future::Future;
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
@@ -12,20 +12,21 @@
 use nix::errno::Errno;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Between two tries where the kernel has no memory for the call: it does not tell when it has.
-const AGAIN_AFTER: Duration = Duration::from_millis(10);
+/// Delay between tries of a call for which the kernel has no memory: it does not signal when it has some.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
+/// A TCP stream that retries reads and writes that fail temporarily.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    /// Until when reading, and writing, waits for the kernel's memory.
-    reads_after: Option<Pin<Box<Sleep>>>,
-    writes_after: Option<Pin<Box<Sleep>>>,
+    /// Pauses before the next read or write after the kernel had no memory.
+    read_pause: Option<Pin<Box<Sleep>>>,
+    write_pause: Option<Pin<Box<Sleep>>>,
 }
 
 impl Socket {
     pub fn new(stream: TcpStream) -> Self {
-        Socket { stream, reads_after: None, writes_after: None }
+        Socket { stream, read_pause: None, write_pause: None }
     }
 
     pub fn stream(&self) -> &TcpStream {
@@ -37,57 +38,57 @@
     }
 }
 
-/// What a call that failed is made again after.
-enum Again {
-    /// The kernel's word of room, or nothing at all.
-    Ready,
-    Pause,
+/// When to retry a failed call.
+enum Retry {
+    /// Once the socket is ready, which it may be already.
+    WhenReady,
+    AfterPause,
 }
 
-fn again<T>(moved: &io::Result<T>) -> Option<Again> {
-    let error = moved.as_ref().err()?;
+fn retry<T>(result: &io::Result<T>) -> Option<Retry> {
+    let error = result.as_ref().err()?;
     match error.raw_os_error().map(Errno::from_raw) {
-        _ if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Some(Again::Ready),
-        Some(Errno::ENOBUFS | Errno::ENOMEM) => Some(Again::Pause),
+        _ if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Some(Retry::WhenReady),
+        Some(Errno::ENOBUFS | Errno::ENOMEM) => Some(Retry::AfterPause),
         _ => None,
     }
 }
 
-/// Makes the call once the kernel is ready for it, and again where that may help.
-fn poll_moved<T>(
+/// Makes the call once the socket is ready for it, and retries it after temporary failures.
+fn poll_retrying<T>(
     cx: &mut Context,
     pause: &mut Option<Pin<Box<Sleep>>>,
     ready: impl Fn(&mut Context) -> Poll<io::Result<()>>,
     mut call: impl FnMut() -> io::Result<T>,
 ) -> Poll<io::Result<T>> {
     loop {
-        if let Some(waits) = pause {
-            ready!(waits.as_mut().poll(cx));
+        if let Some(sleep) = pause {
+            ready!(sleep.as_mut().poll(cx));
             *pause = None;
         }
         ready!(ready(cx))?;
-        let moved = call();
-        match again(&moved) {
-            None => return Poll::Ready(moved),
-            Some(Again::Ready) => {}
-            Some(Again::Pause) => *pause = Some(Box::pin(sleep(AGAIN_AFTER))),
+        let result = call();
+        match retry(&result) {
+            None => return Poll::Ready(result),
+            Some(Retry::WhenReady) => {}
+            Some(Retry::AfterPause) => *pause = Some(Box::pin(sleep(RETRY_DELAY))),
         }
     }
 }
 
 impl AsyncRead for Socket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let Socket { stream, reads_after, .. } = self.get_mut();
+        let Socket { stream, read_pause, .. } = self.get_mut();
         let ready = |cx: &mut Context| stream.poll_read_ready(cx);
-        poll_moved(cx, reads_after, ready, || stream.try_read_buf(buffer).map(drop))
+        poll_retrying(cx, read_pause, ready, || stream.try_read_buf(buffer).map(drop))
     }
 }
 
 impl AsyncWrite for Socket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let Socket { stream, writes_after, .. } = self.get_mut();
+        let Socket { stream, write_pause, .. } = self.get_mut();
         let ready = |cx: &mut Context| stream.poll_write_ready(cx);
-        poll_moved(cx, writes_after, ready, || stream.try_write(bytes))
+        poll_retrying(cx, write_pause, ready, || stream.try_write(bytes))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
--- a/crates/coveroute-node/src/wire.rs
+++ b/crates/coveroute-node/src/wire.rs
@@ -1,4 +1,4 @@
-//! The words of this protocol: paths and header names.
+//! Wire: the paths and header names of the HTTP protocol.
 pub const UP: &str = "/up";
 pub const NEWS: &str = "/_jobs/news";
 pub const ALIVE: &str = "/alive";
@@ -17,5 +17,5 @@
 pub const LOAD_REPORT: &str = "x-load-report";
 pub const REJECTED: &str = "x-rejected";
 
-/// The most that a body may hold, either way.
+/// Maximum size of a request or response body, in bytes.
 pub const BODY_MOST: usize = 64 * 1024;
