--- a/src/adopt.rs
+++ b/src/adopt.rs
@@ -1,7 +1,7 @@
 //! New settings under way: they are put in place of the old ones in one step; what was learnt stays. No decision.
 use crate::list_state::ListState;
 use crate::node::Node;
-use crate::types::{Class, Settings};
+use crate::types::{Settings, TrafficStats};
 
 /// An entry of the operations that is new, and the one whose name it took over.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,23 +14,24 @@
     /// From now on these settings hold; the entries of jobs under way stay as they are. `tenants`: where each was
     /// before.
     pub fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]) {
-        self.classes.resize(self.classes.len().max(settings.operations.len()), Class::default());
+        self.operation_stats
+            .resize(self.operation_stats.len().max(settings.operations.len()), TrafficStats::default());
         for &Moved { from, to } in moved {
-            self.classes[to] = from.map_or(Class::default(), |from| {
-                let old = &mut self.classes[from];
+            self.operation_stats[to] = from.map_or(TrafficStats::default(), |from| {
+                let old = &mut self.operation_stats[from];
                 // What comes from now on comes to the new entry; nobody has come to that one with a timeout yet.
                 let (rate, arrived) = (std::mem::take(&mut old.rate), std::mem::take(&mut old.arrived));
-                Class { rate, arrived, longest: 0.0, ..old.clone() }
+                TrafficStats { rate, arrived, longest_timeout: 0.0, ..old.clone() }
             });
         }
-        let kept = |from: &Option<usize>| from.and_then(|from| self.tenants.get(from)).cloned();
-        self.tenants = tenants.iter().map(|from| kept(from).unwrap_or_default()).collect();
-        self.peer_heard.resize(settings.nodes.max(settings.me + 1), 0.0);
-        self.set = settings;
+        let kept = |from: &Option<usize>| from.and_then(|from| self.tenant_stats.get(from)).cloned();
+        self.tenant_stats = tenants.iter().map(|from| kept(from).unwrap_or_default()).collect();
+        self.peer_last_heard.resize(settings.nodes.max(settings.me + 1), 0.0);
+        self.settings = settings;
     }
 
     pub fn settings(&self) -> &Settings {
-        &self.set
+        &self.settings
     }
 
     /// How current the list is that this node holds.
@@ -45,11 +46,11 @@
 
     /// Whether a job, or a forward that is still out, has this entry of the operations.
     pub fn has(&self, operation: usize) -> bool {
-        self.invs.values().any(|inv| inv.op == operation)
+        self.invocations.values().any(|inv| inv.op == operation)
     }
 
     /// Listed executors that the draw leaves out now as not to be trusted.
     pub fn avoided(&self, now: f64) -> usize {
-        self.tgts.iter().filter(|t| t.ready() && !t.trusted(now, self.fog)).count()
+        self.executors.iter().filter(|t| t.is_ready() && !t.is_trusted(now, self.degraded_until)).count()
     }
 }
--- a/src/list_calls/tests.rs
+++ b/src/list_calls/tests.rs
@@ -18,7 +18,7 @@
     let waits = |me| {
         let (set, mut calls) = (settings(me, nodes), ListCalls::default());
         let first = kept.map(|age| calls.first(NOW, ListState::kept(NOW, age, false), true, &set));
-        let again = (0..failures).map(|_| calls.again(NOW, state, Loss::Waited, 0.25, &set));
+        let again = (0..failures).map(|_| calls.next(NOW, state, Loss::Waited, 0.25, &set));
         first.into_iter().chain(again).collect::<Vec<f64>>()
     };
     let all: Vec<Vec<f64>> = (0..nodes).map(waits).collect();
@@ -49,7 +49,7 @@
     let wait = |me| {
         let (set, mut calls) = (settings(me, 300), ListCalls::default());
         calls.first(NOW, UNCONFIRMED, true, &set);
-        calls.again(NOW, UNCONFIRMED, loss, 0.25, &set)
+        calls.next(NOW, UNCONFIRMED, loss, 0.25, &set)
     };
     let longest = (0..300).map(wait).fold(0.0, f64::max);
     assert!(longest <= round && longest > 0.95 * round, "{longest}");
@@ -65,11 +65,11 @@
 #[test]
 fn a_call_is_due_until_the_list_is_followed() {
     let (set, mut calls) = (settings(200, 300), ListCalls::default());
-    assert!(!calls.wanted() && !calls.is_after(NOW));
+    assert!(!calls.is_due() && !calls.is_after(NOW));
     let wait = calls.first(NOW, UNCONFIRMED, true, &set);
-    assert!(calls.wanted() && calls.is_after(NOW + wait - 0.01) && !calls.is_after(NOW + wait + 0.01));
-    let again = calls.again(NOW + 7.0, UNCONFIRMED, Loss::Refused, 0.25, &set);
+    assert!(calls.is_due() && calls.is_after(NOW + wait - 0.01) && !calls.is_after(NOW + wait + 0.01));
+    let again = calls.next(NOW + 7.0, UNCONFIRMED, Loss::Refused, 0.25, &set);
     assert!(calls.is_after(NOW + 7.0 + again - 0.01) && !calls.is_after(NOW + 7.0 + again + 0.01));
     calls.followed();
-    assert!(!calls.wanted() && !calls.is_after(NOW));
+    assert!(!calls.is_due() && !calls.is_after(NOW));
 }
--- a/src/list_state.rs
+++ b/src/list_state.rs
@@ -5,12 +5,12 @@
 use crate::types::{KeptAge, Loss};
 
 /// A change counts as told six seconds after discovery had it; of these a connection takes up to half a second.
-const EXPIRES_AFTER: f64 = 5.5;
+const LIST_LIFETIME: f64 = 5.5;
 /// By then what was decided before has to be written: the node may be held up for a moment after it looks at the clock.
-const WRITTEN_WITHIN: f64 = 5.85;
+const WRITE_LIFETIME: f64 = 5.85;
 /// A discovery that for so long gives no sign of being there is taken to be down, and an expired list is better than none: longer
 /// than the longest round of calls and the wait for an answer, in which a service that is there gets to each node.
-const OUTAGE: f64 = 30.0;
+const OUTAGE_AFTER: f64 = 30.0;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ListState {
@@ -60,7 +60,8 @@
         match self {
             ListState::Followed | ListState::Unreachable { .. } => true,
             ListState::Unheard { since, unreachable_since } => {
-                now < since + EXPIRES_AFTER || unreachable_since.is_some_and(|from| now >= from + OUTAGE)
+                now < since + LIST_LIFETIME
+                    || unreachable_since.is_some_and(|from| now >= from + OUTAGE_AFTER)
             }
         }
     }
@@ -68,7 +69,7 @@
     /// Until when what is decided by the list now may be written.
     pub fn written_until(self) -> f64 {
         match self {
-            ListState::Unheard { since, unreachable_since: None } => since + WRITTEN_WITHIN,
+            ListState::Unheard { since, unreachable_since: None } => since + WRITE_LIFETIME,
             _ => f64::INFINITY,
         }
     }
@@ -115,7 +116,7 @@
             ListState::Unreachable { since } => write!(f, " for {:.2} s", now - since),
             ListState::Unheard { since, .. } if since.is_infinite() => write!(f, ", nothing is sent by it"),
             ListState::Unheard { since, .. } => {
-                write!(f, " for {:.2} s, expires after {EXPIRES_AFTER} s", now - since)
+                write!(f, " for {:.2} s, expires after {LIST_LIFETIME} s", now - since)
             }
         }
     }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -21,7 +21,7 @@
     let mut node = Node::new(set, 5);
     let ready = |tgt| Entry { tgt, standing: Standing::Ready, cell: tgt as i64 / 2, ..Entry::default() };
     let mut out = Vec::new();
-    node.list(0.0, List::Whole((0..many).map(ready).collect()), &mut out);
+    node.on_list(0.0, List::Whole((0..many).map(ready).collect()), &mut out);
     node
 }
 
@@ -30,22 +30,22 @@
 }
 
 /// Adds an invocation whose earlier forwards, all sent at 1, went to executors 0, 1, ... with these fates.
-fn add(node: &mut Node, life: Life, fates: &[Fate]) {
-    let forward = |(tgt, &fate)| Fwd { fate, ..Fwd::new(tgt, 1.0) };
-    let forwards: Vec<Fwd> = fates.iter().enumerate().map(forward).collect();
+fn add(node: &mut Node, life: InvState, fates: &[ForwardState]) {
+    let forward = |(tgt, &fate)| Forward { state: fate, ..Forward::new(tgt, 1.0) };
+    let forwards: Vec<Forward> = fates.iter().enumerate().map(forward).collect();
     let inv = Inv {
-        life,
-        aim: 5.0,
-        until: 5.0,
+        state: life,
+        latest_start: 5.0,
+        give_up_at: 5.0,
         end: 10.0,
         hint: 1.0,
         load: 1.0,
-        worth: 1.0,
+        weight: 1.0,
         forwards,
         ..Inv::default()
     };
-    node.invs.insert(ID, inv);
-    if matches!(life, Life::Waiting | Life::Suspect) {
+    node.invocations.insert(ID, inv);
+    if matches!(life, InvState::Waiting | InvState::Uncertain) {
         node.waiting.push(ID);
     }
 }
@@ -53,7 +53,7 @@
 fn settle(node: &mut Node, now: f64, outcome: Outcome) -> Vec<Output> {
     let (forward, took, ended, report) = (0, 0.1, outcome == Outcome::Succeeded, Report::default());
     let mut out = Vec::new();
-    node.settled(now, Settled { id: ID, forward, outcome, took, ended, report }, &mut out);
+    node.on_settled(now, Settled { id: ID, forward, outcome, took, ended, report }, &mut out);
     out
 }
 
@@ -79,82 +79,91 @@
 #[test_case(&[1.0, 0.0], 0.97, 0.999; "a zero share is still tried")]
 fn draws_by_share(beta: &[f64], least: f64, most: f64) {
     let mut node = node(Effect::Idempotent, beta.len());
-    add(&mut node, Life::Waiting, &[]);
+    add(&mut node, InvState::Waiting, &[]);
     let trial = if beta[0] > 0.0 { 0.02 * beta[0] / beta.len() as f64 } else { 1.0 };
-    node.tgts.iter_mut().zip(beta).for_each(|(t, beta)| t.share = beta.max(trial));
-    let first = (0..4000).filter(|_| node.draw(2.0, ID, 1) == [0]).count() as f64 / 4000.0;
+    node.executors.iter_mut().zip(beta).for_each(|(t, beta)| t.share = beta.max(trial));
+    let first = (0..4000).filter(|_| node.draw_executors(2.0, ID, 1) == [0]).count() as f64 / 4000.0;
     assert!((least..most).contains(&first), "{first}");
 }
 
 // All were sent at 1; the last is the one that is to be written.
-#[test_case(DEDUP_ALL, &[Fate::MayHaveRun, Fate::Out], 2.9; "a repeat within the window of the first")]
-#[test_case(DEDUP_ALL, &[Fate::NotRun, Fate::Out], f64::INFINITY; "no repeat, as the first never ran")]
-#[test_case(DEDUP_ALL, &[Fate::Out], f64::INFINITY; "the first itself")]
-#[test_case(Effect::Idempotent, &[Fate::MayHaveRun, Fate::Out], f64::INFINITY; "what may be repeated at any time")]
-fn a_repeat_is_written_within_its_window_or_not_at_all(effect: Effect, fates: &[Fate], until: f64) {
+#[test_case(DEDUP_ALL, &[ForwardState::MayHaveRun, ForwardState::InFlight], 2.9; "a repeat within the window of the first")]
+#[test_case(DEDUP_ALL, &[ForwardState::NotRun, ForwardState::InFlight], f64::INFINITY; "no repeat, as the first never ran")]
+#[test_case(DEDUP_ALL, &[ForwardState::InFlight], f64::INFINITY; "the first itself")]
+#[test_case(Effect::Idempotent, &[ForwardState::MayHaveRun, ForwardState::InFlight], f64::INFINITY; "what may be repeated at any time")]
+fn a_repeat_is_written_within_its_window_or_not_at_all(effect: Effect, fates: &[ForwardState], until: f64) {
     let mut node = node(effect, 3);
-    add(&mut node, Life::Out, fates);
+    add(&mut node, InvState::InFlight, fates);
     assert_eq!(node.write_until(ID), until);
 }
 
 // Rule 2, a further forward: each effect, after each outcome of the only forward so far.
-#[test_case(Effect::NonIdempotent, Outcome::Full, Some(Life::Waiting); "full proves that it never ran")]
-#[test_case(Effect::NonIdempotent, Outcome::Unreachable, Some(Life::Waiting); "so does no connection")]
-#[test_case(Effect::NonIdempotent, Outcome::Moot, Some(Life::Waiting); "so does one never sent")]
-#[test_case(Effect::NonIdempotent, Outcome::Errored, Some(Life::Suspect); "an error may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::Reset, Some(Life::Suspect); "a reset may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::TimedOut, Some(Life::Suspect); "a time out may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::Cancelled, Some(Life::Suspect); "a withdrawal may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Full, Some(InvState::Waiting); "full proves that it never ran")]
+#[test_case(Effect::NonIdempotent, Outcome::Unreachable, Some(InvState::Waiting); "so does no connection")]
+#[test_case(Effect::NonIdempotent, Outcome::Moot, Some(InvState::Waiting); "so does one never sent")]
+#[test_case(Effect::NonIdempotent, Outcome::Errored, Some(InvState::Uncertain); "an error may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Reset, Some(InvState::Uncertain); "a reset may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::TimedOut, Some(InvState::Uncertain); "a time out may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Cancelled, Some(InvState::Uncertain); "a withdrawal may have run")]
 #[test_case(Effect::Idempotent, Outcome::Succeeded, None; "a success ends it")]
-fn a_forwards_end_moves_the_life(effect: Effect, outcome: Outcome, life: Option<Life>) {
+fn a_forwards_end_moves_the_life(effect: Effect, outcome: Outcome, life: Option<InvState>) {
     let mut node = node(effect, 4);
-    add(&mut node, Life::Out, &[Fate::Out]);
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
     settle(&mut node, 2.0, outcome);
-    assert_eq!(node.invs.get(&ID).map(|inv| inv.life), life);
+    assert_eq!(node.invocations.get(&ID).map(|inv| inv.state), life);
 }
 
-#[test_case(Effect::Idempotent, Fate::MayHaveRun, 1.5, &[1, 2, 3]; "idempotent goes anywhere else")]
-#[test_case(Effect::NonIdempotent, Fate::MayHaveRun, 1.5, &[]; "non idempotent goes nowhere")]
-#[test_case(Effect::NonIdempotent, Fate::Out, 1.5, &[]; "nor beside one that is out")]
-#[test_case(Effect::NonIdempotent, Fate::NotRun, 1.5, &[0, 1, 2, 3]; "unless it is proven not run")]
-#[test_case(DEDUP_ALL, Fate::MayHaveRun, 1.5, &[1, 2, 3]; "deduplicated by all goes anywhere else")]
-#[test_case(DEDUP_CELL, Fate::MayHaveRun, 1.5, &[1]; "deduplicated by cell stays in the cell")]
-#[test_case(DEDUP_CELL, Fate::MayHaveRun, 2.95, &[]; "and not up to the window's end")]
-fn further_forwards_keep_rule_two(effect: Effect, fate: Fate, now: f64, expected: &[Tgt]) {
+#[test_case(Effect::Idempotent, ForwardState::MayHaveRun, 1.5, &[1, 2, 3]; "idempotent goes anywhere else")]
+#[test_case(Effect::NonIdempotent, ForwardState::MayHaveRun, 1.5, &[]; "non idempotent goes nowhere")]
+#[test_case(Effect::NonIdempotent, ForwardState::InFlight, 1.5, &[]; "nor beside one that is out")]
+#[test_case(Effect::NonIdempotent, ForwardState::NotRun, 1.5, &[0, 1, 2, 3]; "unless it is proven not run")]
+#[test_case(DEDUP_ALL, ForwardState::MayHaveRun, 1.5, &[1, 2, 3]; "deduplicated by all goes anywhere else")]
+#[test_case(DEDUP_CELL, ForwardState::MayHaveRun, 1.5, &[1]; "deduplicated by cell stays in the cell")]
+#[test_case(DEDUP_CELL, ForwardState::MayHaveRun, 2.95, &[]; "and not up to the window's end")]
+fn further_forwards_keep_rule_two(effect: Effect, fate: ForwardState, now: f64, expected: &[Tgt]) {
     let mut node = node(effect, 4);
-    add(&mut node, Life::Suspect, &[fate]);
-    let may: Vec<Tgt> = (0..4).filter(|&i| node.may_go(now, &node.invs[&ID], &node.tgts[i])).collect();
+    add(&mut node, InvState::Uncertain, &[fate]);
+    let may: Vec<Tgt> =
+        (0..4).filter(|&i| node.is_eligible(now, &node.invocations[&ID], &node.executors[i])).collect();
     assert_eq!(may, expected);
 }
 
-#[test_case(Effect::NonIdempotent, Life::Waiting, true; "nothing ran: throttled")]
-#[test_case(Effect::NonIdempotent, Life::Suspect, false; "non idempotent that may have run: error")]
-#[test_case(Effect::Idempotent, Life::Suspect, true; "idempotent: throttled")]
-#[test_case(DEDUP_ALL, Life::Suspect, true; "deduplicated by all: throttled")]
-#[test_case(DEDUP_CELL, Life::Suspect, false; "deduplicated by a narrower group: error")]
-fn giving_up_answers_by_the_effect(effect: Effect, life: Life, throttled: bool) {
+#[test_case(Effect::NonIdempotent, InvState::Waiting, true; "nothing ran: throttled")]
+#[test_case(Effect::NonIdempotent, InvState::Uncertain, false; "non idempotent that may have run: error")]
+#[test_case(Effect::Idempotent, InvState::Uncertain, true; "idempotent: throttled")]
+#[test_case(DEDUP_ALL, InvState::Uncertain, true; "deduplicated by all: throttled")]
+#[test_case(DEDUP_CELL, InvState::Uncertain, false; "deduplicated by a narrower group: error")]
+fn giving_up_answers_by_the_effect(effect: Effect, life: InvState, throttled: bool) {
     let mut node = node(effect, 2);
-    add(&mut node, life, &[if life == Life::Waiting { Fate::NotRun } else { Fate::MayHaveRun }]);
+    add(
+        &mut node,
+        life,
+        &[if life == InvState::Waiting { ForwardState::NotRun } else { ForwardState::MayHaveRun }],
+    );
     let mut out = Vec::new();
-    node.step(2.0, ID, Turn::GaveUp, &mut out);
+    node.transition(2.0, ID, InvEvent::GaveUp, &mut out);
     let expected = if throttled { Output::Throttle { id: ID, pause: 0.0 } } else { Output::Error { id: ID } };
-    assert_eq!((out, node.waiting.len(), node.invs.len()), (vec![expected], 0, 0));
+    assert_eq!((out, node.waiting.len(), node.invocations.len()), (vec![expected], 0, 0));
 }
 
-#[test_case(Turn::Finished; "a second end")]
-#[test_case(Turn::GaveUp; "giving up while out")]
-fn late_and_double_events_change_nothing(turn: Turn) {
+#[test_case(InvEvent::Finished; "a second end")]
+#[test_case(InvEvent::GaveUp; "giving up while out")]
+fn late_and_double_events_change_nothing(turn: InvEvent) {
     let mut node = node(Effect::Idempotent, 2);
-    add(&mut node, if turn == Turn::GaveUp { Life::Out } else { Life::Ended }, &[Fate::Out]);
+    add(
+        &mut node,
+        if turn == InvEvent::GaveUp { InvState::InFlight } else { InvState::Ended },
+        &[ForwardState::InFlight],
+    );
     let mut out = Vec::new();
-    node.step(2.0, ID, turn, &mut out);
-    assert!(out.is_empty() && node.invs.len() == 1);
+    node.transition(2.0, ID, turn, &mut out);
+    assert!(out.is_empty() && node.invocations.len() == 1);
 }
 
 #[test]
 fn a_time_out_at_the_clients_end_is_answered_at_once() {
     let mut node = node(Effect::NonIdempotent, 2);
-    add(&mut node, Life::Out, &[Fate::Out]);
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
     assert_eq!(settle(&mut node, 10.0, Outcome::TimedOut).last(), Some(&Output::Error { id: ID }));
 }
 
@@ -163,25 +172,25 @@
 #[test_case(9.0, 0, false; "an ordinary one waits for its forward")]
 fn answered_at_the_door(timeout: f64, operation: usize, throttled: bool) {
     let (mut node, mut out) = (node(Effect::NonIdempotent, 2), Vec::new());
-    node.submitted(1.0, submit(timeout, operation), &mut out);
+    node.on_submitted(1.0, submit(timeout, operation), &mut out);
     assert_eq!(out == vec![Output::Throttle { id: ID, pause: 0.0 }], throttled);
 }
 
 #[test]
 fn what_waits_too_long_is_throttled_ahead_of_its_end() {
     let (mut node, mut out) = (node(Effect::NonIdempotent, 0), Vec::new());
-    node.submitted(1.0, submit(0.3, 0), &mut out);
-    node.review(1.2, &mut out);
+    node.on_submitted(1.0, submit(0.3, 0), &mut out);
+    node.expire_waiting(1.2, &mut out);
     assert_eq!(out, vec![Output::Throttle { id: ID, pause: 0.0 }]);
 }
 
 #[test]
 fn a_retrys_objective_counts_from_its_first_try() {
     let (mut node, mut out) = (node(Effect::Idempotent, 0), Vec::new());
-    node.submitted(1.0, Submission { id: 1, ..submit(9.0, 0) }, &mut out);
-    node.submitted(1.2, submit(8.8, 0), &mut out);
-    assert!((node.invs[&1].aim - node.invs[&ID].aim).abs() < 1e-9);
-    node.submitted(3.0, Submission { id: 2, ..submit(7.0, 0) }, &mut out);
+    node.on_submitted(1.0, Submission { id: 1, ..submit(9.0, 0) }, &mut out);
+    node.on_submitted(1.2, submit(8.8, 0), &mut out);
+    assert!((node.invocations[&1].latest_start - node.invocations[&ID].latest_start).abs() < 1e-9);
+    node.on_submitted(3.0, Submission { id: 2, ..submit(7.0, 0) }, &mut out);
     assert_eq!(out, vec![Output::Throttle { id: 2, pause: 0.0 }], "nothing is left of it: given up at once");
 }
 
@@ -191,10 +200,13 @@
 #[test_case(List::Lost(Loss::Closed), Standing::Ready; "a failed call leaves the list")]
 fn lists_are_followed(list: List, expected: Standing) {
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    add(&mut node, Life::Waiting, &[]);
-    node.list(3.0, list, &mut out);
-    assert_eq!(node.tgts[1].entry.standing, expected);
-    assert_eq!(node.may_go(3.0, &node.invs[&ID], &node.tgts[1]), expected == Standing::Ready);
+    add(&mut node, InvState::Waiting, &[]);
+    node.on_list(3.0, list, &mut out);
+    assert_eq!(node.executors[1].entry.standing, expected);
+    assert_eq!(
+        node.is_eligible(3.0, &node.invocations[&ID], &node.executors[1]),
+        expected == Standing::Ready
+    );
 }
 
 #[test_case(&[(Standing::Gone, 5.0)], false, false; "called gone")]
@@ -208,41 +220,45 @@
 fn where_only_a_drain_binds_a_list_proves_little(told: &[(Standing, f64)], alive: bool, goes: bool) {
     // Guards against a list that calls a serving fleet gone, and against one of long ago that comes again.
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    (node.set.only_draining, node.set.probing, node.tgts[1].entry.started) = (true, true, 5.0);
-    add(&mut node, Life::Waiting, &[]);
+    (node.settings.only_draining, node.settings.probing, node.executors[1].entry.started) = (true, true, 5.0);
+    add(&mut node, InvState::Waiting, &[]);
     for &(standing, started) in told {
-        node.list(30.0, List::Changes(vec![entry(1, standing, started)]), &mut out);
+        node.on_list(30.0, List::Changes(vec![entry(1, standing, started)]), &mut out);
         if alive {
             let (outcome, report) = (Outcome::Succeeded, Report::default());
             node.handle(30.0, Input::Probed { tgt: 1, outcome, report }, &mut out);
         }
     }
-    assert_eq!(node.may_go(30.0, &node.invs[&ID], &node.tgts[1]), goes);
+    assert_eq!(node.is_eligible(30.0, &node.invocations[&ID], &node.executors[1]), goes);
 }
 
 #[test_case(true, 3; "they are asked a few at a time")]
 #[test_case(false, 0; "they can't be asked")]
 fn with_all_called_gone_the_node_goes_on(probing: bool, asked: usize) {
     let (mut node, mut out) = (node(Effect::Idempotent, 40), Vec::new());
-    (node.set.only_draining, node.set.probing) = (true, probing);
-    node.list(1.0, List::Whole(Vec::new()), &mut out);
-    assert!(node.rank.is_empty(), "not before it is clear that none is left");
-    node.tick(1.25, &mut out);
+    (node.settings.only_draining, node.settings.probing) = (true, probing);
+    node.on_list(1.0, List::Whole(Vec::new()), &mut out);
+    assert!(node.ranked.is_empty(), "not before it is clear that none is left");
+    node.on_solve_timer(1.25, &mut out);
     let probes = out.iter().filter(|o| matches!(o, Output::Probe(_))).count();
-    assert!(node.rank.len() == 40 && (1..=3).contains(&probes) == (asked > 0), "{out:?}");
+    assert!(node.ranked.len() == 40 && (1..=3).contains(&probes) == (asked > 0), "{out:?}");
     node.handle(
         1.3,
         Input::Probed { tgt: 7, outcome: Outcome::Unreachable, report: Report::default() },
         &mut out,
     );
-    assert!(!node.tgts[7].ready(), "one that can't be reached is gone");
+    assert!(!node.executors[7].is_ready(), "one that can't be reached is gone");
 }
 
 /// The wait before the next call for the list.
 fn wait(out: &[Output]) -> Option<f64> {
-    out.iter()
-        .rev()
-        .find_map(|o| if let Output::Wake { after, timer: ASK } = o { Some(*after) } else { None })
+    out.iter().rev().find_map(|o| {
+        if let Output::Wake { after, timer: LIST_CALL_TIMER } = o {
+            Some(*after)
+        } else {
+            None
+        }
+    })
 }
 
 /// The `me`-th of so many nodes that have to ask for the list.
@@ -262,7 +278,7 @@
     for me in 0..nodes {
         let (mut node, mut out, mut now) = (asker(me, nodes, None), Vec::new(), 1_796_182_072.25);
         for again in 0..2 {
-            node.list(now, List::Lost(loss), &mut out);
+            node.on_list(now, List::Lost(loss), &mut out);
             let after = wait(&out).expect("it asks again");
             assert!((0.0..=round).contains(&after), "{after} for {me}, the {again}th time");
             turns.extend((again == 0).then_some(after));
@@ -281,7 +297,7 @@
 fn calls_that_fail_in_a_row_grow_rarer(nodes: usize, least: f64, most: f64) {
     let last = |me| {
         let (mut node, mut out) = (asker(me, nodes, None), Vec::new());
-        (0..6).for_each(|_| node.list(1.0, List::Lost(Loss::Waited), &mut out));
+        (0..6).for_each(|_| node.on_list(1.0, List::Lost(Loss::Waited), &mut out));
         wait(&out).expect("it asks again")
     };
     let last = (0..nodes).map(last).fold(0.0, f64::max);
@@ -306,7 +322,7 @@
 #[test_case(&[(SILENT, 10.0), (Loss::Unsaid, 10.0)], None; "where the protocol says nothing")]
 fn nothing_is_sent_by_a_list_that_is_too_old(losses: &[(Loss, f64)], from: Option<f64>) {
     let (mut node, mut out) = (node(Effect::Idempotent, 4), Vec::new());
-    losses.iter().for_each(|&(loss, now)| node.list(now, List::Lost(loss), &mut out));
+    losses.iter().for_each(|&(loss, now)| node.on_list(now, List::Lost(loss), &mut out));
     out.clear();
     let mut sends = |node: &mut Node, id, now| {
         let sub = Submission {
@@ -343,7 +359,7 @@
 #[test_case(6.0, 1; "much too late")]
 fn what_no_list_can_come_for_in_time_is_refused_at_once(due: f64, refused: usize) {
     let (mut node, mut out) = (node(Effect::Idempotent, 0), Vec::new());
-    (node.set.must_ask, node.set.max_pause) = (true, 2.0);
+    (node.settings.must_ask, node.settings.max_pause) = (true, 2.0);
     let list = vec![entry(0, Standing::Ready, 0.0)];
     node.handle(3.0, Input::List(List::Kept(list, KeptAge::Unknown)), &mut out);
     node.list_calls = ListCalls::due_at(due);
@@ -379,9 +395,13 @@
 #[test]
 fn a_new_start_forgets_the_old_process_but_not_what_is_out() {
     let mut node = node(Effect::Idempotent, 1);
-    (node.tgts[0].whole.bad, node.tgts[0].held, node.tgts[0].slow) = (9.0, 2, 1.0);
-    node.entry(5.0, entry(0, Standing::Ready, 4.0));
-    assert_eq!((node.tgts[0].whole.bad, node.tgts[0].held, node.tgts[0].slow), (0.0, 2, 0.0));
+    (node.executors[0].overall.failures, node.executors[0].held, node.executors[0].log_slowness) =
+        (9.0, 2, 1.0);
+    node.apply_entry(5.0, entry(0, Standing::Ready, 4.0));
+    assert_eq!(
+        (node.executors[0].overall.failures, node.executors[0].held, node.executors[0].log_slowness),
+        (0.0, 2, 0.0)
+    );
 }
 
 #[test_case(1.0, 0.5, true; "its turn, within the budget")]
@@ -390,8 +410,8 @@
 #[test_case(8.5, 9.0, true; "warm by now")]
 fn a_cold_executor_takes_its_budget_in_turns(age: f64, load: f64, room: bool) {
     let mut node = node(Effect::Idempotent, 1);
-    (node.tgts[0].entry.started, node.tgts[0].slots) = (10.0, 2.0);
-    assert_eq!(node.cold_room(10.0 + age, &node.tgts[0], load), room);
+    (node.executors[0].entry.started, node.executors[0].slots) = (10.0, 2.0);
+    assert_eq!(node.admits_while_cold(10.0 + age, &node.executors[0], load), room);
 }
 
 #[test]
@@ -399,13 +419,13 @@
     // Guards against a release in a blind fleet: one node after another had all new executors for itself, most
     // nodes none before they were warm.
     let mut node = node(Effect::Idempotent, 11);
-    node.set.nodes = 64;
-    for (i, t) in node.tgts.iter_mut().enumerate() {
+    node.settings.nodes = 64;
+    for (i, t) in node.executors.iter_mut().enumerate() {
         (t.entry.started, t.entry.mark, t.slots) = (10.0, 0x9e37 * (i as u32 + 1), 4.0);
     }
     let mut turn = |me: usize| {
-        node.set.me = me;
-        node.tgts.iter().filter(|t| node.cold_room(10.5, t, 0.2)).count()
+        node.settings.me = me;
+        node.executors.iter().filter(|t| node.admits_while_cold(10.5, t, 0.2)).count()
     };
     let open: Vec<usize> = (0..64).map(&mut turn).collect();
     assert_eq!(open.iter().sum::<usize>(), 11, "each has one node");
@@ -419,10 +439,11 @@
 fn a_cold_executor_is_used_by_any_node_while_its_report_has_room(free: f64, age: f64, room: bool) {
     // Guards against a release in a large fleet: few of hundreds of nodes have a turn before it is warm.
     let mut node = node(Effect::Idempotent, 1);
-    (node.set.nodes, node.set.me, node.set.probing, node.set.reports) = (300, 200, true, Reports::Answers);
-    (node.tgts[0].entry.started, node.tgts[0].slots) = (10.0, 2.0);
-    (node.tgts[0].free, node.tgts[0].reported) = (free, 10.0 + age);
-    assert_eq!(node.cold_room(10.0 + age, &node.tgts[0], 0.5), room);
+    (node.settings.nodes, node.settings.me, node.settings.probing, node.settings.reports) =
+        (300, 200, true, Reports::Answers);
+    (node.executors[0].entry.started, node.executors[0].slots) = (10.0, 2.0);
+    (node.executors[0].free, node.executors[0].reported_at) = (free, 10.0 + age);
+    assert_eq!(node.admits_while_cold(10.0 + age, &node.executors[0], 0.5), room);
 }
 
 #[test_case(0.01, true; "just told")]
@@ -432,10 +453,11 @@
     // Guards against twenty or more nodes that all see the same free slot: what they send within a report's age adds
     // up (20 nodes, N 2 to 13: six falls in two runs; 300 nodes: 22).
     let mut node = node(Effect::Idempotent, 1);
-    (node.set.nodes, node.set.me, node.set.probing, node.set.reports) = (300, 200, true, Reports::Answers);
-    (node.tgts[0].entry.started, node.tgts[0].slots) = (10.0, 2.0);
-    (node.tgts[0].free, node.tgts[0].reported) = (2.0, 12.0 - age);
-    assert_eq!(node.cold_room(12.0, &node.tgts[0], 0.5), open);
+    (node.settings.nodes, node.settings.me, node.settings.probing, node.settings.reports) =
+        (300, 200, true, Reports::Answers);
+    (node.executors[0].entry.started, node.executors[0].slots) = (10.0, 2.0);
+    (node.executors[0].free, node.executors[0].reported_at) = (2.0, 12.0 - age);
+    assert_eq!(node.admits_while_cold(12.0, &node.executors[0], 0.5), open);
 }
 
 #[test_case(Outcome::Errored, 3; "errors")]
@@ -446,10 +468,12 @@
 fn failures_bring_doubt_and_no_speed(outcome: Outcome, many: usize) {
     let mut node = node(Effect::Idempotent, 2);
     for _ in 0..many {
-        add(&mut node, Life::Out, &[Fate::Out]);
+        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
         settle(&mut node, 2.0, outcome);
     }
-    assert!(node.tgts[0].doubtful && node.tgts[0].slow == 0.0 && !node.tgts[1].doubtful);
+    assert!(
+        node.executors[0].doubtful && node.executors[0].log_slowness == 0.0 && !node.executors[1].doubtful
+    );
 }
 
 const ONE_CELL: Effect = Effect::Deduplicated { group: Group::Cell, window: 5.0 };
@@ -462,23 +486,23 @@
 #[test_case(Effect::Idempotent, 2, true, false; "it has started after all")]
 fn what_is_not_acknowledged_is_taken_back(effect: Effect, many: usize, started: bool, back: bool) {
     let mut node = node(effect, many);
-    node.set.cancelling = true;
-    add(&mut node, Life::Out, &[Fate::Out]);
-    node.invs.entry(ID).and_modify(|inv| inv.forwards[0].wait = started.then_some(0.0));
+    node.settings.cancelling = true;
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    node.invocations.entry(ID).and_modify(|inv| inv.forwards[0].wait = started.then_some(0.0));
     let mut out = Vec::new();
-    node.unheard(2.0, ID, 0, &mut out);
+    node.on_unacknowledged(2.0, ID, 0, &mut out);
     assert_eq!(out, Vec::from_iter(back.then_some(Output::Withdraw { id: ID, forward: 0 })));
-    assert_eq!(node.tgts[0].whole.bad > 0.0, !started);
+    assert_eq!(node.executors[0].overall.failures > 0.0, !started);
 }
 
 #[test]
 fn fault_found_with_an_invocation_or_two_brings_no_doubt() {
     let mut node = node(Effect::Idempotent, 1);
     for _ in 0..4 {
-        add(&mut node, Life::Out, &[Fate::Out]);
+        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
         settle(&mut node, 2.0, Outcome::Unfit);
     }
-    assert!(!node.tgts[0].doubtful);
+    assert!(!node.executors[0].doubtful);
 }
 
 #[test_case(Effect::Idempotent, true, true; "a trial goes with what can be sent again")]
@@ -486,9 +510,9 @@
 #[test_case(Effect::Idempotent, false, false; "none without the draw")]
 fn doubtful_executors_work_on_the_draw(effect: Effect, trial: bool, able: bool) {
     let mut node = node(effect, 1);
-    add(&mut node, Life::Waiting, &[]);
-    (node.tgts[0].doubtful, node.tgts[0].trial) = (true, trial);
-    assert_eq!(node.able(2.0, &node.invs[&ID], &node.tgts[0]), able);
+    add(&mut node, InvState::Waiting, &[]);
+    (node.executors[0].doubtful, node.executors[0].trial) = (true, trial);
+    assert_eq!(node.can_send(2.0, &node.invocations[&ID], &node.executors[0]), able);
 }
 
 #[test]
@@ -502,15 +526,15 @@
 #[test]
 fn silence_brings_doubt_and_a_sign_of_life_ends_it() {
     let (mut node, mut out) = (node(Effect::Idempotent, 1), Vec::new());
-    node.set.progress = 1.0;
-    add(&mut node, Life::Out, &[Fate::Out]);
-    (node.tgts[0].held, node.tgts[0].heard) = (1, 1.0);
-    node.tick(2.0, &mut out);
-    assert!(!node.tgts[0].silent, "within one interval and a half");
-    node.tick(3.0, &mut out);
-    assert!(node.tgts[0].silent && node.tgts[0].whole.bad > 0.0);
-    node.alive(3.1, ID, 0);
-    assert!(!node.tgts[0].silent && node.tgts[0].whole.bad == 0.0);
+    node.settings.progress = 1.0;
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    (node.executors[0].held, node.executors[0].last_sign_of_life) = (1, 1.0);
+    node.on_solve_timer(2.0, &mut out);
+    assert!(!node.executors[0].silent, "within one interval and a half");
+    node.on_solve_timer(3.0, &mut out);
+    assert!(node.executors[0].silent && node.executors[0].overall.failures > 0.0);
+    node.on_alive(3.1, ID, 0);
+    assert!(!node.executors[0].silent && node.executors[0].overall.failures == 0.0);
 }
 
 #[test_case(2.0, 0.0, 2.0, 1.0; "free slots count")]
@@ -518,24 +542,24 @@
 #[test_case(0.0, 2.0, 5.0, 0.0; "none free")]
 fn reports_tell_the_room(free: f64, queue: f64, inflight: f64, least: f64) {
     let mut node = node(Effect::Idempotent, 1);
-    (node.set.reports, node.set.probing) = (Reports::Answers, true);
+    (node.settings.reports, node.settings.probing) = (Reports::Answers, true);
     let report =
         Report { free: Some(free), queue: Some(queue), inflight: Some(inflight), ..Report::default() };
-    node.report(2.0, 0, report);
-    let room = node.room(2.05, &node.tgts[0]);
-    assert!(room.is_some_and(|room| (room >= ONE) == (least > 0.0)), "{room:?}");
-    assert_eq!(node.room(2.5, &node.tgts[0]), None, "too old to be counted on");
+    node.apply_report(2.0, 0, report);
+    let room = node.available_slots(2.05, &node.executors[0]);
+    assert!(room.is_some_and(|room| (room >= ONE_SLOT) == (least > 0.0)), "{room:?}");
+    assert_eq!(node.available_slots(2.5, &node.executors[0]), None, "too old to be counted on");
 }
 
 #[test]
 fn a_full_answer_outweighs_reports_and_rests_longer_each_time() {
     let mut node = node(Effect::Idempotent, 1);
-    (node.set.reports, node.set.probing) = (Reports::Answers, true);
-    (node.tgts[0].free, node.tgts[0].slots, node.tgts[0].reported) = (2.0, 2.0, 3.0);
+    (node.settings.reports, node.settings.probing) = (Reports::Answers, true);
+    (node.executors[0].free, node.executors[0].slots, node.executors[0].reported_at) = (2.0, 2.0, 3.0);
     let mut rests = |refusals, now| {
-        (node.tgts[0].refused, node.tgts[0].refusals) = (2.9, refusals);
-        node.tgts[0].reported = now;
-        node.room(now, &node.tgts[0]) == Some(0.0)
+        (node.executors[0].refused_at, node.executors[0].refusals) = (2.9, refusals);
+        node.executors[0].reported_at = now;
+        node.available_slots(now, &node.executors[0]) == Some(0.0)
     };
     assert!(rests(1, 3.0) && !rests(1, 3.2) && rests(3, 3.2) && !rests(0, 3.0));
 }
@@ -545,62 +569,62 @@
 #[test_case(0.0, 0.0, Some(1.0); "full as reported: reports are right")]
 fn late_reports_are_told_by_full_answers(free: f64, queue: f64, believed: Option<f64>) {
     let mut node = node(Effect::Idempotent, 2);
-    (node.set.reports, node.set.probing, node.held) = (Reports::Answers, true, [2.0; 2]);
+    (node.settings.reports, node.settings.probing, node.mean_held) = (Reports::Answers, true, [2.0; 2]);
     for _ in 0..2 {
-        add(&mut node, Life::Out, &[Fate::Out]);
+        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
         let report = Report { free: Some(free), queue: Some(queue), ..Report::default() };
         let full = Settled { id: ID, forward: 0, outcome: Outcome::Full, took: 0.0, ended: false, report };
-        node.settled(2.0, full, &mut Vec::new());
+        node.on_settled(2.0, full, &mut Vec::new());
     }
-    (node.tgts[1].free, node.tgts[1].slots, node.tgts[1].reported) = (1.0, 2.0, 2.0);
-    assert_eq!(node.room(2.0, &node.tgts[1]), believed.or(Some(4.0)));
+    (node.executors[1].free, node.executors[1].slots, node.executors[1].reported_at) = (1.0, 2.0, 2.0);
+    assert_eq!(node.available_slots(2.0, &node.executors[1]), believed.or(Some(4.0)));
 }
 
 #[test]
 fn slots_are_the_most_seen_free_not_a_sum_of_two_moments() {
     let mut node = node(Effect::Idempotent, 1);
-    node.tgts[0].held = 3;
-    (0..9).for_each(|i| node.report(f64::from(i), 0, Report { free: Some(2.1), ..Report::default() }));
-    assert_eq!(node.tgts[0].slots, 2.0);
+    node.executors[0].held = 3;
+    (0..9).for_each(|i| node.apply_report(f64::from(i), 0, Report { free: Some(2.1), ..Report::default() }));
+    assert_eq!(node.executors[0].slots, 2.0);
 }
 
 #[test]
 fn the_pass_goes_down_the_shares_and_not_to_a_zero_share() {
     let (mut node, mut out) = (node(Effect::Idempotent, 3), Vec::new());
-    add(&mut node, Life::Waiting, &[]);
+    add(&mut node, InvState::Waiting, &[]);
     counts_all(&mut node);
     for (i, beta) in [1.0, 3.0, 0.0].into_iter().enumerate() {
-        (node.tgts[i].beta, node.tgts[i].slots) = (beta, 2.0);
+        (node.executors[i].beta, node.executors[i].slots) = (beta, 2.0);
     }
-    (node.rank, node.tgts[0].held) = (vec![1, 0, 2], 2);
-    node.invs.entry(ID).and_modify(|inv| inv.sample = vec![0]);
-    assert_eq!(node.place(2.0, ID, &mut out), Place::Here(1));
-    node.tgts[1].held = 2;
-    assert_eq!(node.place(2.0, ID, &mut out), Place::Later);
+    (node.ranked, node.executors[0].held) = (vec![1, 0, 2], 2);
+    node.invocations.entry(ID).and_modify(|inv| inv.candidates = vec![0]);
+    assert_eq!(node.find_placement(2.0, ID, &mut out), Placement::Here(1));
+    node.executors[1].held = 2;
+    assert_eq!(node.find_placement(2.0, ID, &mut out), Placement::Later);
 }
 
-#[test_case(0.0, 1.5, Place::Here(0); "free where crossings cost nothing")]
-#[test_case(0.5, 1.0, Place::Later; "dear ones wait for the own zone")]
-#[test_case(0.5, 2.0, Place::Here(0); "but not for longer than they cost")]
-fn crossings_wait_for_what_they_cost(price: f64, now: f64, place: Place) {
+#[test_case(0.0, 1.5, Placement::Here(0); "free where crossings cost nothing")]
+#[test_case(0.5, 1.0, Placement::Later; "dear ones wait for the own zone")]
+#[test_case(0.5, 2.0, Placement::Here(0); "but not for longer than they cost")]
+fn crossings_wait_for_what_they_cost(price: f64, now: f64, place: Placement) {
     let (mut node, mut out) = (node(Effect::Idempotent, 1), Vec::new());
-    add(&mut node, Life::Waiting, &[]);
+    add(&mut node, InvState::Waiting, &[]);
     counts_all(&mut node);
-    (node.set.zone, node.set.cross_zone_price, node.tgts[0].slots) = (1, price, 2.0);
-    (node.near, node.rank, node.tgts[0].beta) = (usize::from(price > 0.0), vec![0], 1.0);
-    node.invs.entry(ID).and_modify(|inv| inv.cross = 1.4);
-    assert_eq!(node.place(now, ID, &mut out), place);
+    (node.settings.zone, node.settings.cross_zone_price, node.executors[0].slots) = (1, price, 2.0);
+    (node.own_zone_count, node.ranked, node.executors[0].beta) = (usize::from(price > 0.0), vec![0], 1.0);
+    node.invocations.entry(ID).and_modify(|inv| inv.cross_zone_from = 1.4);
+    assert_eq!(node.find_placement(now, ID, &mut out), place);
 }
 
 #[test]
 fn peers_counts_are_kept_and_wrong_ones_ignored() {
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    node.peer(1.0, 2, Told::Held, 1, 4, &mut out);
-    node.peer(1.0, 2, Told::Held, 77, 1, &mut out);
-    node.peer(1.0, 99, Told::Held, 1, 8, &mut out);
-    assert_eq!((node.tgts[0].elsewhere(), node.tgts[1].elsewhere()), (0.0, 4.0));
-    node.tick(9.0, &mut out);
-    assert_eq!(node.tgts[1].elsewhere(), 0.0, "a node not heard for long holds nothing");
+    node.on_peer_message(1.0, 2, Told::Held, 1, 4, &mut out);
+    node.on_peer_message(1.0, 2, Told::Held, 77, 1, &mut out);
+    node.on_peer_message(1.0, 99, Told::Held, 1, 8, &mut out);
+    assert_eq!((node.executors[0].held_by_peers(), node.executors[1].held_by_peers()), (0.0, 4.0));
+    node.on_solve_timer(9.0, &mut out);
+    assert_eq!(node.executors[1].held_by_peers(), 0.0, "a node not heard for long holds nothing");
 }
 
 #[test_case(false, true, None; "no messages")]
@@ -608,9 +632,9 @@
 #[test_case(true, false, None; "nobody where executors can't be asked either")]
 fn one_node_counts_for_an_executor(peers: bool, probing: bool, who: Option<usize>) {
     let mut node = node(Effect::Idempotent, 1);
-    (node.set.peers, node.set.probing, node.set.reports) = (peers, probing, Reports::Answers);
-    node.tgts[0].entry.mark = 7;
-    assert_eq!(node.keeper(&node.tgts[0]), who);
+    (node.settings.peers, node.settings.probing, node.settings.reports) = (peers, probing, Reports::Answers);
+    node.executors[0].entry.mark = 7;
+    assert_eq!(node.counting_node(&node.executors[0]), who);
 }
 
 #[test_case(1, 10, false; "one late start among ten")]
@@ -620,7 +644,7 @@
     let mut node = blind(Effect::Idempotent, 3);
     for at in 0..10 * of {
         let now = 2.0 + at as f64;
-        node.charge(now, Some(at % of < late), now);
+        node.update_price(now, Some(at % of < late), now);
     }
     assert_eq!(node.price > 0.25, dear, "{}", node.price);
 }
@@ -630,53 +654,53 @@
 fn late_starts_elsewhere_speak_against_crossings(price: f64, left: f64) {
     // Guards against an overload of all zones, in which crossings cost much and find the same queues.
     let mut node = blind(Effect::Idempotent, 2);
-    (node.set.cross_zone_price, node.spill, node.tgts[1].entry.zone) = (price, 1.0, 9);
+    (node.settings.cross_zone_price, node.spill_probability, node.executors[1].entry.zone) = (price, 1.0, 9);
     for at in 0..40 {
-        add(&mut node, Life::Out, &[Fate::Out]);
-        node.invs.entry(ID).and_modify(|inv| (inv.forwards[0].tgt, inv.spare) = (1, 0.2));
-        node.alive(2.0 + f64::from(at), ID, 0);
+        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        node.invocations.entry(ID).and_modify(|inv| (inv.forwards[0].tgt, inv.slack) = (1, 0.2));
+        node.on_alive(2.0 + f64::from(at), ID, 0);
     }
-    assert!((node.spill - left).abs() < 1e-6, "{}", node.spill);
+    assert!((node.spill_probability - left).abs() < 1e-6, "{}", node.spill_probability);
 }
 
 #[test]
 fn two_draws_cost_one_look_at_the_fleet() {
     // Guards against CPU that grows with the fleet at each invocation: both are from the same pool, by share.
     let mut node = blind(Effect::Idempotent, 30);
-    add(&mut node, Life::Waiting, &[]);
+    add(&mut node, InvState::Waiting, &[]);
     node.solve(1.0);
-    let drawn: Vec<Vec<Tgt>> = (0..200).map(|_| node.draw(1.0, ID, 2)).collect();
+    let drawn: Vec<Vec<Tgt>> = (0..200).map(|_| node.draw_executors(1.0, ID, 2)).collect();
     assert!(drawn.iter().all(|two| two.len() == 2 && two.iter().all(|&i| i < 30)));
     assert!(drawn.iter().filter(|two| two[0] == two[1]).count() < 20, "each is a draw of its own");
 }
 
 /// One node alone, which so counts for all.
 fn counts_all(node: &mut Node) {
-    (node.set.peers, node.set.probing, node.set.reports) = (true, true, Reports::Answers);
-    node.peer_heard = vec![0.0];
+    (node.settings.peers, node.settings.probing, node.settings.reports) = (true, true, Reports::Answers);
+    node.peer_last_heard = vec![0.0];
 }
 
 /// Node 0 of four counts for executors 0 and 4, marks as numbers, each of two slots.
 fn keeper(many: usize) -> Node {
     let mut node = node(Effect::Idempotent, many);
-    (node.set.peers, node.set.probing, node.set.reports) = (true, true, Reports::Answers);
-    node.tgts
+    (node.settings.peers, node.settings.probing, node.settings.reports) = (true, true, Reports::Answers);
+    node.executors
         .iter_mut()
         .enumerate()
-        .for_each(|(i, t)| (t.entry.mark, t.slots, t.asked, t.reported) = (i as u32, 2.0, 0.9, 0.9));
+        .for_each(|(i, t)| (t.entry.mark, t.slots, t.queried_at, t.reported_at) = (i as u32, 2.0, 0.9, 0.9));
     node
 }
 
 #[test]
 fn a_slot_is_promised_once_and_counts_end_a_promise() {
     let (mut node, mut out) = (keeper(5), Vec::new());
-    node.peer(1.0, 3, Told::Held, 4, 1, &mut out);
+    node.on_peer_message(1.0, 3, Told::Held, 4, 1, &mut out);
     for from in [1, 2] {
-        node.peer(1.0, from, Told::Asks, 4, 0, &mut out);
+        node.on_peer_message(1.0, from, Told::Asks, 4, 0, &mut out);
     }
     let answer = |to, count| Output::Tell { to, told: Told::Room, tgt: 4, count };
     assert_eq!(out, [answer(1, 1), answer(2, 0)]);
-    assert_eq!(node.room(1.2, &node.tgts[4]), Some(1.0), "nobody came");
+    assert_eq!(node.available_slots(1.2, &node.executors[4]), Some(1.0), "nobody came");
 }
 
 // Brisbane-pool-later, 1,174 nodes: 0.946 -> 0.829 where what is drawn by chance among hundreds was kept open.
@@ -687,9 +711,10 @@
 #[test_case(30, true, 0.0, Outcome::Errored, false; "kept where a job failed, at the cost of no handshake more")]
 fn idle_connections_are_closed(many: usize, asked: bool, price: f64, outcome: Outcome, closed: bool) {
     let mut node = node(Effect::Idempotent, many);
-    (node.set.probing, node.set.reports, node.set.connection_price) = (asked, Reports::Answers, price);
-    add(&mut node, Life::Out, &[Fate::Out]);
-    (node.tgts[0].held, node.tgts[0].open) = (1, 1);
+    (node.settings.probing, node.settings.reports, node.settings.connection_price) =
+        (asked, Reports::Answers, price);
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    (node.executors[0].held, node.executors[0].connections) = (1, 1);
     assert_eq!(settle(&mut node, 2.0, outcome).contains(&Output::Release(0)), closed);
 }
 
@@ -698,22 +723,22 @@
 #[test_case(30, 0.5; "all cold at once, and no report for long")]
 fn odd_fleets_get_an_answer_within_the_rules(many: usize, started: f64) {
     let (mut node, mut out) = (node(Effect::NonIdempotent, 0), Vec::new());
-    (node.set.probing, node.set.reports) = (true, Reports::Answers);
+    (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
     let list = (0..many).map(|tgt| entry(tgt, Standing::Ready, started)).collect();
     node.handle(1.0, Input::List(List::Whole(list)), &mut out);
     node.handle(1.0, Input::Submitted(submit(3.0, 0)), &mut out);
     (0..40).for_each(|i| node.handle(1.0 + 0.1 * f64::from(i), Input::Timer(LOOK), &mut out));
-    assert!(out.contains(&Output::Throttle { id: ID, pause: 0.0 }) && node.invs.is_empty(), "{out:?}");
+    assert!(out.contains(&Output::Throttle { id: ID, pause: 0.0 }) && node.invocations.is_empty(), "{out:?}");
 }
 
 #[test]
 fn who_counts_is_asked_and_if_silent_the_executor() {
     let (mut node, mut out) = (keeper(2), Vec::new());
-    node.ask(1.0, 1, &mut out);
-    assert_eq!(node.room(1.02, &node.tgts[1]), None, "waits for the answer");
-    assert_eq!(node.room(1.1, &node.tgts[1]), Some(0.0), "for so long");
-    node.ask(2.0, 1, &mut out);
-    node.ask(2.0, 0, &mut out);
+    node.query_load(1.0, 1, &mut out);
+    assert_eq!(node.available_slots(1.02, &node.executors[1]), None, "waits for the answer");
+    assert_eq!(node.available_slots(1.1, &node.executors[1]), Some(0.0), "for so long");
+    node.query_load(2.0, 1, &mut out);
+    node.query_load(2.0, 0, &mut out);
     let question = Output::Tell { to: 1, told: Told::Asks, tgt: 1, count: 0 };
     assert_eq!(out, [question, Output::Probe(1), Output::Probe(0)]);
 }
@@ -721,19 +746,19 @@
 #[test]
 fn a_large_fleet_is_drawn_from_two_at_a_time() {
     let (mut node, mut out) = (node(Effect::Idempotent, 30), Vec::new());
-    (node.set.probing, node.set.reports) = (true, Reports::Answers);
-    add(&mut node, Life::Waiting, &[]);
-    assert_eq!((node.place(2.0, ID, &mut out), out.len()), (Place::Later, 2));
-    let asked = node.invs[&ID].sample.clone();
+    (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
+    add(&mut node, InvState::Waiting, &[]);
+    assert_eq!((node.find_placement(2.0, ID, &mut out), out.len()), (Placement::Later, 2));
+    let asked = node.invocations[&ID].candidates.clone();
     assert_eq!(
-        (node.place(2.001, ID, &mut out), out.len()),
-        (Place::Later, 2),
+        (node.find_placement(2.001, ID, &mut out), out.len()),
+        (Placement::Later, 2),
         "no more while these may answer"
     );
-    asked.iter().for_each(|&i| node.tgts[i].reported = 2.01);
+    asked.iter().for_each(|&i| node.executors[i].reported_at = 2.01);
     assert_eq!(
-        (node.place(2.01, ID, &mut out), out.len()),
-        (Place::Later, 4),
+        (node.find_placement(2.01, ID, &mut out), out.len()),
+        (Placement::Later, 4),
         "two others once both are full"
     );
 }
@@ -742,13 +767,13 @@
 #[test_case(1, 1.0; "another zone's, who hold nothing")]
 fn what_is_usual_to_hold_is_told_apart_by_zone(tgt: Tgt, room: f64) {
     // Guards against a zone that looks full beside others that hold nothing, as work stays in it.
-    let set = Settings { cross_zone_price: 0.2, tells_start: true, ..node(Effect::Idempotent, 0).set };
+    let set = Settings { cross_zone_price: 0.2, tells_start: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
     let zoned = |tgt| Entry { zone: tgt % 2, ..entry(tgt, Standing::Ready, 0.0) };
-    node.list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
-    (0..4).for_each(|i| (node.tgts[2 * i].held, node.tgts[2 * i].running) = (3, 3));
+    node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
+    (0..4).for_each(|i| (node.executors[2 * i].held, node.executors[2 * i].running) = (3, 3));
     node.solve(1.0);
-    assert_eq!(node.room(1.0, &node.tgts[tgt]), Some(room));
+    assert_eq!(node.available_slots(1.0, &node.executors[tgt]), Some(room));
 }
 
 #[test_case(0.2, 0.0, 0.05, 0; "a dear crossing waits while the own zone starts in time")]
@@ -756,19 +781,24 @@
 #[test_case(0.01, 0.95, 0.05, 1; "and a cheap one hardly ever")]
 fn a_blind_fleet_crosses_as_its_own_zone_fills(price: f64, first: f64, wait: f64, crosses: usize) {
     // Guards against crossings that cost more than they serve: nothing reported, three in four went to other zones.
-    let set = Settings { cross_zone_price: price, tells_start: true, ..node(Effect::Idempotent, 0).set };
+    let set = Settings { cross_zone_price: price, tells_start: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
     let zoned = |tgt| Entry { zone: usize::from(tgt > 0), ..entry(tgt, Standing::Ready, 0.0) };
-    node.list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
-    assert!((node.spill - first).abs() < 1e-9 && node.near == 1);
+    node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
+    assert!((node.spill_probability - first).abs() < 1e-9 && node.own_zone_count == 1);
     for _ in 0..60 {
-        add(&mut node, Life::Out, &[Fate::Out]);
-        node.invs.entry(ID).and_modify(|inv| inv.spare = 1.0);
-        node.alive(1.0 + wait, ID, 0);
+        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        node.invocations.entry(ID).and_modify(|inv| inv.slack = 1.0);
+        node.on_alive(1.0 + wait, ID, 0);
     }
-    (node.value, node.invs) = (1.0, BTreeMap::new());
+    (node.mean_value, node.invocations) = (1.0, BTreeMap::new());
     node.handle(4.0, Input::Submitted(submit(9.0, 0)), &mut out);
-    assert_eq!(usize::from(node.invs[&ID].cross <= 4.0), crosses, "{}", node.spill);
+    assert_eq!(
+        usize::from(node.invocations[&ID].cross_zone_from <= 4.0),
+        crosses,
+        "{}",
+        node.spill_probability
+    );
 }
 
 #[test_case(Some(1.95), Outcome::Reset, true, false; "its executor died as it began")]
@@ -784,11 +814,11 @@
 ) {
     // Guards against a few such jobs that take down several executors each.
     let mut node = node(Effect::Idempotent, 3);
-    add(&mut node, Life::Out, &[Fate::Out]);
-    (node.tgts[0].held, node.set.tells_start) = (1, tells);
-    began.into_iter().for_each(|began| node.alive(began, ID, 0));
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    (node.executors[0].held, node.settings.tells_start) = (1, tells);
+    began.into_iter().for_each(|began| node.on_alive(began, ID, 0));
     let mut out = settle(&mut node, 2.0, outcome);
-    node.look(2.0, &mut out);
+    node.dispatch_waiting(2.0, &mut out);
     let (sent, refused) = (Output::Forward { id: ID, tgt: 1 }, Output::Throttle { id: ID, pause: 0.0 });
     let sent = out.contains(&sent) || out.contains(&Output::Forward { id: ID, tgt: 2 });
     assert_eq!((sent, out.contains(&refused)), (again, !again), "{out:?}");
@@ -799,22 +829,24 @@
 fn whose_fault_an_error_is_shows_at_another(second: Outcome, served: bool, blame: f64) {
     // Guards against jobs that fail wherever they go: a fleet that is doubted, and five forwards for each.
     let mut node = node(Effect::Idempotent, 3);
-    add(&mut node, Life::Out, &[Fate::Out]);
-    (node.tgts[0].held, node.theirs) = (1, 0.0);
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    (node.executors[0].held, node.job_fault_rate) = (1, 0.0);
     settle(&mut node, 2.0, Outcome::Errored);
-    node.invs.entry(ID).and_modify(|inv| {
-        inv.life = Life::Again;
-        inv.forwards.push(Fwd::new(1, 2.0));
+    node.invocations.entry(ID).and_modify(|inv| {
+        inv.state = InvState::InFlightUncertain;
+        inv.forwards.push(Forward::new(1, 2.0));
     });
     node.waiting.clear();
     let report = Report::default();
     let settled = Settled { id: ID, forward: 1, outcome: second, took: 0.1, ended: served, report };
     let mut out = Vec::new();
-    node.settled(2.1, settled, &mut out);
-    node.look(2.1, &mut out);
-    assert_eq!((node.tgts[0].whole.bad, node.tgts[1].whole.bad), (blame, 0.0));
+    node.on_settled(2.1, settled, &mut out);
+    node.dispatch_waiting(2.1, &mut out);
+    assert_eq!((node.executors[0].overall.failures, node.executors[1].overall.failures), (blame, 0.0));
     assert_eq!(out.contains(&Output::Throttle { id: ID, pause: 0.0 }), !served, "{out:?}");
-    assert!(!out.iter().any(|o| matches!(o, Output::Forward { .. })) && (node.theirs > 0.0) != served);
+    assert!(
+        !out.iter().any(|o| matches!(o, Output::Forward { .. })) && (node.job_fault_rate > 0.0) != served
+    );
 }
 
 #[test_case(4.0, 0.2, 0.5, true; "who has the turn sends there first")]
@@ -823,13 +855,13 @@
 fn a_cold_executor_does_not_stand_idle(age: f64, load: f64, spare: f64, first: bool) {
     // Guards against executors that stand idle until they are warm where many nodes take turns at them.
     let mut node = node(Effect::Idempotent, 20);
-    (node.set.me, node.set.nodes, node.set.cold.start) = (2, 100, 0.12);
+    (node.settings.me, node.settings.nodes, node.settings.cold.start) = (2, 100, 0.12);
     node.solve(50.0);
-    (node.tgts[7].entry.started, node.tgts[7].slots) = (50.0, 4.0);
+    (node.executors[7].entry.started, node.executors[7].slots) = (50.0, 4.0);
     let drawn = (0..20).filter(|_| {
-        add(&mut node, Life::Waiting, &[]);
-        node.invs.entry(ID).and_modify(|inv| (inv.load, inv.spare) = (load, spare));
-        node.draw(50.0 + age, ID, 1) == [7]
+        add(&mut node, InvState::Waiting, &[]);
+        node.invocations.entry(ID).and_modify(|inv| (inv.load, inv.slack) = (load, spare));
+        node.draw_executors(50.0 + age, ID, 1) == [7]
     });
     assert_eq!(drawn.count() == 20, first);
 }
@@ -838,20 +870,20 @@
 fn a_draw_is_not_wasted_on_who_is_known_to_be_full() {
     // Guards against jobs that find no room where there is some: each node looks at few of a large fleet.
     let (mut node, mut out) = (node(Effect::Idempotent, 30), Vec::new());
-    (node.set.probing, node.set.reports) = (true, Reports::Answers);
-    add(&mut node, Life::Waiting, &[]);
-    node.invs.entry(ID).and_modify(|inv| inv.load = 30.0);
-    (0..28).for_each(|i| node.tgts[i].reported = 2.0);
-    (node.tgts[28].entry.started, node.tgts[28].slots) = (1.0, 2.0); // Cold: not for so much work.
-    node.place(2.0, ID, &mut out);
-    assert_eq!((out, node.invs[&ID].sample.clone()), (vec![Output::Probe(29)], vec![29]));
+    (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
+    add(&mut node, InvState::Waiting, &[]);
+    node.invocations.entry(ID).and_modify(|inv| inv.load = 30.0);
+    (0..28).for_each(|i| node.executors[i].reported_at = 2.0);
+    (node.executors[28].entry.started, node.executors[28].slots) = (1.0, 2.0); // Cold: not for so much work.
+    node.find_placement(2.0, ID, &mut out);
+    assert_eq!((out, node.invocations[&ID].candidates.clone()), (vec![Output::Probe(29)], vec![29]));
 }
 
-#[test_case(10, SOLVE_EVERY; "a small fleet")]
+#[test_case(10, SOLVE_INTERVAL; "a small fleet")]
 #[test_case(300, 3.0; "a large one, with few invocations")]
 fn solves_of_large_fleets_are_rarer(many: usize, expected: f64) {
     let (mut node, mut out) = (node(Effect::Idempotent, many), Vec::new());
-    node.tick(1.0, &mut out);
+    node.on_solve_timer(1.0, &mut out);
     assert!(
         matches!(out.last(), Some(Output::Wake { after, .. }) if (after - expected).abs() < 1e-9),
         "{out:?}"
@@ -870,16 +902,16 @@
     assert!(play() == play() && !play().is_empty());
 }
 
-#[test_case(Effect::Idempotent, Life::Waiting, 1.0, None; "what fits is still sent")]
-#[test_case(Effect::Idempotent, Life::Waiting, 9.0, Some(true); "what does not is given back")]
-#[test_case(Effect::NonIdempotent, Life::Waiting, 9.0, Some(true); "it never ran, so it may be tried again")]
-#[test_case(Effect::NonIdempotent, Life::Suspect, 9.0, Some(false); "what may have run is not")]
-fn a_stop_gives_back_what_does_not_fit(effect: Effect, life: Life, load: f64, throttled: Option<bool>) {
+#[test_case(Effect::Idempotent, InvState::Waiting, 1.0, None; "what fits is still sent")]
+#[test_case(Effect::Idempotent, InvState::Waiting, 9.0, Some(true); "what does not is given back")]
+#[test_case(Effect::NonIdempotent, InvState::Waiting, 9.0, Some(true); "it never ran, so it may be tried again")]
+#[test_case(Effect::NonIdempotent, InvState::Uncertain, 9.0, Some(false); "what may have run is not")]
+fn a_stop_gives_back_what_does_not_fit(effect: Effect, life: InvState, load: f64, throttled: Option<bool>) {
     let mut node = node(effect, 4);
-    let fates: &[Fate] = if life == Life::Suspect { &[Fate::MayHaveRun] } else { &[] };
+    let fates: &[ForwardState] = if life == InvState::Uncertain { &[ForwardState::MayHaveRun] } else { &[] };
     add(&mut node, life, fates);
-    node.set.max_pause = 2.0;
-    node.invs.entry(ID).and_modify(|inv| inv.load = load);
+    node.settings.max_pause = 2.0;
+    node.invocations.entry(ID).and_modify(|inv| inv.load = load);
     let mut out = Vec::new();
     node.handle(2.0, Input::Leaving(5.0), &mut out);
     let told = out.iter().find_map(|o| match o {
@@ -895,21 +927,26 @@
 #[test_case(9.0, false; "what does not is not, but given back")]
 fn what_comes_during_a_stop_is_no_late_retry(load: f64, sent: bool) {
     let mut node = node(Effect::Idempotent, 4);
-    node.classes[0] = Class { pace: Some(load.ln()), longest: 30.0, ..Class::default() };
-    node.leave(5.0);
+    node.operation_stats[0] =
+        TrafficStats { log_latency: Some(load.ln()), longest_timeout: 30.0, ..TrafficStats::default() };
+    node.begin_stop(5.0);
     let mut out = Vec::new();
     node.handle(2.0, Input::Submitted(submit(30.0, 0)), &mut out);
     assert_eq!(out.iter().any(|o| matches!(o, Output::Forward { .. })), sent, "{out:?}");
-    assert!(node.invs.values().all(|inv| inv.end == 5.0 && inv.aim > 2.0), "{:?}", node.invs);
+    assert!(
+        node.invocations.values().all(|inv| inv.end == 5.0 && inv.latest_start > 2.0),
+        "{:?}",
+        node.invocations
+    );
 }
 
 #[test]
 fn what_still_waits_when_a_stop_ends_is_answered() {
     let mut node = node(Effect::NonIdempotent, 0);
-    add(&mut node, Life::Waiting, &[]);
-    node.leave(4.0);
+    add(&mut node, InvState::Waiting, &[]);
+    node.begin_stop(4.0);
     let mut out = Vec::new();
-    node.review(4.0 - BEFORE_END, &mut out);
+    node.expire_waiting(4.0 - ANSWER_MARGIN, &mut out);
     assert_eq!(out, [Output::Throttle { id: ID, pause: 0.0 }]);
 }
 
@@ -921,13 +958,14 @@
     // Guards against clients told to stay away past their objective over a list that is wrong for seconds, and
     // against jobs that kill executors, sent again and again. It may hurt where a crowd lasts: more come back.
     let mut node = node(Effect::Idempotent, 4);
-    node.set.max_pause = 2.0;
-    node.set.operations[0].late_value = late_value;
-    add(&mut node, Life::Waiting, &[]);
-    let set = |inv: &mut Inv| (inv.aim, inv.spare, inv.hopeless) = (2.0 - late, 0.2, hopeless);
-    node.invs.entry(ID).and_modify(set);
+    node.settings.max_pause = 2.0;
+    node.settings.operations[0].late_value = late_value;
+    add(&mut node, InvState::Waiting, &[]);
+    let set =
+        |inv: &mut Inv| (inv.latest_start, inv.slack, inv.no_more_forwards) = (2.0 - late, 0.2, hopeless);
+    node.invocations.entry(ID).and_modify(set);
     let mut out = Vec::new();
-    node.step(1.0, ID, Turn::GaveUp, &mut out);
+    node.transition(1.0, ID, InvEvent::GaveUp, &mut out);
     let told = |pause: f64| (0.5 * most..=most).contains(&pause);
     assert!(matches!(out[..], [Output::Throttle { pause, .. }] if told(pause)), "{out:?}");
 }
@@ -936,11 +974,11 @@
 #[test_case(5.0, true; "it has waited for room, and there is none")]
 fn a_stop_keeps_the_pause_of_those_that_found_no_room(now: f64, paused: bool) {
     let mut node = node(Effect::Idempotent, 0);
-    node.set.max_pause = 2.0;
-    add(&mut node, Life::Waiting, &[]);
-    node.leave(9.0);
+    node.settings.max_pause = 2.0;
+    add(&mut node, InvState::Waiting, &[]);
+    node.begin_stop(9.0);
     let mut out = Vec::new();
-    node.step(now, ID, Turn::GaveUp, &mut out);
+    node.transition(now, ID, InvEvent::GaveUp, &mut out);
     assert!(matches!(out[..], [Output::Throttle { pause, .. }] if (pause >= 1.0) == paused), "{out:?}");
 }
 
@@ -950,11 +988,11 @@
 #[test_case(4, 8, &[0, 1, 2, 3]; "half of them: the better half tells")]
 fn doubt_is_held_against_the_better_ones(failing: usize, many: usize, doubted: &[Tgt]) {
     let mut node = node(Effect::Idempotent, many);
-    for t in &mut node.tgts[..failing] {
-        (t.whole.good, t.whole.bad) = (1.0, 4.0);
+    for t in &mut node.executors[..failing] {
+        (t.overall.successes, t.overall.failures) = (1.0, 4.0);
     }
-    node.tick(0.3, &mut Vec::new());
-    let found: Vec<Tgt> = (0..many).filter(|&tgt| node.tgts[tgt].doubtful).collect();
+    node.on_solve_timer(0.3, &mut Vec::new());
+    let found: Vec<Tgt> = (0..many).filter(|&tgt| node.executors[tgt].doubtful).collect();
     assert_eq!(found, doubted);
 }
 
@@ -963,30 +1001,30 @@
 #[test_case(9.0, false, Some(1.0); "fog")]
 fn in_a_fog_own_forwards_count(fog: f64, withdrawn: bool, room: Option<f64>) {
     let mut node = node(Effect::Idempotent, 4);
-    (node.set.cancelling, node.set.probing, node.set.reports) = (true, true, Reports::Answers);
-    node.fog = fog;
-    add(&mut node, Life::Out, &[Fate::Out]);
+    (node.settings.cancelling, node.settings.probing, node.settings.reports) = (true, true, Reports::Answers);
+    node.degraded_until = fog;
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
     let mut out = Vec::new();
-    node.unheard(2.0, ID, 0, &mut out);
+    node.on_unacknowledged(2.0, ID, 0, &mut out);
     assert_eq!(out.contains(&Output::Withdraw { id: ID, forward: 0 }), withdrawn);
-    assert_eq!(node.room(2.0, &node.tgts[1]), room);
+    assert_eq!(node.available_slots(2.0, &node.executors[1]), room);
 }
 
 #[test]
 fn a_fog_lifts_once_the_better_ones_answer() {
     let mut node = node(Effect::Idempotent, 4);
-    node.tgts.iter_mut().for_each(|t| (t.whole.good, t.whole.bad) = (1.0, 6.0));
-    node.tick(0.3, &mut Vec::new());
-    assert!(5.0 < node.fog);
-    node.tgts.iter_mut().for_each(|t| (t.whole.good, t.whole.bad) = (8.0, 0.5));
-    node.tick(5.2, &mut Vec::new());
-    assert!(5.4 >= node.fog);
+    node.executors.iter_mut().for_each(|t| (t.overall.successes, t.overall.failures) = (1.0, 6.0));
+    node.on_solve_timer(0.3, &mut Vec::new());
+    assert!(5.0 < node.degraded_until);
+    node.executors.iter_mut().for_each(|t| (t.overall.successes, t.overall.failures) = (8.0, 0.5));
+    node.on_solve_timer(5.2, &mut Vec::new());
+    assert!(5.4 >= node.degraded_until);
 }
 
 /// A node that nothing tells of executors but how its own forwards fare, and of starts.
 fn blind(effect: Effect, many: usize) -> Node {
     let mut node = node(effect, many);
-    (node.set.tells_start, node.set.progress, node.set.cancelling) = (true, 1.0, true);
+    (node.settings.tells_start, node.settings.progress, node.settings.cancelling) = (true, 1.0, true);
     node
 }
 
@@ -995,13 +1033,13 @@
 fn a_blind_node_draws_again_what_began_at_once(wait: f64, again: bool) {
     // Guards against blind draws that meet at full executors while others stand idle.
     let mut node = blind(Effect::Idempotent, 30);
-    node.set.connection_price = 1.0;
-    add(&mut node, Life::Out, &[Fate::Out]);
-    (node.tgts[0].held, node.tgts[0].open) = (1, 1);
-    node.alive(1.0 + wait, ID, 0);
+    node.settings.connection_price = 1.0;
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    (node.executors[0].held, node.executors[0].connections) = (1, 1);
+    node.on_alive(1.0 + wait, ID, 0);
     let released = settle(&mut node, 2.0, Outcome::Succeeded).contains(&Output::Release(0));
-    add(&mut node, Life::Waiting, &[]);
-    let drawn = (0..99).filter(|_| node.draw(2.0, ID, 1) == [0]).count();
+    add(&mut node, InvState::Waiting, &[]);
+    let drawn = (0..99).filter(|_| node.draw_executors(2.0, ID, 1) == [0]).count();
     assert_eq!((drawn == 99, released), (again, !again), "{drawn}");
 }
 
@@ -1009,12 +1047,13 @@
 fn a_blind_node_draws_from_all_zones_by_listed_sizes() {
     // Guards against a herd at the own zone's largest share, where nothing tells that it is full.
     let mut node = blind(Effect::Idempotent, 30);
-    (node.set.cross_zone_price, node.set.zone, node.set.sizes, node.phi) = (0.01, 1, Sizes::Listed, 5.0);
-    node.tgts[3].entry.zone = 1;
-    node.tgts.iter_mut().enumerate().for_each(|(i, t)| t.entry.size = if i < 10 { 3.0 } else { 1.0 });
+    (node.settings.cross_zone_price, node.settings.zone, node.settings.sizes, node.phi) =
+        (0.01, 1, Sizes::Listed, 5.0);
+    node.executors[3].entry.zone = 1;
+    node.executors.iter_mut().enumerate().for_each(|(i, t)| t.entry.size = if i < 10 { 3.0 } else { 1.0 });
     node.solve(0.0);
-    add(&mut node, Life::Waiting, &[]);
-    let drawn: Vec<Tgt> = (0..300).flat_map(|_| node.draw(1.0, ID, 1)).collect();
+    add(&mut node, InvState::Waiting, &[]);
+    let drawn: Vec<Tgt> = (0..300).flat_map(|_| node.draw_executors(1.0, ID, 1)).collect();
     let (own, large) = (drawn.iter().filter(|i| **i == 3).count(), drawn.iter().filter(|i| **i < 10).count());
     assert!(own < 60 && large > 200, "{own} {large}");
 }
@@ -1023,28 +1062,28 @@
 fn late_starts_raise_what_is_to_be_pressed_once_a_wait() {
     // Guards against queues that fill unseen, and against a price that starts of long ago raise on and on.
     let mut node = blind(Effect::Idempotent, 3);
-    node.charge(2.0, Some(true), 1.0);
-    node.charge(3.0, Some(true), 1.5);
+    node.update_price(2.0, Some(true), 1.0);
+    node.update_price(3.0, Some(true), 1.5);
     assert_eq!(node.price, 0.5, "sent before the raise");
-    node.charge(4.0, Some(true), 3.0);
+    node.update_price(4.0, Some(true), 3.0);
     assert_eq!(node.price, 0.75);
-    (node.usual, node.phi, node.value) = (100.0, 1.0, 1.0);
+    (node.typical_priority, node.phi, node.mean_value) = (100.0, 1.0, 1.0);
     let mut out = Vec::new();
-    node.submitted(5.0, submit(9.0, 0), &mut out);
+    node.on_submitted(5.0, submit(9.0, 0), &mut out);
     assert_eq!(out, [Output::Throttle { id: ID, pause: 0.0 }], "answered at once");
-    node.set.max_pause = 2.0;
+    node.settings.max_pause = 2.0;
     out.clear();
-    node.submitted(5.0, submit(9.0, 0), &mut out);
+    node.on_submitted(5.0, submit(9.0, 0), &mut out);
     let spare = 0.5; // Half of its objective.
     assert!(
         matches!(out[..], [Output::Throttle { pause, .. }] if (0.5 * spare..=spare).contains(&pause)),
         "where allowed to come back while it can be in time: {out:?}"
     );
-    (0..99).for_each(|_| node.charge(6.0, Some(false), 5.0));
+    (0..99).for_each(|_| node.update_price(6.0, Some(false), 5.0));
     assert!(node.price < 0.01);
-    node.set.reports = Reports::Answers;
-    node.set.probing = true;
-    node.charge(9.0, Some(true), 8.0);
+    node.settings.reports = Reports::Answers;
+    node.settings.probing = true;
+    node.update_price(9.0, Some(true), 8.0);
     assert!(node.price < 0.01, "only where nothing tells of room");
 }
 
@@ -1062,9 +1101,9 @@
     // Guards against a late start or two, which tell of one executor each, that refuse most of what comes while others
     // stand free: with hundreds of nodes each sees too few starts to tell an overload by.
     let mut node = blind(Effect::Idempotent, 3);
-    node.set.operations[0].kind = kind;
-    (node.price, node.usual, node.phi, node.value) = (2.0, 100.0, 1.0, 1.0);
-    (node.tgts[1].kept, node.tgts[1].held) = (kept, held);
+    node.settings.operations[0].kind = kind;
+    (node.price, node.typical_priority, node.phi, node.mean_value) = (2.0, 100.0, 1.0, 1.0);
+    (node.executors[1].started_at_once, node.executors[1].held) = (kept, held);
     let mut out = Vec::new();
     node.handle(5.0, Input::Submitted(submit(9.0, 0)), &mut out);
     let sent = out.iter().any(|o| matches!(o, Output::Forward { tgt: 1, .. }));
@@ -1075,7 +1114,7 @@
 fn a_promise_ends_though_others_go_on_asking() {
     // Guards against an executor that is asked for more often than a promise holds: it promised all its slots for ever.
     let (mut node, mut out) = (keeper(5), Vec::new());
-    (0..20).for_each(|i| node.peer(1.0 + 0.02 * f64::from(i), 1, Told::Asks, 4, 0, &mut out));
+    (0..20).for_each(|i| node.on_peer_message(1.0 + 0.02 * f64::from(i), 1, Told::Asks, 4, 0, &mut out));
     let granted =
         out.iter().filter(|o| matches!(o, Output::Tell { told: Told::Room, count, .. } if *count > 0));
     assert!(granted.count() >= 8, "{out:?}");
@@ -1086,13 +1125,16 @@
     // Guards against work that finds nothing kept, for want of a common draw or of a moment's patience.
     let order = |seed: u64, now: f64| {
         let mut node = node(Effect::Idempotent, 30);
-        (node.chance, node.set.probing, node.set.reports) = (Chance::new(seed), true, Reports::Answers);
-        node.tgts
+        (node.rng, node.settings.probing, node.settings.reports) =
+            (Chance::new(seed), true, Reports::Answers);
+        node.executors
             .iter_mut()
             .for_each(|t| (t.entry.mark, t.share) = (t.entry.tgt as u32, 1.0 + (t.entry.tgt % 3) as f64));
-        add(&mut node, Life::Waiting, &[]);
-        node.invs.entry(ID).and_modify(|inv| (inv.key, inv.aim, inv.spare) = (Some(99), 2.0, 1.0));
-        node.order(now, ID)
+        add(&mut node, InvState::Waiting, &[]);
+        node.invocations
+            .entry(ID)
+            .and_modify(|inv| (inv.key, inv.latest_start, inv.slack) = (Some(99), 2.0, 1.0));
+        node.candidates(now, ID)
     };
     assert_eq!(order(1, 1.9), order(2, 1.9));
     assert_eq!([1.0, 1.25, 1.5].map(|now| order(1, now).len()), [1, 2, 3]);
@@ -1103,14 +1145,21 @@
 fn a_cold_executor_is_used_through_who_counts_for_it() {
     // Guards against a fleet that is replaced and stands idle: few of many nodes have a turn before it is warm.
     let (mut node, mut out) = (keeper(5), Vec::new());
-    node.tgts[1].entry.started = 1.0;
-    node.tgts[4].entry.started = 1.0;
-    (node.tgts[4].slots, node.tgts[1].reported, node.tgts[1].free) = (8.0, 2.0, 8.0);
-    assert_eq!(node.room(2.0, &node.tgts[1]), None, "its own word does not tell what others send");
-    node.peer(2.0, 1, Told::Room, 1, 2, &mut out);
-    assert_eq!((node.room(2.0, &node.tgts[1]), node.cold_room(2.0, &node.tgts[1], 1.0)), (Some(2.0), true));
+    node.executors[1].entry.started = 1.0;
+    node.executors[4].entry.started = 1.0;
+    (node.executors[4].slots, node.executors[1].reported_at, node.executors[1].free) = (8.0, 2.0, 8.0);
+    assert_eq!(
+        node.available_slots(2.0, &node.executors[1]),
+        None,
+        "its own word does not tell what others send"
+    );
+    node.on_peer_message(2.0, 1, Told::Room, 1, 2, &mut out);
     assert_eq!(
-        node.room(2.0, &node.tgts[4]),
+        (node.available_slots(2.0, &node.executors[1]), node.admits_while_cold(2.0, &node.executors[1], 1.0)),
+        (Some(2.0), true)
+    );
+    assert_eq!(
+        node.available_slots(2.0, &node.executors[4]),
         Some(8.0 * (0.25 + 0.75 / 8.0)),
         "as much as it has while cold"
     );
@@ -1121,9 +1170,9 @@
 fn who_counts_tells_of_slots_and_not_of_the_work_in_them(load: f64, room: bool) {
     // Guards against a cold executor pushed over by two heavy jobs, each in a slot that was free.
     let (mut node, mut out) = (keeper(5), Vec::new());
-    (node.tgts[1].entry.started, node.tgts[1].slots) = (1.0, 2.0);
-    node.peer(2.0, 1, Told::Room, 1, 2, &mut out);
-    assert_eq!(node.cold_room(2.0, &node.tgts[1], load), room);
+    (node.executors[1].entry.started, node.executors[1].slots) = (1.0, 2.0);
+    node.on_peer_message(2.0, 1, Told::Room, 1, 2, &mut out);
+    assert_eq!(node.admits_while_cold(2.0, &node.executors[1], load), room);
 }
 
 #[test_case(false, true; "a first try, held up by nothing here")]
@@ -1131,45 +1180,50 @@
 fn first_tries_of_impatient_clients_are_not_late(again: bool, taken: bool) {
     // Guards against short patience that is taken for age; what has no objective left is given up at once.
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    node.set.marks_again = true;
+    node.settings.marks_again = true;
     node.handle(1.0, Input::Submitted(Submission { id: 1, ..submit(9.0, 0) }), &mut out);
-    node.turns = [1.9, 1.95];
+    node.last_inputs = [1.9, 1.95];
     out.clear();
-    node.submitted(2.0, Submission { again, ..submit(0.8, 0) }, &mut out);
-    assert_eq!((node.invs.contains_key(&ID), out.is_empty()), (taken, taken));
+    node.on_submitted(2.0, Submission { again, ..submit(0.8, 0) }, &mut out);
+    assert_eq!((node.invocations.contains_key(&ID), out.is_empty()), (taken, taken));
 }
 
 #[test]
 fn slots_and_pace_are_learned_by_kind() {
     // Guards against executors that a node of many hardly hears from: its kind tells of them.
     let mut node = node(Effect::Idempotent, 4);
-    node.tgts[3].entry.kind = 1;
-    node.kinds.resize(2, Kind::default());
-    node.report(1.0, 0, Report { free: Some(5.1), ..Report::default() });
+    node.executors[3].entry.kind = 1;
+    node.kind_stats.resize(2, MachineKindStats::default());
+    node.apply_report(1.0, 0, Report { free: Some(5.1), ..Report::default() });
     node.solve(1.0);
-    assert_eq!(node.tgts.iter().map(|t| t.slots).collect::<Vec<_>>(), [5.0, 5.0, 5.0, 0.0]);
+    assert_eq!(node.executors.iter().map(|t| t.slots).collect::<Vec<_>>(), [5.0, 5.0, 5.0, 0.0]);
 }
 
-#[test_case(0.5, Place::Later; "believed while fresh")]
-#[test_case(2.0, Place::Here(0); "not for long")]
-fn what_others_take_of_memory_is_soon_unknown(age: f64, place: Place) {
+#[test_case(0.5, Placement::Later; "believed while fresh")]
+#[test_case(2.0, Placement::Here(0); "not for long")]
+fn what_others_take_of_memory_is_soon_unknown(age: f64, place: Placement) {
     // Guards against an executor that stays closed to a node that hears from it once in twenty seconds.
     let (mut node, mut out) = (node(Effect::Idempotent, 1), Vec::new());
     counts_all(&mut node);
-    (node.tgts[0].slots, node.tgts[0].foreign, node.tgts[0].weighed) = (2.0, 1.5, 3.0 - age);
-    add(&mut node, Life::Waiting, &[]);
-    node.invs.entry(ID).and_modify(|inv| inv.memory = 1.0);
-    assert_eq!(node.place(3.0, ID, &mut out), place);
+    (node.executors[0].slots, node.executors[0].foreign_memory, node.executors[0].own_report_at) =
+        (2.0, 1.5, 3.0 - age);
+    add(&mut node, InvState::Waiting, &[]);
+    node.invocations.entry(ID).and_modify(|inv| inv.memory = 1.0);
+    assert_eq!(node.find_placement(3.0, ID, &mut out), place);
 }
 
 #[test]
 fn a_second_forward_leaves_only_after_the_first_has_settled() {
     // Guards against two forwards of one invocation out at once, which some deployments forbid.
     let (mut node, mut out) = (blind(Effect::Idempotent, 30), Vec::new());
-    node.set.operations[0].objective = 20.0;
+    node.settings.operations[0].objective = 20.0;
     node.handle(1.0, Input::Submitted(submit(9.0, 0)), &mut out);
     for i in 1..30 {
-        node.handle(1.0 + 0.1 * f64::from(i), Input::Timer(if i % 2 == 0 { SOLVE } else { LOOK }), &mut out);
+        node.handle(
+            1.0 + 0.1 * f64::from(i),
+            Input::Timer(if i % 2 == 0 { SOLVE_TIMER } else { LOOK }),
+            &mut out,
+        );
     }
     let sent = |out: &[Output]| out.iter().filter(|o| matches!(o, Output::Forward { .. })).count();
     assert_eq!(sent(&out), 1);
@@ -1184,10 +1238,10 @@
 fn what_has_not_started_in_time_raises_the_price_before_it_starts() {
     // Guards against queues of several seconds: by the time that starts tell of them, prices have faded again.
     let mut node = blind(Effect::Idempotent, 3);
-    add(&mut node, Life::Out, &[Fate::Out]);
-    node.invs.entry(ID).and_modify(|inv| inv.spare = 0.4);
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    node.invocations.entry(ID).and_modify(|inv| inv.slack = 0.4);
     let prices = [1.1, 1.3, 1.5].map(|now| {
-        node.tick(now, &mut Vec::new());
+        node.on_solve_timer(now, &mut Vec::new());
         node.price
     });
     assert!(prices[0] == 0.0 && prices[1] == 0.5 && prices[2] < 0.5, "{prices:?}");
@@ -1197,10 +1251,10 @@
 fn a_first_progress_note_is_no_late_start() {
     // Guards against a price on taking where starts are not told: progress comes a second after the start at best.
     let mut node = blind(Effect::Idempotent, 3);
-    node.set.tells_start = false;
-    add(&mut node, Life::Out, &[Fate::Out]);
-    node.alive(3.0, ID, 0);
-    assert_eq!((node.price, node.util, node.invs[&ID].forwards[0].wait), (0.0, 0.5, Some(0.0)));
+    node.settings.tells_start = false;
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    node.on_alive(3.0, ID, 0);
+    assert_eq!((node.price, node.util, node.invocations[&ID].forwards[0].wait), (0.0, 0.5, Some(0.0)));
 }
 
 #[test]
@@ -1209,7 +1263,7 @@
     let mut node = blind(Effect::Idempotent, 3);
     settle(&mut node, 1.5, Outcome::Full);
     assert_eq!(node.price, 0.0, "of nothing that is held");
-    add(&mut node, Life::Out, &[Fate::Out]);
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
     settle(&mut node, 2.0, Outcome::Full);
     settle(&mut node, 2.5, Outcome::Full);
     assert_eq!(node.price, 0.5);
@@ -1217,7 +1271,7 @@
 
 fn budgeted(floor: f64, share: f64) -> Node {
     let mut node = node(Effect::Idempotent, 4);
-    node.set.budget = Some(Budget { floor, share, span: 5.0 });
+    node.settings.budget = Some(Budget { floor, share, span: 5.0 });
     node
 }
 
@@ -1229,23 +1283,27 @@
 #[test_case(0.03, 100, 5, 2.0, 0.0; "spent")]
 fn counts_further_forwards_within_the_span(share: f64, taken: usize, sent: usize, now: f64, left: f64) {
     let mut node = budgeted(2.0, share);
-    node.taken.0.extend(vec![2.0; taken]);
-    node.further.0.extend(vec![2.0; sent]);
-    assert!((node.further(now) - left).abs() < 1e-9, "{}", node.further(now));
+    node.accepted.0.extend(vec![2.0; taken]);
+    node.further_sent.0.extend(vec![2.0; sent]);
+    assert!(
+        (node.remaining_further_forwards(now) - left).abs() < 1e-9,
+        "{}",
+        node.remaining_further_forwards(now)
+    );
 }
 
-#[test_case(Fate::NotRun, Effect::Idempotent, 0.0, Place::Never; "none left: it gives up at once")]
-#[test_case(Fate::NotRun, Effect::Idempotent, 1.0, Place::Here(0); "the last is for a proof that the first never ran")]
-#[test_case(Fate::MayHaveRun, Effect::Idempotent, 1.0, Place::Never; "and not for what adds little")]
-#[test_case(Fate::MayHaveRun, Effect::Idempotent, 3.0, Place::Here(0); "but while there are some")]
-fn goes_on_within_its_budget(fate: Fate, effect: Effect, left: f64, place: Place) {
+#[test_case(ForwardState::NotRun, Effect::Idempotent, 0.0, Placement::Never; "none left: it gives up at once")]
+#[test_case(ForwardState::NotRun, Effect::Idempotent, 1.0, Placement::Here(0); "the last is for a proof that the first never ran")]
+#[test_case(ForwardState::MayHaveRun, Effect::Idempotent, 1.0, Placement::Never; "and not for what adds little")]
+#[test_case(ForwardState::MayHaveRun, Effect::Idempotent, 3.0, Placement::Here(0); "but while there are some")]
+fn goes_on_within_its_budget(fate: ForwardState, effect: Effect, left: f64, place: Placement) {
     let mut node = budgeted(4.0, 0.0);
-    node.set.operations[0].effect = effect;
-    node.usual = 2.0;
-    node.further.0.extend(vec![1.5; (4.0 - left) as usize]);
-    add(&mut node, Life::Suspect, &[fate]);
-    let got = node.place(2.0, ID, &mut Vec::new());
-    assert_eq!(matches!(got, Place::Here(_)), matches!(place, Place::Here(_)), "{got:?}");
+    node.settings.operations[0].effect = effect;
+    node.typical_priority = 2.0;
+    node.further_sent.0.extend(vec![1.5; (4.0 - left) as usize]);
+    add(&mut node, InvState::Uncertain, &[fate]);
+    let got = node.find_placement(2.0, ID, &mut Vec::new());
+    assert_eq!(matches!(got, Placement::Here(_)), matches!(place, Placement::Here(_)), "{got:?}");
 }
 
 #[test]
@@ -1253,90 +1311,95 @@
     let mut node = budgeted(2.0, 0.5);
     node.handle(1.0, Input::Submitted(submit(0.0, 0)), &mut Vec::new());
     node.handle(1.0, Input::Submitted(submit(9.0, 0)), &mut Vec::new());
-    assert_eq!((node.taken.0.len(), node.further.0.len()), (2, 0));
+    assert_eq!((node.accepted.0.len(), node.further_sent.0.len()), (2, 0));
     settle(&mut node, 1.1, Outcome::Full);
     node.handle(1.2, Input::Timer(LOOK), &mut Vec::new());
-    assert_eq!((node.invs[&ID].forwards.len(), node.further.0.len()), (2, 1));
+    assert_eq!((node.invocations[&ID].forwards.len(), node.further_sent.0.len()), (2, 1));
 }
 
 // Bahir-dar-runs, big-1: race-split was sent on after 'full' to a worker of another bay.
-#[test_case(Effect::NonIdempotent, false, Life::Out; "a proof elsewhere")]
-#[test_case(Effect::NonIdempotent, true, Life::Ended; "no proof where they shed what they had begun")]
-#[test_case(DEDUP_CELL, true, Life::Again; "marked work is bound to its group")]
-fn trusts_a_full_answer_as_the_settings_say(effect: Effect, late_shedding: bool, life: Life) {
+#[test_case(Effect::NonIdempotent, false, InvState::InFlight; "a proof elsewhere")]
+#[test_case(Effect::NonIdempotent, true, InvState::Ended; "no proof where they shed what they had begun")]
+#[test_case(DEDUP_CELL, true, InvState::InFlightUncertain; "marked work is bound to its group")]
+fn trusts_a_full_answer_as_the_settings_say(effect: Effect, late_shedding: bool, life: InvState) {
     let mut node = node(effect, 6);
-    node.set.full_may_have_run = late_shedding;
-    add(&mut node, Life::Out, &[Fate::Out]);
-    node.tgts[0].held = 1;
+    node.settings.full_may_have_run = late_shedding;
+    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    node.executors[0].held = 1;
     let mut out = settle(&mut node, 1.2, Outcome::Full);
-    node.tgts.iter_mut().skip(2).for_each(|t| t.held = 9); // None with room but in its own cell.
-    node.look(1.3, &mut out);
-    assert_eq!(node.invs.get(&ID).map_or(Life::Ended, |inv| inv.life), life);
+    node.executors.iter_mut().skip(2).for_each(|t| t.held = 9); // None with room but in its own cell.
+    node.dispatch_waiting(1.3, &mut out);
+    assert_eq!(node.invocations.get(&ID).map_or(InvState::Ended, |inv| inv.state), life);
     assert!(!out.iter().any(|o| matches!(o, Output::Throttle { .. })), "{out:?}");
-    assert_eq!(out.contains(&Output::Error { id: ID }), life == Life::Ended);
+    assert_eq!(out.contains(&Output::Error { id: ID }), life == InvState::Ended);
 }
 
 // Mekelle-boards' quiet day 0.571 for 0.976: reports a second old told of room that was long taken.
 #[test]
 fn reports_that_tell_of_room_that_is_not_there_are_set_aside() {
     let mut node = node(Effect::Idempotent, 30);
-    (node.set.probing, node.set.reports, node.set.tells_start) = (true, Reports::Answers, true);
+    (node.settings.probing, node.settings.reports, node.settings.tells_start) =
+        (true, Reports::Answers, true);
     for at in 0..30 {
-        add(&mut node, Life::Out, &[Fate::Out]);
-        node.invs.get_mut(&ID).expect("added").forwards[0].told = true;
-        let still = node.asks();
-        node.alive(1.0 + 0.5 * f64::from(u8::from(at % 3 > 0)), ID, 0);
+        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        node.invocations.get_mut(&ID).expect("added").forwards[0].had_reported_slot = true;
+        let still = node.can_query_load();
+        node.on_alive(1.0 + 0.5 * f64::from(u8::from(at % 3 > 0)), ID, 0);
         assert!(still || at > 5, "too soon");
     }
-    assert!(!node.asks());
+    assert!(!node.can_query_load());
     node.util = 0.95;
-    assert!(node.asks(), "where nearly all is busy, others just come first");
+    assert!(node.can_query_load(), "where nearly all is busy, others just come first");
 }
 
 /// A forward of `ID` to executor 0, sent at 1, that had every reason to start.
 fn sure(node: &mut Node, kept: bool) {
-    add(node, Life::Out, &[Fate::Out]);
-    let inv = node.invs.get_mut(&ID).expect("added");
-    (inv.spare, inv.forwards[0].sure, inv.forwards[0].kept) = (1.0, true, kept);
-    (node.tgts[0].held, node.tgts[0].open, node.tgts[0].kept) = (1, 1, true);
-    node.unsure.insert(ID);
+    add(node, InvState::InFlight, &[ForwardState::InFlight]);
+    let inv = node.invocations.get_mut(&ID).expect("added");
+    (inv.slack, inv.forwards[0].expected_at_once, inv.forwards[0].reused_connection) = (1.0, true, kept);
+    (node.executors[0].held, node.executors[0].connections, node.executors[0].started_at_once) = (1, 1, true);
+    node.awaiting_start.insert(ID);
 }
 
 // Addis-boards big-2, G 0.523: a third of the forwards went over connections that had been dropped unseen.
-#[test_case(KEPT; "open ones that were dropped unseen")]
+#[test_case(REUSED; "open ones that were dropped unseen")]
 #[test_case(NEW; "new ones that come up too late: bahir-dar-runs big-1")]
 fn leaves_the_sort_of_connection_that_fails(way: usize) {
     let mut node = blind(Effect::Idempotent, 30);
-    node.tgts[3].open = 1;
+    node.executors[3].connections = 1;
     for _ in 0..6 {
-        sure(&mut node, way == KEPT);
-        node.overdue(1.6);
-        node.invs.clear();
+        sure(&mut node, way == REUSED);
+        node.check_overdue_starts(1.6);
+        node.invocations.clear();
     }
     let mut out = Vec::new();
-    node.open_ways(0.25, &mut out);
-    assert!(node.ways[way].shut && !node.ways[1 - way].shut, "{:?}", node.ways);
-    assert_eq!(out.contains(&Output::Release(3)), way == KEPT, "all that are idle are suspect");
-    add(&mut node, Life::Waiting, &[]);
-    (node.tgts[3].open, node.tgts[3].parked) = (1, 1.5);
-    let there = (0..99).filter(|_| node.draw(2.0, ID, 1) == [3]).count();
+    node.update_connection_records(0.25, &mut out);
+    assert!(
+        node.connection_records[way].avoided && !node.connection_records[1 - way].avoided,
+        "{:?}",
+        node.connection_records
+    );
+    assert_eq!(out.contains(&Output::Release(3)), way == REUSED, "all that are idle are suspect");
+    add(&mut node, InvState::Waiting, &[]);
+    (node.executors[3].connections, node.executors[3].idle_since) = (1, 1.5);
+    let there = (0..99).filter(|_| node.draw_executors(2.0, ID, 1) == [3]).count();
     assert_eq!(there == 99, way == NEW, "{there}");
 }
 
 #[test]
 fn a_sort_of_connection_is_trusted_again_by_and_by() {
     let mut node = blind(Effect::Idempotent, 4);
-    node.ways[NEW] = Record { good: 0.5, bad: 8.0, ..Record::default() };
+    node.connection_records[NEW] = Record { successes: 0.5, failures: 8.0, ..Record::default() };
     let shut = |node: &mut Node| {
         (0..40)
             .filter(|_| {
-                node.open_ways(0.0, &mut Vec::new());
-                node.ways[NEW].shut
+                node.update_connection_records(0.0, &mut Vec::new());
+                node.connection_records[NEW].avoided
             })
             .count()
     };
     let early = shut(&mut node);
-    (0..30).for_each(|_| node.ways[NEW].succeeded(2.0, GOOD_MOST, true));
+    (0..30).for_each(|_| node.connection_records[NEW].add_success(2.0, MAX_SUCCESSES, true));
     assert!(early > 30 && shut(&mut node) == 0, "{early}");
 }
 
@@ -1344,14 +1407,14 @@
 fn a_stale_idle_connection_is_closed_before_it_is_used() {
     // Guards against what the executor is about to close, as the settings say after how long it does.
     let mut node = blind(Effect::Idempotent, 1);
-    node.set.idle = 10.0;
+    node.settings.idle = 10.0;
     for (now, stale) in [(5.0, false), (9.5, true)] {
-        add(&mut node, Life::Waiting, &[]);
-        (node.tgts[0].open, node.tgts[0].held, node.tgts[0].parked) = (1, 0, 0.0);
+        add(&mut node, InvState::Waiting, &[]);
+        (node.executors[0].connections, node.executors[0].held, node.executors[0].idle_since) = (1, 0, 0.0);
         let mut out = Vec::new();
-        node.send(now, ID, 0, &mut out);
+        node.send_forward(now, ID, 0, &mut out);
         assert_eq!(out.contains(&Output::Release(0)), stale);
-        assert_eq!(node.invs[&ID].forwards[0].kept, !stale);
+        assert_eq!(node.invocations[&ID].forwards[0].reused_connection, !stale);
     }
 }
 
@@ -1359,19 +1422,19 @@
 #[test]
 fn an_executor_that_lets_down_one_operation_serves_the_others() {
     let mut node = blind(Effect::Idempotent, 2);
-    node.set.operations.push(operation(Effect::Idempotent));
-    node.classes.push(Class::default());
-    node.tgts[0].record(1).succeeded(1.0, GOOD_MOST, false);
+    node.settings.operations.push(operation(Effect::Idempotent));
+    node.operation_stats.push(TrafficStats::default());
+    node.executors[0].operation_record(1).add_success(1.0, MAX_SUCCESSES, false);
     for _ in 0..3 {
-        add(&mut node, Life::Out, &[Fate::Out]);
-        node.tgts[0].held = 1;
+        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        node.executors[0].held = 1;
         settle(&mut node, 1.5, Outcome::TimedOut);
-        node.invs.clear();
+        node.invocations.clear();
     }
-    add(&mut node, Life::Waiting, &[]);
-    let able = |node: &Node| node.able(2.0, &node.invs[&ID], &node.tgts[0]);
-    assert!(!able(&node) && !node.tgts[0].doubtful);
-    node.invs.get_mut(&ID).expect("added").op = 1;
+    add(&mut node, InvState::Waiting, &[]);
+    let able = |node: &Node| node.can_send(2.0, &node.invocations[&ID], &node.executors[0]);
+    assert!(!able(&node) && !node.executors[0].doubtful);
+    node.invocations.get_mut(&ID).expect("added").op = 1;
     assert!(able(&node));
 }
 
@@ -1380,14 +1443,14 @@
 #[test_case(0.0, true, 1; "told of room, over a connection that was open")]
 fn copies_what_should_have_begun(vain: f64, told: bool, copies: usize) {
     let mut node = blind(Effect::Idempotent, 4);
-    (node.set.second_copies, node.vain) = (true, vain);
+    (node.settings.second_copies, node.never_started_rate) = (true, vain);
     sure(&mut node, true);
-    node.invs.get_mut(&ID).expect("added").forwards[0].told = told;
-    assert_eq!(node.overdue(1.4).len(), 0, "too early");
-    assert_eq!(node.overdue(1.6).len(), copies);
-    assert!(!node.tgts[0].kept);
-    node.set.second_copies = false;
-    assert_eq!(node.overdue(1.7).len(), 0, "where that is not allowed");
+    node.invocations.get_mut(&ID).expect("added").forwards[0].had_reported_slot = told;
+    assert_eq!(node.check_overdue_starts(1.4).len(), 0, "too early");
+    assert_eq!(node.check_overdue_starts(1.6).len(), copies);
+    assert!(!node.executors[0].started_at_once);
+    node.settings.second_copies = false;
+    assert_eq!(node.check_overdue_starts(1.7).len(), 0, "where that is not allowed");
 }
 
 #[test]
@@ -1395,33 +1458,36 @@
     let mut node = blind(Effect::Idempotent, 4);
     for _ in 0..4 {
         sure(&mut node, false);
-        node.overdue(1.6);
-        node.overdue(3.1);
-        node.invs.clear();
+        node.check_overdue_starts(1.6);
+        node.check_overdue_starts(3.1);
+        node.invocations.clear();
     }
-    assert!(node.vain > 0.5, "{}", node.vain);
+    assert!(node.never_started_rate > 0.5, "{}", node.never_started_rate);
     for _ in 0..2 {
         sure(&mut node, false);
-        node.overdue(1.6);
-        node.alive(1.7, ID, 0);
-        node.invs.clear();
+        node.check_overdue_starts(1.6);
+        node.on_alive(1.7, ID, 0);
+        node.invocations.clear();
     }
-    assert!(node.vain < 0.3, "{}", node.vain);
+    assert!(node.never_started_rate < 0.3, "{}", node.never_started_rate);
 }
 
 #[test]
 fn a_copy_goes_within_the_budget_and_the_first_answer_ends_it() {
     let mut node = blind(Effect::Idempotent, 4);
-    (node.set.second_copies, node.vain, node.usual) = (true, 0.9, -1.0);
-    node.set.budget = Some(Budget { floor: 1.0, share: 0.0, span: 5.0 });
+    (node.settings.second_copies, node.never_started_rate, node.typical_priority) = (true, 0.9, -1.0);
+    node.settings.budget = Some(Budget { floor: 1.0, share: 0.0, span: 5.0 });
     sure(&mut node, false);
     node.handle(1.6, Input::Timer(LOOK), &mut Vec::new());
-    assert_eq!((node.invs[&ID].forwards.len(), node.invs[&ID].life), (2, Life::Again));
+    assert_eq!(
+        (node.invocations[&ID].forwards.len(), node.invocations[&ID].state),
+        (2, InvState::InFlightUncertain)
+    );
     let out = settle(&mut node, 1.8, Outcome::Succeeded);
     assert!(out.contains(&Output::Withdraw { id: ID, forward: 1 }), "{out:?}");
     sure(&mut node, false);
     node.handle(2.6, Input::Timer(LOOK), &mut Vec::new());
-    assert_eq!(node.invs[&ID].forwards.len(), 1, "none is left");
+    assert_eq!(node.invocations[&ID].forwards.len(), 1, "none is left");
 }
 
 // Mekelle-boards, retry_abuse: tries with a tenth of the client timeout were taken for old ones and refused.
@@ -1429,12 +1495,12 @@
 #[test_case(&[9.0, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4], false; "all of the tenant's come so: none is")]
 fn a_tenant_whose_clients_all_give_up_early_is_not_late(timeouts: &[f64], refused: bool) {
     let mut node = blind(Effect::Idempotent, 4);
-    (node.set.quotas, node.tenants) = (vec![9.0], vec![Class::default()]);
-    node.tgts.iter_mut().for_each(|t| t.kept = true);
+    (node.settings.quotas, node.tenant_stats) = (vec![9.0], vec![TrafficStats::default()]);
+    node.executors.iter_mut().for_each(|t| t.started_at_once = true);
     let mut out = Vec::new();
     for &timeout in timeouts {
-        (out, node.invs) = (Vec::new(), BTreeMap::new());
-        node.tgts.iter_mut().for_each(|t| (t.held, t.kept) = (0, true));
+        (out, node.invocations) = (Vec::new(), BTreeMap::new());
+        node.executors.iter_mut().for_each(|t| (t.held, t.started_at_once) = (0, true));
         node.handle(1.0, Input::Submitted(Submission { tenant: Some(0), ..submit(timeout, 0) }), &mut out);
     }
     assert_eq!(out.iter().any(|o| matches!(o, Output::Throttle { .. })), refused, "{out:?}");
@@ -1443,12 +1509,12 @@
 #[test]
 fn nothing_more_goes_where_the_last_one_still_waits() {
     let mut node = blind(Effect::Idempotent, 1);
-    (node.tgts[0].held, node.tgts[0].running, node.tgts[0].last_sent) = (1, 0, 1.0);
-    node.held = [2.0, 2.0];
-    assert!(node.room(1.02, &node.tgts[0]) > Some(0.0), "it may be on its way");
-    assert_eq!(node.room(1.2, &node.tgts[0]), Some(0.0));
-    node.tgts[0].running = 1;
-    assert!(node.room(1.2, &node.tgts[0]) > Some(0.0), "it has begun");
+    (node.executors[0].held, node.executors[0].running, node.executors[0].last_sent) = (1, 0, 1.0);
+    node.mean_held = [2.0, 2.0];
+    assert!(node.available_slots(1.02, &node.executors[0]) > Some(0.0), "it may be on its way");
+    assert_eq!(node.available_slots(1.2, &node.executors[0]), Some(0.0));
+    node.executors[0].running = 1;
+    assert!(node.available_slots(1.2, &node.executors[0]) > Some(0.0), "it has begun");
 }
 
 #[test_case(None, 6.0; "up to some seconds")]
@@ -1456,7 +1522,7 @@
 fn asks_for_the_list_before_it_counts_as_told(within: Option<f64>, latest: f64) {
     let asked = |me| {
         let (mut node, mut out) = (asker(me, 400, within), Vec::new());
-        node.list(0.0, List::Kept(vec![entry(0, Standing::Ready, 0.0)], KeptAge::Unsaid), &mut out);
+        node.on_list(0.0, List::Kept(vec![entry(0, Standing::Ready, 0.0)], KeptAge::Unsaid), &mut out);
         wait(&out)
     };
     let after: Vec<f64> = (0..400).filter_map(asked).collect();
@@ -1469,19 +1535,23 @@
 #[test_case(0.2, false; "room that is raced for: each in its turn")]
 fn a_cold_executor_whose_room_is_raced_for_takes_turns(empty: f64, open: bool) {
     let mut node = node(Effect::Idempotent, 1);
-    (node.set.probing, node.set.reports, node.set.tells_start) = (true, Reports::Answers, true);
-    (node.set.nodes, node.set.me, node.empty, node.util) = (400, 7, empty, 0.9);
-    node.entry(99.0, entry(0, Standing::Ready, 99.0));
-    let t = &mut node.tgts[0];
-    (t.slots, t.free, t.reported, t.asked) = (4.0, 4.0, 100.0, 99.9);
-    assert!(node.told(100.0), "reports are gone by either way");
-    assert_eq!(node.cold_room(100.0, &node.tgts[0], 0.1), open);
+    (node.settings.probing, node.settings.reports, node.settings.tells_start) =
+        (true, Reports::Answers, true);
+    (node.settings.nodes, node.settings.me, node.missing_slot_rate, node.util) = (400, 7, empty, 0.9);
+    node.apply_entry(99.0, entry(0, Standing::Ready, 99.0));
+    let t = &mut node.executors[0];
+    (t.slots, t.free, t.reported_at, t.queried_at) = (4.0, 4.0, 100.0, 99.9);
+    assert!(node.reports_are_reliable(100.0), "reports are gone by either way");
+    assert_eq!(node.admits_while_cold(100.0, &node.executors[0], 0.1), open);
 }
 
 #[test]
 fn reports_are_believed_less_until_starts_show() {
     // Guards against nodes that were just restarted, and take the first room they are told for sure.
     let settings = |tells_start| Settings { tells_start, ..Settings::default() };
-    assert!(Node::new(settings(true), 1).empty > RACES && Node::new(settings(true), 1).empty < EMPTY);
-    assert_eq!(Node::new(settings(false), 1).empty, 0.0, "where nothing would ever show it");
+    assert!(
+        Node::new(settings(true), 1).missing_slot_rate > MAX_RACED_RATE
+            && Node::new(settings(true), 1).missing_slot_rate < MAX_MISSING_RATE
+    );
+    assert_eq!(Node::new(settings(false), 1).missing_slot_rate, 0.0, "where nothing would ever show it");
 }
--- a/src/sampler/tests.rs
+++ b/src/sampler/tests.rs
@@ -44,16 +44,16 @@
 #[test_case(12, 1; "one of a dozen")]
 fn finds_who_is_open_after_a_bounded_number_of_looks(many: usize, open: usize) {
     // Guards against starts that fail while some have room, as after a zone is lost, and against draws without end.
-    let (sampler, windows) = (sampler(many), many.div_ceil(LOOKED));
+    let (sampler, windows) = (sampler(many), many.div_ceil(MAX_SCANNED));
     for seed in 0..8 {
         let (mut chance, looked) = (Chance::new(seed), Cell::new(0));
         let is_open = |i: &Tgt| {
             looked.set(looked.get() + 1);
             i % (many / open) == many / open - 1
         };
-        let draw = |at: usize| sampler.draw(2, &mut chance, 7 + at * LOOKED, &is_open);
+        let draw = |at: usize| sampler.draw(2, &mut chance, 7 + at * MAX_SCANNED, &is_open);
         let found: Vec<Tgt> = (0..windows).flat_map(draw).collect();
-        assert!(looked.get() <= windows * (2 * TRIES + LOOKED), "{}", looked.get());
+        assert!(looked.get() <= windows * (2 * MAX_TRIES + MAX_SCANNED), "{}", looked.get());
         assert!(!found.is_empty() && found.iter().all(is_open), "{found:?}");
     }
     let (mut chance, none) = (Chance::new(3), Sampler::default());
@@ -66,7 +66,7 @@
     // Guards against kept data that is fetched anew, at one node or as an executor leaves, and against uneven parts.
     let lots = |gone: Tgt| {
         let members = (0..1000).filter(|i| *i != gone).collect();
-        Lots::new(members, |i| mix(i as u64), |i| if i < 500 { 1.0 } else { 3.0 })
+        RendezvousTree::new(members, |i| mix(i as u64), |i| if i < 500 { 1.0 } else { 3.0 })
     };
     let (all, fewer) = (lots(1000), lots(700));
     let drawn: Vec<Option<Tgt>> = (0..8000).map(|key| all.draw(mix(key))).collect();
@@ -76,7 +76,7 @@
     let its = drawn.iter().filter(|i| **i == Some(700)).count();
     assert!((its..its + 60).contains(&moved), "{moved} for {its}");
     let order = all.order(77);
-    assert!(order.len() == KEYED && order == lots(1000).order(77), "the same at every node");
+    assert!(order.len() == KEY_ORDER_LEN && order == lots(1000).order(77), "the same at every node");
     assert!(
         lots(order[0]).order(77).contains(&order[1]),
         "without its first the key goes to those that follow"
@@ -166,7 +166,7 @@
             }
             let input = self.todo[event].take().expect("handed once");
             if let Input::Settled(Settled { id, .. }) = &input {
-                let tgt = self.node.invs.get(id).and_then(|inv| inv.forwards.last()).map(|f| f.tgt);
+                let tgt = self.node.invocations.get(id).and_then(|inv| inv.forwards.last()).map(|f| f.tgt);
                 tgt.into_iter().for_each(|tgt| self.held[tgt] -= 1.0);
             }
             self.hand(when as f64 / 1e9, input);
@@ -238,7 +238,7 @@
     play.starts(40.0, 8_000);
     let even =
         |of: &dyn Fn(Tgt) -> f64| (0..800).step_by(2).map(of).sum::<f64>() / (0..800).map(of).sum::<f64>();
-    let (share, got) = (even(&|i| play.node.tgts[i].share), even(&|i| play.got[i]));
+    let (share, got) = (even(&|i| play.node.executors[i].share), even(&|i| play.got[i]));
     assert!((0.05..0.45).contains(&share) && (got - share).abs() < 0.04, "{got} for {share}");
 }
 
@@ -249,8 +249,8 @@
     let mut play = Play::new(3_000, |_| {}, ready);
     play.starts(1.0, 100);
     play.until(2.0);
-    let full = |t: &mut Executor| (t.refused, t.refusals) = (2.0, 6); // For 6.4 s.
-    play.node.tgts.iter_mut().filter(|t| closed(t.entry.tgt)).for_each(full);
+    let full = |t: &mut Executor| (t.refused_at, t.refusals) = (2.0, 6); // For 6.4 s.
+    play.node.executors.iter_mut().filter(|t| closed(t.entry.tgt)).for_each(full);
     play.got = vec![0.0; 3_000];
     play.starts(2.0, 1_500);
     let (got, lost) =
@@ -267,37 +267,37 @@
 fn a_repeat_finds_where_it_may_go(effect: Effect, fits: fn(&Entry) -> bool) {
     // Guards against repeats that are bound to a few of thousands, whom draws over all hardly ever meet.
     let mut play = Play::new(5_000, |set| set.operations[0].effect = effect, ready);
-    let first = Fwd { fate: Fate::MayHaveRun, ..Fwd::new(4000, 1.0) };
+    let first = Forward { state: ForwardState::MayHaveRun, ..Forward::new(4000, 1.0) };
     let inv = Inv {
-        aim: 5.0,
-        until: 5.0,
+        latest_start: 5.0,
+        give_up_at: 5.0,
         end: 9.0,
-        spare: 1.0,
+        slack: 1.0,
         load: 0.1,
         forwards: vec![first],
         ..Inv::default()
     };
-    play.node.invs.insert(1, inv);
-    let drawn = play.node.draw(1.1, 1, 2);
+    play.node.invocations.insert(1, inv);
+    let drawn = play.node.draw_executors(1.1, 1, 2);
     assert!(
-        !drawn.is_empty() && drawn.iter().all(|i| *i != 4000 && fits(&play.node.tgts[*i].entry)),
+        !drawn.is_empty() && drawn.iter().all(|i| *i != 4000 && fits(&play.node.executors[*i].entry)),
         "{drawn:?}"
     );
-    let inv = &play.node.invs[&1];
-    assert!(play.node.bound_to(inv).any(|t| play.node.may_go(1.1, inv, t)));
+    let inv = &play.node.invocations[&1];
+    assert!(play.node.permitted_executors(inv).any(|t| play.node.is_eligible(1.1, inv, t)));
 }
 
-#[test_case(|t| t.kept = true; "what began at once")]
+#[test_case(|t| t.started_at_once = true; "what began at once")]
 #[test_case(|t| t.entry.started = 1.0; "what is cold, in turn")]
 fn a_large_blind_fleet_draws_first_who_is_of_use(change: fn(&mut Executor)) {
     // Guards against blind draws that forget, in a large fleet, who began at once and who would stand idle while cold.
     let change_set = |set: &mut Settings| (set.probing, set.tells_start) = (false, true);
     let mut play = Play::new(2_000, change_set, ready);
-    change(&mut play.node.tgts[1_234]);
+    change(&mut play.node.executors[1_234]);
     play.node.solve(2.0);
-    let inv = Inv { aim: 9.0, until: 9.0, end: 9.0, spare: 1.0, load: 0.1, ..Inv::default() };
-    play.node.invs.insert(1, inv);
-    assert!((0..50).all(|_| play.node.draw(2.0, 1, 1) == [1_234]));
+    let inv = Inv { latest_start: 9.0, give_up_at: 9.0, end: 9.0, slack: 1.0, load: 0.1, ..Inv::default() };
+    play.node.invocations.insert(1, inv);
+    assert!((0..50).all(|_| play.node.draw_executors(2.0, 1, 1) == [1_234]));
 }
 
 #[test]
@@ -327,7 +327,11 @@
 #[test_case(-0.7, -0.67; "twice as fast")]
 fn slowness_counts_beyond_the_noise(measured: f64, counted: f64) {
     // Guards against equal executors that the split leaves out at low load, where its spare rate is near the mean rate.
-    let kind = Kind { spread: 0.09, ..Kind::default() }; // Three tenths: a standard error of 0.07.
-    assert!((kind.slowness(measured, false) - counted).abs() < 0.01, "{}", kind.slowness(measured, false));
-    assert_eq!(kind.slowness(measured, true), measured, "all of it in a fleet of few");
+    let kind = MachineKindStats { variance: 0.09, ..MachineKindStats::default() }; // Three tenths: a standard error of 0.07.
+    assert!(
+        (kind.significant_slowness(measured, false) - counted).abs() < 0.01,
+        "{}",
+        kind.significant_slowness(measured, false)
+    );
+    assert_eq!(kind.significant_slowness(measured, true), measured, "all of it in a fleet of few");
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -126,13 +126,13 @@
 
 impl Settings {
     /// How far back what counts for the budget lies at most.
-    pub fn look_back(&self) -> f64 {
+    pub fn budget_retention(&self) -> f64 {
         self.budget.map_or(0.0, |budget| 2.0 * budget.span)
     }
 
     /// How long it is until this node's turn to ask for the list, in a round that all nodes count alike: `call` for each
     /// other node, within these bounds, and over before a node that has not asked counts as told.
-    pub fn turn(&self, now: f64, call: f64, least: f64, most: f64) -> f64 {
+    pub fn time_to_turn(&self, now: f64, call: f64, least: f64, most: f64) -> f64 {
         let latest = self.ask_within.map_or(most, |within| most.min(0.9 * within));
         let round = (call * self.nodes.saturating_sub(1) as f64).min(latest).max(least);
         let turn = self.me as f64 / self.nodes.max(1) as f64 * round;
@@ -358,18 +358,21 @@
 /// Where an invocation stands. `Suspect`: nothing is out, but an earlier forward may have run.
 /// `Again`: out, and an earlier forward may have run or is out too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub enum Life {
+pub enum InvState {
     #[default]
     Waiting,
-    Out,
-    Suspect,
-    Again,
+    #[serde(rename = "Out")]
+    InFlight,
+    #[serde(rename = "Suspect")]
+    Uncertain,
+    #[serde(rename = "Again")]
+    InFlightUncertain,
     Ended,
 }
 
 /// `NotRun`, `MayHaveRun`: the last that was out ended, and of all of them this holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turn {
+pub enum InvEvent {
     Sent,
     Finished,
     NotRun,
@@ -379,75 +382,82 @@
 
 /// `Answer`: throttle where the operation allows it after a forward that may have run, else error.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum TransitionAction {
     Keep,
     Queue,
     Close,
     Throttle,
-    Answer,
+    ThrottleOrError,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
-pub enum Fate {
-    Out,
+pub enum ForwardState {
+    #[serde(rename = "Out")]
+    InFlight,
     NotRun,
     MayHaveRun,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Fwd {
+pub struct Forward {
     pub tgt: Tgt,
     pub sent: f64,
-    pub fate: Fate,
+    #[serde(rename = "fate")]
+    pub state: ForwardState,
     /// How long it waited there, once it has given a sign of life.
     pub wait: Option<f64>,
     /// It was sent there as a report told of room.
     #[serde(default)]
-    pub told: bool,
+    #[serde(rename = "told")]
+    pub had_reported_slot: bool,
     /// It went over a connection that was open.
     #[serde(default)]
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub reused_connection: bool,
     /// It had every reason to start at once.
     #[serde(default)]
-    pub sure: bool,
+    #[serde(rename = "sure")]
+    pub expected_at_once: bool,
     /// And has not: that was noted; and again, once it was past all use.
     #[serde(default)]
-    pub late: bool,
+    #[serde(rename = "late")]
+    pub start_overdue: bool,
     #[serde(default)]
-    pub vain: bool,
+    #[serde(rename = "vain")]
+    pub start_given_up: bool,
     /// The executor answered with an error.
     pub errored: bool,
 }
 
-impl Fwd {
+impl Forward {
     pub fn may_have_run(&self) -> bool {
-        self.fate != Fate::NotRun
+        self.state != ForwardState::NotRun
     }
 
     /// Out without a sign, though it had every reason to start.
-    pub fn hangs(&self) -> bool {
-        self.sure && self.fate == Fate::Out && self.wait.is_none()
+    pub fn is_start_missing(&self) -> bool {
+        self.expected_at_once && self.state == ForwardState::InFlight && self.wait.is_none()
     }
 
-    pub fn way(&self) -> usize {
-        if self.kept {
-            KEPT
+    pub fn connection_kind(&self) -> usize {
+        if self.reused_connection {
+            REUSED
         } else {
             NEW
         }
     }
 
     pub fn new(tgt: Tgt, sent: f64) -> Self {
-        Fwd {
+        Forward {
             tgt,
             sent,
-            fate: Fate::Out,
+            state: ForwardState::InFlight,
             wait: None,
-            told: false,
-            kept: false,
-            sure: false,
-            late: false,
-            vain: false,
+            had_reported_slot: false,
+            reused_connection: false,
+            expected_at_once: false,
+            start_overdue: false,
+            start_given_up: false,
             errored: false,
         }
     }
@@ -460,13 +470,19 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Inv {
     pub op: usize,
-    pub life: Life,
-    pub worth: f64,
-    pub aim: f64,
+    #[serde(rename = "life")]
+    pub state: InvState,
+    #[serde(rename = "worth")]
+    pub weight: f64,
+    #[serde(rename = "aim")]
+    pub latest_start: f64,
     /// Half of what it could wait and still be in time.
-    pub spare: f64,
-    pub cross: f64,
-    pub until: f64,
+    #[serde(rename = "spare")]
+    pub slack: f64,
+    #[serde(rename = "cross")]
+    pub cross_zone_from: f64,
+    #[serde(rename = "until")]
+    pub give_up_at: f64,
     pub end: f64,
     pub hint: f64,
     pub load: f64,
@@ -476,25 +492,31 @@
     pub tenant: Option<usize>,
     /// Its client gives up sooner than it could be late.
     #[serde(default)]
-    pub hasty: bool,
-    pub press: f64,
+    #[serde(rename = "hasty")]
+    pub impatient: bool,
+    #[serde(rename = "press")]
+    pub priority: f64,
     /// Its executor died as it began there, or two have failed it: it goes out no more.
-    pub hopeless: bool,
-    pub sample: Vec<Tgt>,
-    pub again: f64,
-    pub gap: f64,
-    pub forwards: Vec<Fwd>,
+    #[serde(rename = "hopeless")]
+    pub no_more_forwards: bool,
+    #[serde(rename = "sample")]
+    pub candidates: Vec<Tgt>,
+    #[serde(rename = "again")]
+    pub next_draw: f64,
+    #[serde(rename = "gap")]
+    pub draw_interval: f64,
+    pub forwards: Vec<Forward>,
 }
 
 impl Inv {
     /// The forwards that have no outcome yet.
-    pub fn still_out(&self) -> impl Iterator<Item = usize> + '_ {
-        let out = |f: &(usize, &Fwd)| f.1.fate == Fate::Out;
+    pub fn in_flight(&self) -> impl Iterator<Item = usize> + '_ {
+        let out = |f: &(usize, &Forward)| f.1.state == ForwardState::InFlight;
         self.forwards.iter().enumerate().filter(out).map(|f| f.0)
     }
 
     /// The first forward that may have run: its group and time bind all further ones.
-    pub fn anchor(&self) -> Option<&Fwd> {
+    pub fn first_possible_run(&self) -> Option<&Forward> {
         self.forwards.iter().find(|f| f.may_have_run())
     }
 }
@@ -502,41 +524,41 @@
 /// How forwards of one sort fared of late: successes, up to a bound, and failures, which fade.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Record {
-    pub good: f64,
-    pub bad: f64,
+    pub successes: f64,
+    pub failures: f64,
     /// Not to be used for now, as it fares badly.
-    pub shut: bool,
+    pub avoided: bool,
     /// The last success.
-    pub seen: f64,
+    pub last_success: f64,
 }
 
 impl Default for Record {
     /// As one that is unknown begins: two failures in a row make it doubtful.
     fn default() -> Self {
-        Record { good: 4.0, bad: 0.0, shut: false, seen: f64::NEG_INFINITY }
+        Record { successes: 4.0, failures: 0.0, avoided: false, last_success: f64::NEG_INFINITY }
     }
 }
 
 impl Record {
     /// The mean of what is remembered.
     pub fn mean(&self) -> f64 {
-        (1.0 + self.good) / (2.0 + self.good + self.bad)
+        (1.0 + self.successes) / (2.0 + self.successes + self.failures)
     }
 
     /// One success more, `most` of which count; it may have been blamed too soon.
-    pub fn succeeded(&mut self, now: f64, most: f64, blamed: bool) {
-        (self.good, self.seen) = ((self.good + 1.0).min(most), now);
-        self.forgive(blamed);
+    pub fn add_success(&mut self, now: f64, most: f64, blamed: bool) {
+        (self.successes, self.last_success) = ((self.successes + 1.0).min(most), now);
+        self.retract_failure(blamed);
     }
 
     /// It was blamed too soon.
-    pub fn forgive(&mut self, blamed: bool) {
-        self.bad = (self.bad - f64::from(u8::from(blamed))).max(0.0);
+    pub fn retract_failure(&mut self, blamed: bool) {
+        self.failures = (self.failures - f64::from(u8::from(blamed))).max(0.0);
     }
 }
 
 /// Over which connection a forward went: one that was open, or a new one.
-pub const KEPT: usize = 0;
+pub const REUSED: usize = 0;
 pub const NEW: usize = 1;
 
 /// What is known of one executor. `slow`: smoothed log of its latency over what the same operation takes
@@ -549,206 +571,207 @@
     pub beta: f64,
     /// What it is drawn by: beta, or a trial share.
     pub share: f64,
-    pub slow: f64,
-    pub sampled: f64,
+    pub log_slowness: f64,
+    pub last_success: f64,
     pub slots: f64,
     pub free: f64,
-    pub unseen: f64,
-    pub reported: f64,
+    pub sent_since_report: f64,
+    pub reported_at: f64,
     /// When who counts for it last told of room.
-    pub granted: f64,
-    pub asked: f64,
-    pub refused: f64,
+    pub granted_at: f64,
+    pub queried_at: f64,
+    pub refused_at: f64,
     pub refusals: u32,
     pub held: usize,
     pub memory: f64,
-    pub foreign: f64,
+    pub foreign_memory: f64,
     /// When its own last report came.
-    pub weighed: f64,
+    pub own_report_at: f64,
     pub running: usize,
     /// It started the last that it got at once.
-    pub kept: bool,
-    pub told: bool,
-    pub promised: f64,
-    pub promises: f64,
-    pub others: Vec<u8>,
+    pub started_at_once: bool,
+    pub held_announced: bool,
+    pub promised_at: f64,
+    pub promised_slots: f64,
+    pub peer_held: Vec<u8>,
     pub last_sent: f64,
-    pub heard: f64,
+    pub last_sign_of_life: f64,
     pub silent: bool,
     pub doubtful: bool,
     /// It has shown that it lives since it was missing.
-    pub shown: bool,
+    pub seen_alive: bool,
     pub trial: bool,
     /// How far it is to be trusted.
-    pub whole: Record,
-    pub turn: usize,
-    pub spent: f64,
+    pub overall: Record,
+    pub cold_turn: usize,
+    pub cold_work: f64,
     /// By operation.
-    pub records: Vec<Record>,
+    pub operation_records: Vec<Record>,
     /// Connections there, in use or not, and when the last was put back.
-    pub open: usize,
-    pub parked: f64,
+    pub connections: usize,
+    pub idle_since: f64,
 }
 
 impl Executor {
     /// A new start is a new process: what was known of the old one says nothing of it, but for what it held.
-    pub fn begin_anew(&mut self, now: f64) {
+    pub fn reset_for_new_process(&mut self, now: f64) {
         let (held, memory, never) = (self.held, self.memory, f64::NEG_INFINITY);
-        let rest = Executor { turn: usize::MAX, ..Executor::default() };
-        *self = Executor { held, memory, asked: never, granted: never, heard: now, ..rest };
+        let rest = Executor { cold_turn: usize::MAX, ..Executor::default() };
+        *self =
+            Executor { held, memory, queried_at: never, granted_at: never, last_sign_of_life: now, ..rest };
     }
 
-    pub fn listed(&mut self, now: f64, entry: Entry) {
+    pub fn apply_entry(&mut self, now: f64, entry: Entry) {
         if self.entry.started != entry.started {
-            self.begin_anew(now);
+            self.reset_for_new_process(now);
         }
         self.entry = entry;
     }
 
     /// Of which nothing has been listed yet: any start time is new.
-    pub fn unheard(tgt: Tgt) -> Self {
+    pub fn unlisted(tgt: Tgt) -> Self {
         Executor { entry: Entry { tgt, started: f64::NAN, ..Entry::default() }, ..Executor::default() }
     }
 
     /// May be sent to: listed as ready, or missing and seen to live since.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         #[cfg(test)]
         crate::sampler::tests::look();
-        self.entry.standing == Standing::Ready || self.entry.standing == Standing::Missing && self.shown
+        self.entry.standing == Standing::Ready || self.entry.standing == Standing::Missing && self.seen_alive
     }
 
     /// Not to be left out by the draw; in a fog, which lasts until then, doubts say nothing.
-    pub fn trusted(&self, now: f64, fog: f64) -> bool {
+    pub fn is_trusted(&self, now: f64, fog: f64) -> bool {
         !self.silent && (!self.doubtful || now < fog)
     }
 
-    pub fn record(&mut self, op: usize) -> &mut Record {
-        if self.records.len() <= op {
-            self.records.resize(op + 1, Record::default());
+    pub fn operation_record(&mut self, op: usize) -> &mut Record {
+        if self.operation_records.len() <= op {
+            self.operation_records.resize(op + 1, Record::default());
         }
-        &mut self.records[op]
+        &mut self.operation_records[op]
     }
 
     /// It has a connection that is not in use.
-    pub fn has_idle(&self) -> bool {
-        self.open > self.held
+    pub fn has_idle_connection(&self) -> bool {
+        self.connections > self.held
     }
 
     /// And not about to be closed for that.
-    pub fn has_fresh(&self, now: f64, idle: f64) -> bool {
-        self.has_idle() && (idle <= 0.0 || now - self.parked < 0.9 * idle)
+    pub fn has_fresh_connection(&self, now: f64, idle: f64) -> bool {
+        self.has_idle_connection() && (idle <= 0.0 || now - self.idle_since < 0.9 * idle)
     }
 
     /// A forward there, which is still counted, has ended; its connection lives on if it was answered.
-    pub fn put_back(&mut self, now: f64, answered: bool) {
+    pub fn release_connection(&mut self, now: f64, answered: bool) {
         if answered {
-            self.parked = now;
+            self.idle_since = now;
         } else {
-            self.open = self.open.saturating_sub(1).max(self.held.saturating_sub(1));
+            self.connections = self.connections.saturating_sub(1).max(self.held.saturating_sub(1));
         }
     }
 
     /// What the other nodes hold there.
-    pub fn elsewhere(&self) -> f64 {
-        self.others.iter().map(|&n| f64::from(n)).sum()
+    pub fn held_by_peers(&self) -> f64 {
+        self.peer_held.iter().map(|&n| f64::from(n)).sum()
     }
 
     /// The part of its capacity that an executor has at least.
-    pub fn warmth(&self, now: f64, cold: &Cold) -> f64 {
+    pub fn warm_fraction(&self, now: f64, cold: &Cold) -> f64 {
         let age = if self.entry.started > 0.0 { (now - self.entry.started).max(0.0) } else { f64::INFINITY };
         (cold.start + (1.0 - cold.start) * age / cold.warm).min(1.0)
     }
 
     /// A sign of life: what it was blamed for while silent is forgiven, as it works off what it holds.
-    pub fn woke(&mut self, now: f64) {
-        (self.heard, self.shown) = (now, true);
-        self.whole.bad *= if std::mem::take(&mut self.silent) { 0.0 } else { 1.0 };
+    pub fn on_sign_of_life(&mut self, now: f64) {
+        (self.last_sign_of_life, self.seen_alive) = (now, true);
+        self.overall.failures *= if std::mem::take(&mut self.silent) { 0.0 } else { 1.0 };
     }
 
     /// Slots that those who asked just now were told of.
-    pub fn promises(&self, now: f64) -> f64 {
-        const HOLD: f64 = 0.06; // By then who asked has sent there, and said so, or has not.
-        self.promises * f64::from(u8::from(now - self.promised < HOLD))
+    pub fn pending_promises(&self, now: f64) -> f64 {
+        const PROMISE_LIFETIME: f64 = 0.06; // By then who asked has sent there, and said so, or has not.
+        self.promised_slots * f64::from(u8::from(now - self.promised_at < PROMISE_LIFETIME))
     }
 
     /// The number of the turn since its start, each as long as `span`.
-    pub fn turn(&self, now: f64, span: f64) -> usize {
+    pub fn turn_number(&self, now: f64, span: f64) -> usize {
         ((now - self.entry.started).max(0.0) / span.max(1e-3)) as usize
     }
 
     /// So short ago that few others can have sent there since: all who see a free slot for longer would meet there.
-    pub fn just_told(&self, now: f64) -> bool {
-        const WAY: f64 = 0.02; // A few messages' ways and batches.
-        now - self.reported <= WAY
+    pub fn reported_just_now(&self, now: f64) -> bool {
+        const RECENT_REPORT: f64 = 0.02; // A few messages' ways and batches.
+        now - self.reported_at <= RECENT_REPORT
     }
 
     /// Who was not heard for so long holds nothing there.
-    pub fn forget_others(&mut self, now: f64, heard: &[f64], silent: f64) {
-        let others = self.others.iter_mut().zip(heard);
+    pub fn forget_silent_peers(&mut self, now: f64, heard: &[f64], silent: f64) {
+        let others = self.peer_held.iter_mut().zip(heard);
         others.filter(|o| now - o.1 > silent).for_each(|(count, _)| *count = 0);
     }
 
-    pub fn hold(&mut self, from: usize, count: u8) {
-        if self.others.len() <= from && count > 0 {
-            self.others.resize(from + 1, 0);
+    pub fn set_peer_held(&mut self, from: usize, count: u8) {
+        if self.peer_held.len() <= from && count > 0 {
+            self.peer_held.resize(from + 1, 0);
         }
-        self.others.iter_mut().skip(from).take(1).for_each(|n| *n = count);
+        self.peer_held.iter_mut().skip(from).take(1).for_each(|n| *n = count);
     }
 }
 
 /// What is known of one operation or tenant: the smoothed log of its latency (a second of hint, if any), its
 /// invocations a second, and the part of them that was sent in time.
 #[derive(Clone, Debug, Default)]
-pub struct Class {
-    pub pace: Option<f64>,
+pub struct TrafficStats {
+    pub log_latency: Option<f64>,
     pub answers: f64,
     pub arrived: f64,
     pub rate: f64,
-    pub timely: f64,
+    pub in_time_fraction: f64,
     /// Longest time that a client came with.
-    pub longest: f64,
+    pub longest_timeout: f64,
     /// Of a tenant, by operation: the mean part of the longest time that its clients come with.
-    pub patience: Vec<f64>,
+    pub timeout_fractions: Vec<f64>,
 }
 
 /// What is known of one kind of machine: the smoothed log of its latency over what the same operation takes
 /// elsewhere, the most slots seen free, and the largest size listed. `spread`: the variance of single answers' logs
 /// round their executor's own, of so many `answers`.
 #[derive(Clone, Debug, Default)]
-pub struct Kind {
-    pub slow: f64,
-    pub spread: f64,
+pub struct MachineKindStats {
+    pub log_slowness: f64,
+    pub variance: f64,
     pub answers: f64,
-    pub slots: f64,
-    pub size: f64,
+    pub max_slots: f64,
+    pub max_size: f64,
 }
 
-impl Class {
+impl TrafficStats {
     /// Invocations a second, with those since the last time weighed by `new`.
-    pub fn smooth(&mut self, passed: f64, new: f64) {
+    pub fn smooth_rate(&mut self, passed: f64, new: f64) {
         self.rate += new * (std::mem::take(&mut self.arrived) / passed - self.rate);
     }
 
     /// The mean part of the longest time that clients come with, with one more that weighs `new`.
-    pub fn comes_with(&mut self, op: usize, part: f64, new: f64) -> f64 {
-        self.patience.resize(self.patience.len().max(op + 1), 1.0);
-        self.patience[op] += new * (part - self.patience[op]);
-        self.patience[op]
+    pub fn observe_timeout(&mut self, op: usize, part: f64, new: f64) -> f64 {
+        self.timeout_fractions.resize(self.timeout_fractions.len().max(op + 1), 1.0);
+        self.timeout_fractions[op] += new * (part - self.timeout_fractions[op]);
+        self.timeout_fractions[op]
     }
 
     /// One more that was or was not in time, of weight `new`.
-    pub fn ended(&mut self, in_time: bool, new: f64) {
-        self.timely += new * (f64::from(u8::from(in_time)) - self.timely);
+    pub fn observe_outcome(&mut self, in_time: bool, new: f64) {
+        self.in_time_fraction += new * (f64::from(u8::from(in_time)) - self.in_time_fraction);
     }
 }
 
 /// When something happened, the latest last.
 #[derive(Clone, Debug, Default)]
-pub struct Times(pub VecDeque<f64>);
+pub struct EventTimes(pub VecDeque<f64>);
 
-impl Times {
+impl EventTimes {
     /// Once more, if so; what lies over `kept` back is forgotten.
-    pub fn note(&mut self, so: bool, now: f64, kept: f64) {
+    pub fn record_if(&mut self, so: bool, now: f64, kept: f64) {
         self.0.extend(so.then_some(now));
         while self.0.front().is_some_and(|&at| at < now - kept) {
             self.0.pop_front();
@@ -756,7 +779,7 @@
     }
 
     /// How often from then on.
-    pub fn since(&self, from: f64) -> f64 {
+    pub fn count_since(&self, from: f64) -> f64 {
         (self.0.len() - self.0.partition_point(|&at| at < from)) as f64
     }
 }
@@ -774,7 +797,7 @@
 
 /// Where an invocation can go now. `Never`: no executor may take it, now or later.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
+pub enum Placement {
     Here(Tgt),
     Later,
     Never,
--- a/src/write_limit.rs
+++ b/src/write_limit.rs
@@ -11,10 +11,10 @@
     /// and whatever goes by a list that expires before others are told of its changes.
     pub fn write_until(&self, id: InvId) -> f64 {
         let by_list = self.list_state.written_until();
-        let Some(inv) = self.invs.get(&id) else { return by_list };
+        let Some(inv) = self.invocations.get(&id) else { return by_list };
         let earlier = inv.forwards.split_last().map_or(&[][..], |(_, earlier)| earlier);
         let first = earlier.iter().find(|forward| forward.may_have_run());
-        match (first, self.set.operations[inv.op].effect) {
+        match (first, self.settings.operations[inv.op].effect) {
             (Some(first), Effect::Deduplicated { window, .. }) => {
                 by_list.min(first.sent + window - WINDOW_MARGIN)
             }
