--- a/src/types.rs
+++ b/src/types.rs
@@ -1,23 +1,27 @@
-//! What goes into and comes out of the decision module, and the records it keeps. Times are seconds; no
-//! decision stands here.
+//! The inputs and outputs of the decision logic, and the records it keeps. Times are in seconds. This module
+//! makes no decisions.
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// An invocation's id, as the protocol gave it.
+/// An invocation's id, as given by the protocol.
 pub type InvId = u32;
-/// An executor's small index at this node.
+/// An executor's index at this node.
 pub type Tgt = usize;
 
-/// How far an operation's effect may be repeated.
+/// Whether an operation may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Effect {
     Idempotent,
-    Deduplicated { group: Group, window: f64 },
+    /// Executors of a group drop repeats of the first execution within `window`.
+    Deduplicated {
+        group: Group,
+        window: f64,
+    },
     NonIdempotent,
 }
 
-/// The executors that drop each other's repeats.
+/// The executors that deduplicate an invocation together.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Group {
     All,
@@ -33,13 +37,13 @@
     pub stretch: f64,
     /// Billed value.
     pub value: f64,
-    /// The part of it that an answer after the objective still earns.
+    /// The fraction of it that an answer after the objective still earns.
     pub late_value: f64,
     /// The machine kind it needs, if any.
     pub kind: Option<usize>,
 }
 
-/// Where load reports are found.
+/// How load reports are obtained.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Reports {
     Answers,
@@ -48,21 +52,21 @@
     Never,
 }
 
-/// What the list of executors tells of their sizes.
+/// What the list of executors says about their sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Sizes {
     #[default]
     Never,
     /// The registered size.
     Listed,
-    /// About its size: how many cores, not how fast they are.
+    /// An approximate size: the number of cores, not their speed.
     Rough,
-    /// The size less what is held there, some time ago: the same view for all nodes.
+    /// The size minus the load there some time ago; all nodes see the same value.
     Live,
 }
 
-/// What a node may send beyond each invocation's first forward: within any `span`, `floor` and `share` of the
-/// invocations that it took in that time.
+/// Limit on further forwards, beyond each invocation's first: within any `span`, `floor` plus `share` of the
+/// invocations that the node accepted in that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Budget {
     pub floor: f64,
@@ -70,7 +74,8 @@
     pub span: f64,
 }
 
-/// The limits that keep a cold executor standing.
+/// Load limits for an executor that is still warming up. Its capacity grows from the fraction `start` to all
+/// of it after `warm` seconds. It fails if its load exceeds `factor` times its capacity over `fall` seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Cold {
     pub start: f64,
@@ -81,57 +86,65 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
+    /// The index of this node among `nodes`.
     pub me: usize,
     pub nodes: usize,
     pub zone: usize,
     pub operations: Vec<Operation>,
-    /// Each tenant's invocations a second within its share, over all nodes.
+    /// Each tenant's share in invocations per second, over all nodes.
     pub quotas: Vec<f64>,
-    /// What billed value beyond a tenant's share is worth.
+    /// The weight of billed value beyond a tenant's share.
     pub over_share_value: f64,
-    /// Billed value counts by work, not by invocation.
+    /// Billed value counts per unit of work, not per invocation.
     pub value_by_work: bool,
-    /// Weights of the whole service and of its worst operation in the operators' goal.
+    /// Weights of the whole service and of its worst operation in the operators' objective.
     pub goal_whole: f64,
     pub goal_worst_operation: f64,
     pub cross_zone_price: f64,
-    /// The list of executors comes only when asked for.
+    /// The node has to call discovery for the list of executors; it is not pushed.
     pub must_ask: bool,
-    /// Only a drain binds: who is listed as gone, or left out, without one may be sent to.
+    /// Only draining is binding: an executor that is listed as gone or absent without having drained may be
+    /// used.
     pub only_draining: bool,
-    /// A node that has not asked for the list for so long counts as told of it.
+    /// A node that has not called for the list for this long counts as informed of it.
     pub ask_within: Option<f64>,
     pub cold: Cold,
     pub budget: Option<Budget>,
-    /// An executor answers 'full' also for work that it has begun.
+    /// An executor may answer 'full' for work that it has begun.
     pub full_may_have_run: bool,
-    /// An invocation may have two forwards out at a time.
+    /// An invocation may have two forwards in flight.
     pub second_copies: bool,
-    /// Connections that stand idle for longer are closed; 0 where that is not stated.
+    /// Executors close connections that are idle for longer; 0 if unknown.
     pub idle: f64,
     pub connection_price: f64,
     pub max_forwards: usize,
+    /// Forwards can be withdrawn.
     pub cancelling: bool,
+    /// Executors can be probed.
     pub probing: bool,
+    /// Nodes can send each other messages.
     pub peers: bool,
+    /// The longest pause that throttled clients honour.
     pub max_pause: f64,
-    /// Clients say so when they come back.
+    /// Clients mark retries.
     pub marks_again: bool,
     pub reports: Reports,
     pub sizes: Sizes,
-    /// Interval of progress notes, 0 for none.
+    /// Interval of progress messages, 0 for none.
     pub progress: f64,
+    /// Executors report the start of an invocation.
     pub tells_start: bool,
 }
 
 impl Settings {
-    /// How far back what counts for the budget lies at most.
+    /// How long events are kept for the budget.
     pub fn budget_retention(&self) -> f64 {
         self.budget.map_or(0.0, |budget| 2.0 * budget.span)
     }
 
-    /// How long it is until this node's turn to ask for the list, in a round that all nodes count alike: `call` for each
-    /// other node, within these bounds, and over before a node that has not asked counts as told.
+    /// The time until this node's turn to call for the list. All nodes compute the same round: `call` seconds
+    /// per other node, within the bounds `least` and `most`, and short enough that no node counts as informed
+    /// before its call.
     pub fn time_to_turn(&self, now: f64, call: f64, least: f64, most: f64) -> f64 {
         let latest = self.ask_within.map_or(most, |within| most.min(0.9 * within));
         let round = (call * self.nodes.saturating_sub(1) as f64).min(latest).max(least);
@@ -143,7 +156,7 @@
         }
     }
 
-    /// Whether it proves that the invocation has not run there, where executors answer as they do here.
+    /// Whether the outcome proves that the invocation has not run, given how these executors answer.
     pub fn never_ran(&self, outcome: Outcome) -> bool {
         outcome.never_ran() && !(self.full_may_have_run && outcome == Outcome::Full)
     }
@@ -152,7 +165,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub enum Standing {
     Ready,
-    /// Not listed any more, which need not be so; `Executor::shown` tells whether it was seen to live since.
+    /// No longer listed, but perhaps alive; see `Executor::seen_alive`.
     Missing,
     Draining,
     #[default]
@@ -163,13 +176,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
     pub tgt: Tgt,
-    /// The same at every node: it tells which node counts for the executor.
+    /// The same at every node; determines which node counts for the executor.
     pub mark: u32,
     pub zone: usize,
     pub cell: i64,
     pub kind: usize,
     pub started: f64,
-    /// The size that the list gives it, as `Sizes` says.
+    /// The listed size; `Sizes` says what it means.
     pub size: f64,
     pub standing: Standing,
 }
@@ -178,39 +191,41 @@
 pub enum List {
     Changes(Vec<Entry>),
     Whole(Vec<Entry>),
-    /// What this node begins with.
+    /// The list that this node starts with, and its age.
     Kept(Vec<Entry>, KeptAge),
     Lost(Loss),
 }
 
 impl List {
-    /// What it does not hold is gone.
+    /// Whether absent executors are gone.
     pub fn is_whole(&self) -> bool {
         matches!(self, List::Whole(_) | List::Kept(..))
     }
 }
 
-/// How old a list is that a node begins with.
+/// The age of the list that a node starts with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum KeptAge {
-    /// As old as the node's last life has been over, which may be seconds or days.
+    /// As old as the end of the node's last process, which may be seconds or days ago.
     Unknown,
-    /// The process before, which followed it, has handed it over just now.
+    /// Handed over just now by the previous process, which followed it.
     Current,
-    /// The protocol does not count it.
+    /// The protocol gives no meaning to its age.
     Unsaid,
 }
 
-/// What the end of a watch, or of a call for one, tells of the list that is held.
+/// What the end of a watch, or of a call for one, implies for the list held.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Loss {
-    /// The other side has ended it, or nobody is there: nothing was missed, or nothing is told to anyone.
+    /// Discovery closed it, or is down: no change was missed, or no node is informed of changes.
     Closed,
-    /// A call has waited, and was turned away: nothing was told to whoever waited with it.
+    /// A call waited and was refused: no node that waited with it was informed of a change.
     Waited,
-    /// The call was turned away as it came, by a service that is there and has too many callers: others may be told.
+    /// The call was refused on arrival by a service that is up but has too many callers: other nodes may be
+    /// informed.
     Refused,
-    /// Others may have been told for so long: the watch fell silent, or the call is not answered, or not to its end.
+    /// Other nodes may have been informed for this long: the watch fell silent, or the call had no complete
+    /// answer.
     Missed(f64),
     /// The protocol does not say.
     Unsaid,
@@ -223,13 +238,13 @@
     pub tenant: Option<usize>,
     /// Time left until the client gives up.
     pub timeout: f64,
-    /// Rough running time on a standard core.
+    /// Approximate running time on a standard core.
     pub hint: Option<f64>,
     /// Memory units it needs.
     pub memory: Option<f64>,
-    /// What it works on: an executor keeps that for a while.
+    /// The data it works on, which an executor caches for a while.
     pub key: Option<u64>,
-    /// Whether the client says that it comes back.
+    /// Whether the client marks it as a retry.
     pub again: bool,
 }
 
@@ -238,31 +253,32 @@
 pub enum Outcome {
     Succeeded,
     Errored,
-    /// The executor finds fault with the invocation itself.
+    /// The executor rejects the invocation itself.
     Unfit,
     Full,
     TimedOut,
     Unreachable,
     Reset,
     Cancelled,
+    /// It was never written.
     Moot,
 }
 
 impl Outcome {
-    /// Whether it proves that the invocation has not run there, and will not.
+    /// Whether the outcome proves that the invocation has not run and will not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Moot)
     }
 }
 
-/// A load report; a value that is absent or senseless is `None`.
+/// A load report; absent and invalid values are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     pub free: Option<f64>,
     pub queue: Option<f64>,
     pub inflight: Option<f64>,
     pub util: Option<f64>,
-    /// Free memory, in units of which an executor has one a slot.
+    /// Free memory, in units of one per slot.
     pub memory: Option<f64>,
 }
 
@@ -282,18 +298,18 @@
     List(List),
     Submitted(Submission),
     Settled(Settled),
-    /// A forward has started or goes on.
+    /// A forward has started or makes progress.
     Alive {
         id: InvId,
         forward: usize,
     },
-    /// A forward's executor has not said in time that it has it.
+    /// A forward's executor has not acknowledged it in time.
     Unheard {
         id: InvId,
         forward: usize,
     },
     Expired(InvId),
-    /// The node is asked to stop, and has until then.
+    /// The node has to stop by the given time.
     Leaving(f64),
     Timer(u64),
     Probed {
@@ -309,8 +325,8 @@
     },
 }
 
-/// What nodes tell each other, one number for one executor: what the sender holds there, a
-/// question, and its answer, the free slots.
+/// A message between nodes about one executor, with one number: `Held`, the forwards that the sender holds
+/// there; `Asks`, a query for free slots; `Room`, its answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Told {
     Held,
@@ -328,6 +344,7 @@
         id: InvId,
         forward: usize,
     },
+    /// Tell the client to retry after the pause.
     Throttle {
         id: InvId,
         pause: f64,
@@ -340,23 +357,24 @@
         timer: u64,
     },
     Probe(Tgt),
-    /// Close idle connections.
+    /// Close the idle connections to the executor.
     Release(Tgt),
-    /// To another node.
+    /// Send a message to another node.
     Tell {
         to: usize,
         told: Told,
         tgt: Tgt,
         count: u8,
     },
+    /// Call discovery for the list and watch it.
     Follow,
     Log(String),
 }
 
-// What the decisions keep between inputs.
+// State kept between inputs.
 
-/// Where an invocation stands. `Suspect`: nothing is out, but an earlier forward may have run.
-/// `Again`: out, and an earlier forward may have run or is out too.
+/// The state of an invocation. `Uncertain`: nothing is in flight, but an earlier forward may have run.
+/// `InFlightUncertain`: in flight, and an earlier forward may have run or is in flight too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub enum InvState {
     #[default]
@@ -370,7 +388,8 @@
     Ended,
 }
 
-/// `NotRun`, `MayHaveRun`: the last that was out ended, and of all of them this holds.
+/// An event in the life cycle of an invocation. `NotRun`, `MayHaveRun`: the last forward in flight has ended,
+/// and this holds for all forwards together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InvEvent {
     Sent,
@@ -380,7 +399,8 @@
     GaveUp,
 }
 
-/// `Answer`: throttle where the operation allows it after a forward that may have run, else error.
+/// What a transition does. `ThrottleOrError`: after a forward that may have run, throttle if the operation
+/// can be repeated safely, else answer with an error.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TransitionAction {
     Keep,
@@ -390,6 +410,7 @@
     ThrottleOrError,
 }
 
+/// The state of one forward.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 pub enum ForwardState {
     #[serde(rename = "Out")]
@@ -398,32 +419,29 @@
     MayHaveRun,
 }
 
+/// One attempt of an invocation at an executor.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Forward {
     pub tgt: Tgt,
     pub sent: f64,
     #[serde(rename = "fate")]
     pub state: ForwardState,
-    /// How long it waited there, once it has given a sign of life.
+    /// The time until its first sign of life, once there was one.
     pub wait: Option<f64>,
-    /// It was sent there as a report told of room.
-    #[serde(default)]
-    #[serde(rename = "told")]
+    /// It was sent on a report of a free slot.
+    #[serde(default, rename = "told")]
     pub had_reported_slot: bool,
-    /// It went over a connection that was open.
-    #[serde(default)]
-    #[serde(rename = "kept")]
+    /// It was sent over a connection that was already open.
+    #[serde(default, rename = "kept")]
     pub reused_connection: bool,
-    /// It had every reason to start at once.
-    #[serde(default)]
-    #[serde(rename = "sure")]
+    /// The executor was known to have a free slot, so it should start at once.
+    #[serde(default, rename = "sure")]
     pub expected_at_once: bool,
-    /// And has not: that was noted; and again, once it was past all use.
-    #[serde(default)]
-    #[serde(rename = "late")]
+    /// It has not started in time, and this is recorded against the executor and the connection.
+    #[serde(default, rename = "late")]
     pub start_overdue: bool,
-    #[serde(default)]
-    #[serde(rename = "vain")]
+    /// It is too late to be of use and counts as never started.
+    #[serde(default, rename = "vain")]
     pub start_given_up: bool,
     /// The executor answered with an error.
     pub errored: bool,
@@ -434,7 +452,7 @@
         self.state != ForwardState::NotRun
     }
 
-    /// Out without a sign, though it had every reason to start.
+    /// Whether it is in flight without a sign of life although it should have started at once.
     pub fn is_start_missing(&self) -> bool {
         self.expected_at_once && self.state == ForwardState::InFlight && self.wait.is_none()
     }
@@ -463,46 +481,52 @@
     }
 }
 
-/// `worth`: the part of its billed value that counts, as its tenant is over its share. In time if sent before
-/// `aim`, given up while it waits after `until`, client timeout at `end`; it crosses zones from `cross` on.
-/// `load`: how long it keeps an ordinary slot busy. `press`: its place in the queue.
-/// `sample`: executors drawn for it; drawn anew from `again` on, `gap` after the last draw.
+/// An invocation that has no final answer yet.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Inv {
     pub op: usize,
     #[serde(rename = "life")]
     pub state: InvState,
+    /// The fraction of its billed value that counts; below one if its tenant exceeds its share.
     #[serde(rename = "worth")]
     pub weight: f64,
+    /// It is in time if sent before this.
     #[serde(rename = "aim")]
     pub latest_start: f64,
-    /// Half of what it could wait and still be in time.
+    /// Half the time that it could wait and still be in time.
     #[serde(rename = "spare")]
     pub slack: f64,
+    /// It may be sent to other zones from this time on.
     #[serde(rename = "cross")]
     pub cross_zone_from: f64,
+    /// It is given up if it still waits at this time.
     #[serde(rename = "until")]
     pub give_up_at: f64,
+    /// The client's timeout, or the node's stop if earlier.
     pub end: f64,
     pub hint: f64,
+    /// How long it is expected to occupy an ordinary slot.
     pub load: f64,
     pub memory: f64,
     pub key: Option<u64>,
     #[serde(skip)]
     pub tenant: Option<usize>,
-    /// Its client gives up sooner than it could be late.
-    #[serde(default)]
-    #[serde(rename = "hasty")]
+    /// Its client's timeout ends before it could be late.
+    #[serde(default, rename = "hasty")]
     pub impatient: bool,
+    /// Its rank in the waiting queue.
     #[serde(rename = "press")]
     pub priority: f64,
-    /// Its executor died as it began there, or two have failed it: it goes out no more.
+    /// Its executor crashed as it started there, or two executors failed it: it is not sent again.
     #[serde(rename = "hopeless")]
     pub no_more_forwards: bool,
+    /// The executors drawn for it.
     #[serde(rename = "sample")]
     pub candidates: Vec<Tgt>,
+    /// The earliest time of the next draw.
     #[serde(rename = "again")]
     pub next_draw: f64,
+    /// The time between the last draw and the next.
     #[serde(rename = "gap")]
     pub draw_interval: f64,
     pub forwards: Vec<Forward>,
@@ -515,105 +539,119 @@
         self.forwards.iter().enumerate().filter(out).map(|f| f.0)
     }
 
-    /// The first forward that may have run: its group and time bind all further ones.
+    /// The first forward that may have run; its deduplication group and window limit all further ones.
     pub fn first_possible_run(&self) -> Option<&Forward> {
         self.forwards.iter().find(|f| f.may_have_run())
     }
 }
 
-/// How forwards of one sort fared of late: successes, up to a bound, and failures, which fade.
+/// Recent outcomes of one class of forwards: successes up to a cap, and failures, which decay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Record {
     pub successes: f64,
     pub failures: f64,
-    /// Not to be used for now, as it fares badly.
+    /// Not used for now because of its failures.
     pub avoided: bool,
     /// The last success.
     pub last_success: f64,
 }
 
 impl Default for Record {
-    /// As one that is unknown begins: two failures in a row make it doubtful.
+    /// The prior of an unknown record: two failures in a row make it doubtful.
     fn default() -> Self {
         Record { successes: 4.0, failures: 0.0, avoided: false, last_success: f64::NEG_INFINITY }
     }
 }
 
 impl Record {
-    /// The mean of what is remembered.
+    /// The posterior mean of the success probability.
     pub fn mean(&self) -> f64 {
         (1.0 + self.successes) / (2.0 + self.successes + self.failures)
     }
 
-    /// One success more, `most` of which count; it may have been blamed too soon.
+    /// Adds a success, capped at `most`. With `blamed`, also retracts a failure that was recorded too early.
     pub fn add_success(&mut self, now: f64, most: f64, blamed: bool) {
         (self.successes, self.last_success) = ((self.successes + 1.0).min(most), now);
         self.retract_failure(blamed);
     }
 
-    /// It was blamed too soon.
+    /// Retracts a failure that was recorded too early, if `blamed`.
     pub fn retract_failure(&mut self, blamed: bool) {
         self.failures = (self.failures - f64::from(u8::from(blamed))).max(0.0);
     }
 }
 
-/// Over which connection a forward went: one that was open, or a new one.
+/// Kinds of connection: one that was already open, or a new one.
 pub const REUSED: usize = 0;
 pub const NEW: usize = 1;
 
-/// What is known of one executor. `slow`: smoothed log of its latency over what the same operation takes
-/// elsewhere. `slots`: 0 while unknown. `unseen`: forwards that its last report can't have seen. `others`:
-/// what the other nodes hold there. `heard`: last sign of life, or when it last got work while it had none.
+/// The state of one executor.
 #[derive(Clone, Debug, Default)]
 pub struct Executor {
     pub entry: Entry,
+    /// Its service rate.
     pub mu: f64,
+    /// Its part of the arrival rate in the bargaining split.
     pub beta: f64,
-    /// What it is drawn by: beta, or a trial share.
+    /// The weight it is drawn by: beta, or a trial share.
     pub share: f64,
+    /// Smoothed log of its latency relative to that of the same operation elsewhere.
     pub log_slowness: f64,
     pub last_success: f64,
+    /// 0 while unknown.
     pub slots: f64,
     pub free: f64,
+    /// Forwards that its last report cannot include.
     pub sent_since_report: f64,
     pub reported_at: f64,
-    /// When who counts for it last told of room.
+    /// When its counting node last answered with its free slots.
     pub granted_at: f64,
     pub queried_at: f64,
     pub refused_at: f64,
     pub refusals: u32,
+    /// Own forwards in flight there, and the memory they take.
     pub held: usize,
     pub memory: f64,
+    /// Memory taken by other nodes' forwards, as of the last report.
     pub foreign_memory: f64,
-    /// When its own last report came.
+    /// When its own last report arrived.
     pub own_report_at: f64,
+    /// Own forwards known to have started.
     pub running: usize,
-    /// It started the last that it got at once.
+    /// It started the last forward at once.
     pub started_at_once: bool,
+    /// The counting node has to be told of `held` again.
     pub held_announced: bool,
+    /// Slots granted to other nodes, and when the last was.
     pub promised_at: f64,
     pub promised_slots: f64,
+    /// Forwards that the other nodes hold there.
     pub peer_held: Vec<u8>,
     pub last_sent: f64,
+    /// The last sign of life, or the last forward sent while none was held.
     pub last_sign_of_life: f64,
+    /// It has given no sign of life for too long.
     pub silent: bool,
+    /// Its record is much worse than that of the better executors.
     pub doubtful: bool,
-    /// It has shown that it lives since it was missing.
+    /// It has been seen alive since it was missing.
     pub seen_alive: bool,
+    /// It may get one invocation although it is untrusted.
     pub trial: bool,
-    /// How far it is to be trusted.
+    /// Its record over all operations.
     pub overall: Record,
+    /// The turn of its warm-up in which this node last sent work there, and the work sent in it.
     pub cold_turn: usize,
     pub cold_work: f64,
     /// By operation.
     pub operation_records: Vec<Record>,
-    /// Connections there, in use or not, and when the last was put back.
+    /// Open connections, in use or not, and when the last one became idle.
     pub connections: usize,
     pub idle_since: f64,
 }
 
 impl Executor {
-    /// A new start is a new process: what was known of the old one says nothing of it, but for what it held.
+    /// Resets the state for a new process. Only what this node holds there is kept.
     pub fn reset_for_new_process(&mut self, now: f64) {
         let (held, memory, never) = (self.held, self.memory, f64::NEG_INFINITY);
         let rest = Executor { cold_turn: usize::MAX, ..Executor::default() };
@@ -621,6 +659,7 @@
             Executor { held, memory, queried_at: never, granted_at: never, last_sign_of_life: now, ..rest };
     }
 
+    /// Applies a line of the list; a new start time means a new process.
     pub fn apply_entry(&mut self, now: f64, entry: Entry) {
         if self.entry.started != entry.started {
             self.reset_for_new_process(now);
@@ -628,23 +667,24 @@
         self.entry = entry;
     }
 
-    /// Of which nothing has been listed yet: any start time is new.
+    /// An executor that has not been listed yet; any start time differs from NaN and counts as new.
     pub fn unlisted(tgt: Tgt) -> Self {
         Executor { entry: Entry { tgt, started: f64::NAN, ..Entry::default() }, ..Executor::default() }
     }
 
-    /// May be sent to: listed as ready, or missing and seen to live since.
+    /// Whether it can be used: listed as ready, or missing and seen alive since.
     pub fn is_ready(&self) -> bool {
         #[cfg(test)]
         crate::sampler::tests::look();
         self.entry.standing == Standing::Ready || self.entry.standing == Standing::Missing && self.seen_alive
     }
 
-    /// Not to be left out by the draw; in a fog, which lasts until then, doubts say nothing.
-    pub fn is_trusted(&self, now: f64, fog: f64) -> bool {
-        !self.silent && (!self.doubtful || now < fog)
+    /// Whether draws may include it. While the network is degraded, doubt is ignored.
+    pub fn is_trusted(&self, now: f64, degraded_until: f64) -> bool {
+        !self.silent && (!self.doubtful || now < degraded_until)
     }
 
+    /// The record of one operation.
     pub fn operation_record(&mut self, op: usize) -> &mut Record {
         if self.operation_records.len() <= op {
             self.operation_records.resize(op + 1, Record::default());
@@ -652,17 +692,18 @@
         &mut self.operation_records[op]
     }
 
-    /// It has a connection that is not in use.
+    /// Whether it has a connection that is not in use.
     pub fn has_idle_connection(&self) -> bool {
         self.connections > self.held
     }
 
-    /// And not about to be closed for that.
+    /// Whether it has an idle connection that the executor is not about to close.
     pub fn has_fresh_connection(&self, now: f64, idle: f64) -> bool {
         self.has_idle_connection() && (idle <= 0.0 || now - self.idle_since < 0.9 * idle)
     }
 
-    /// A forward there, which is still counted, has ended; its connection lives on if it was answered.
+    /// Updates the connections when a forward ends, before it is removed from `held`; the connection stays
+    /// open if the forward was answered.
     pub fn release_connection(&mut self, now: f64, answered: bool) {
         if answered {
             self.idle_since = now;
@@ -671,46 +712,50 @@
         }
     }
 
-    /// What the other nodes hold there.
+    /// The number of forwards that the other nodes hold there.
     pub fn held_by_peers(&self) -> f64 {
         self.peer_held.iter().map(|&n| f64::from(n)).sum()
     }
 
-    /// The part of its capacity that an executor has at least.
+    /// The fraction of its capacity that the executor has at least reached while warming up.
     pub fn warm_fraction(&self, now: f64, cold: &Cold) -> f64 {
         let age = if self.entry.started > 0.0 { (now - self.entry.started).max(0.0) } else { f64::INFINITY };
         (cold.start + (1.0 - cold.start) * age / cold.warm).min(1.0)
     }
 
-    /// A sign of life: what it was blamed for while silent is forgiven, as it works off what it holds.
+    /// Records a sign of life. Failures recorded while it was silent are dropped, as it is working through
+    /// what it holds.
     pub fn on_sign_of_life(&mut self, now: f64) {
         (self.last_sign_of_life, self.seen_alive) = (now, true);
         self.overall.failures *= if std::mem::take(&mut self.silent) { 0.0 } else { 1.0 };
     }
 
-    /// Slots that those who asked just now were told of.
+    /// Slots granted to other nodes that may still be used.
     pub fn pending_promises(&self, now: f64) -> f64 {
-        const PROMISE_LIFETIME: f64 = 0.06; // By then who asked has sent there, and said so, or has not.
+        // Seconds; by then the node has sent a forward and announced it, or will not.
+        const PROMISE_LIFETIME: f64 = 0.06;
         self.promised_slots * f64::from(u8::from(now - self.promised_at < PROMISE_LIFETIME))
     }
 
-    /// The number of the turn since its start, each as long as `span`.
+    /// The number of the current turn since its start, each of `span` seconds.
     pub fn turn_number(&self, now: f64, span: f64) -> usize {
         ((now - self.entry.started).max(0.0) / span.max(1e-3)) as usize
     }
 
-    /// So short ago that few others can have sent there since: all who see a free slot for longer would meet there.
+    /// Whether its report is so recent that few other nodes can have acted on it. With older reports, all
+    /// nodes that see the same free slot would send there.
     pub fn reported_just_now(&self, now: f64) -> bool {
-        const RECENT_REPORT: f64 = 0.02; // A few messages' ways and batches.
+        const RECENT_REPORT: f64 = 0.02; // Seconds: a few message delays and event-loop batches.
         now - self.reported_at <= RECENT_REPORT
     }
 
-    /// Who was not heard for so long holds nothing there.
+    /// Clears the counts of nodes that have been silent for longer than `silent`.
     pub fn forget_silent_peers(&mut self, now: f64, heard: &[f64], silent: f64) {
         let others = self.peer_held.iter_mut().zip(heard);
         others.filter(|o| now - o.1 > silent).for_each(|(count, _)| *count = 0);
     }
 
+    /// Sets the number of forwards that another node holds there.
     pub fn set_peer_held(&mut self, from: usize, count: u8) {
         if self.peer_held.len() <= from && count > 0 {
             self.peer_held.resize(from + 1, 0);
@@ -719,58 +764,63 @@
     }
 }
 
-/// What is known of one operation or tenant: the smoothed log of its latency (a second of hint, if any), its
-/// invocations a second, and the part of them that was sent in time.
+/// Traffic statistics of one operation or tenant.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficStats {
+    /// Smoothed log of the latency, per second of hint if there is one.
     pub log_latency: Option<f64>,
     pub answers: f64,
+    /// Invocations since the last update of `rate`.
     pub arrived: f64,
+    /// Invocations per second.
     pub rate: f64,
+    /// The fraction of invocations that was sent in time.
     pub in_time_fraction: f64,
-    /// Longest time that a client came with.
+    /// The longest client timeout seen.
     pub longest_timeout: f64,
-    /// Of a tenant, by operation: the mean part of the longest time that its clients come with.
+    /// Of a tenant, by operation: the mean of its clients' timeouts as a fraction of the longest.
     pub timeout_fractions: Vec<f64>,
 }
 
-/// What is known of one kind of machine: the smoothed log of its latency over what the same operation takes
-/// elsewhere, the most slots seen free, and the largest size listed. `spread`: the variance of single answers' logs
-/// round their executor's own, of so many `answers`.
+/// Statistics of one machine kind.
 #[derive(Clone, Debug, Default)]
 pub struct MachineKindStats {
+    /// Smoothed log of its latency relative to that of the same operation elsewhere.
     pub log_slowness: f64,
+    /// The variance of the log latency of single answers around their executor's mean, over `answers`.
     pub variance: f64,
     pub answers: f64,
+    /// The most free slots seen at an executor.
     pub max_slots: f64,
+    /// The largest size listed.
     pub max_size: f64,
 }
 
 impl TrafficStats {
-    /// Invocations a second, with those since the last time weighed by `new`.
+    /// Updates the rate over the time `passed`; `new` is the smoothing weight.
     pub fn smooth_rate(&mut self, passed: f64, new: f64) {
         self.rate += new * (std::mem::take(&mut self.arrived) / passed - self.rate);
     }
 
-    /// The mean part of the longest time that clients come with, with one more that weighs `new`.
+    /// Adds a client timeout, as a fraction of the longest, with weight `new`, and returns the mean.
     pub fn observe_timeout(&mut self, op: usize, part: f64, new: f64) -> f64 {
         self.timeout_fractions.resize(self.timeout_fractions.len().max(op + 1), 1.0);
         self.timeout_fractions[op] += new * (part - self.timeout_fractions[op]);
         self.timeout_fractions[op]
     }
 
-    /// One more that was or was not in time, of weight `new`.
+    /// Adds an outcome, in time or not, with weight `new`.
     pub fn observe_outcome(&mut self, in_time: bool, new: f64) {
         self.in_time_fraction += new * (f64::from(u8::from(in_time)) - self.in_time_fraction);
     }
 }
 
-/// When something happened, the latest last.
+/// The times of recent events, in order.
 #[derive(Clone, Debug, Default)]
 pub struct EventTimes(pub VecDeque<f64>);
 
 impl EventTimes {
-    /// Once more, if so; what lies over `kept` back is forgotten.
+    /// Records an event now if `so`, and drops those older than `kept`.
     pub fn record_if(&mut self, so: bool, now: f64, kept: f64) {
         self.0.extend(so.then_some(now));
         while self.0.front().is_some_and(|&at| at < now - kept) {
@@ -778,14 +828,14 @@
         }
     }
 
-    /// How often from then on.
+    /// The number of events since `from`.
     pub fn count_since(&self, from: f64) -> f64 {
         (self.0.len() - self.0.partition_point(|&at| at < from)) as f64
     }
 }
 
 impl Entry {
-    /// Whether both drop the repeats of the other.
+    /// Whether both executors are in the same deduplication group.
     pub fn same(&self, group: Group, other: &Entry) -> bool {
         match group {
             Group::All => true,
@@ -795,7 +845,7 @@
     }
 }
 
-/// Where an invocation can go now. `Never`: no executor may take it, now or later.
+/// Where an invocation can be sent now. `Never`: no executor may take it, now or later.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
     Here(Tgt),
@@ -803,7 +853,7 @@
     Never,
 }
 
-/// Leaves those of the pool, if there are any and the condition holds.
+/// Restricts the pool to those that match, if the condition holds and any do.
 pub fn prefer(pool: &mut Vec<Tgt>, when: bool, those: impl Fn(&Tgt) -> bool) {
     if when && pool.iter().any(&those) {
         pool.retain(those);
