--- a/src/learnt.rs
+++ b/src/learnt.rs
@@ -1,10 +1,12 @@
-//! What a node has learnt, in rows of figures that another process of it can begin with. No decision.
+//! Export of a node's measurements as rows of numbers, from which another process of the node can start. This
+//! module makes no decisions.
 use crate::node::Node;
 use crate::types::{Budget, Executor, MachineKindStats, Tgt, TrafficStats};
 
-/// Figures in the order in which `take` reads them; one of another length is passed over.
+/// Numbers in the order in which `restore_row` reads them; a row of another length is ignored.
 pub type Row = Vec<f64>;
 
+/// The measurements of a node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Learnt {
     pub executors: Vec<(Tgt, Row)>,
@@ -12,7 +14,8 @@
     pub tenants: Vec<(usize, Row)>,
     pub kinds: Vec<(usize, Row)>,
     pub node: Row,
-    /// When invocations were taken and further forwards sent, for as long as that counts: see `Budget`.
+    /// The times at which invocations arrived and further forwards were sent, as long as they count for
+    /// `Budget`.
     pub taken: Row,
     pub further: Row,
 }
@@ -21,7 +24,7 @@
     f64::from(u8::from(value))
 }
 
-/// The greatest turn that a row holds exactly; none had is told as this.
+/// Stands for no turn (`usize::MAX`) in a row; a float holds integers up to this exactly.
 const NO_TURN_CODE: f64 = 9e15;
 
 impl Executor {
@@ -34,15 +37,15 @@
             self.overall.successes,
             self.overall.failures,
         ];
-        let room = [self.slots, self.free, self.reported_at, self.refused_at, f64::from(self.refusals)];
-        let told =
+        let load = [self.slots, self.free, self.reported_at, self.refused_at, f64::from(self.refusals)];
+        let flags =
             [flag(self.silent), flag(self.doubtful), flag(self.seen_alive), flag(self.started_at_once)];
-        [&latency[..], &room, &told, &[self.last_sign_of_life, turn, self.cold_work]].concat()
+        [&latency[..], &load, &flags, &[self.last_sign_of_life, turn, self.cold_work]].concat()
     }
 
-    /// Only of the same process: what was known of an earlier one says nothing of it.
+    /// Restores the row if it is of the same executor process.
     fn restore_row(&mut self, row: &[f64]) {
-        let &[started, slow, sampled, good, bad, slots, free, reported, refused, refusals, silent, doubtful, shown, kept, heard, turn, spent] =
+        let &[started, log_slowness, last_success, successes, failures, slots, free, reported_at, refused_at, refusals, silent, doubtful, seen_alive, started_at_once, last_sign_of_life, cold_turn, cold_work] =
             row
         else {
             return;
@@ -51,27 +54,29 @@
             return;
         }
         (self.log_slowness, self.last_success, self.overall.successes, self.overall.failures) =
-            (slow, sampled, good, bad);
-        (self.slots, self.free, self.reported_at) = (slots, free, reported);
-        (self.refused_at, self.refusals) = (refused, refusals as u32);
+            (log_slowness, last_success, successes, failures);
+        (self.slots, self.free, self.reported_at) = (slots, free, reported_at);
+        (self.refused_at, self.refusals) = (refused_at, refusals as u32);
         (self.silent, self.doubtful) = (silent > 0.0, doubtful > 0.0);
-        (self.seen_alive, self.started_at_once) = (shown > 0.0, kept > 0.0);
-        (self.last_sign_of_life, self.cold_work) = (heard, spent);
-        self.cold_turn = if turn >= NO_TURN_CODE { usize::MAX } else { turn as usize };
+        (self.seen_alive, self.started_at_once) = (seen_alive > 0.0, started_at_once > 0.0);
+        (self.last_sign_of_life, self.cold_work) = (last_sign_of_life, cold_work);
+        self.cold_turn = if cold_turn >= NO_TURN_CODE { usize::MAX } else { cold_turn as usize };
     }
 }
 
 impl TrafficStats {
     fn to_row(&self) -> Row {
-        let pace = self.log_latency.map_or([0.0, 0.0], |pace| [1.0, pace]);
-        [&pace[..], &[self.answers, self.rate, self.in_time_fraction, self.longest_timeout]].concat()
+        let latency = self.log_latency.map_or([0.0, 0.0], |log_latency| [1.0, log_latency]);
+        [&latency[..], &[self.answers, self.rate, self.in_time_fraction, self.longest_timeout]].concat()
     }
 
     fn restore_row(&mut self, row: &[f64]) {
-        let &[paced, pace, answers, rate, timely, longest] = row else { return };
-        self.log_latency = (paced > 0.0).then_some(pace);
+        let &[has_latency, log_latency, answers, rate, in_time_fraction, longest_timeout] = row else {
+            return;
+        };
+        self.log_latency = (has_latency > 0.0).then_some(log_latency);
         (self.answers, self.rate, self.in_time_fraction, self.longest_timeout) =
-            (answers, rate, timely, longest);
+            (answers, rate, in_time_fraction, longest_timeout);
     }
 }
 
@@ -81,19 +86,20 @@
     }
 
     fn restore_row(&mut self, row: &[f64]) {
-        let &[slow, slots] = row else { return };
-        (self.log_slowness, self.max_slots) = (slow, slots);
+        let &[log_slowness, max_slots] = row else { return };
+        (self.log_slowness, self.max_slots) = (log_slowness, max_slots);
     }
 }
 
 impl Node {
+    /// Exports the measurements.
     pub fn learnt(&self) -> Learnt {
         let executors = self.executors.iter().filter(|t| !t.entry.started.is_nan());
-        let classes = |all: &[TrafficStats]| all.iter().map(TrafficStats::to_row).enumerate().collect();
+        let stats_rows = |all: &[TrafficStats]| all.iter().map(TrafficStats::to_row).enumerate().collect();
         Learnt {
             executors: executors.map(|t| (t.entry.tgt, t.to_row())).collect(),
-            operations: classes(&self.operation_stats),
-            tenants: classes(&self.tenant_stats),
+            operations: stats_rows(&self.operation_stats),
+            tenants: stats_rows(&self.tenant_stats),
             kinds: self.kind_stats.iter().map(MachineKindStats::to_row).enumerate().collect(),
             taken: self.accepted.0.iter().copied().collect(),
             further: self.further_sent.0.iter().copied().collect(),
@@ -113,33 +119,35 @@
         }
     }
 
-    /// Begins with what another process of this node has learnt; the list of executors is known.
+    /// Restores the measurements of another process of this node; the list of executors has to be applied
+    /// before.
     pub fn recall(&mut self, learnt: &Learnt) {
         for (tgt, row) in &learnt.executors {
             self.executors.get_mut(*tgt).into_iter().for_each(|t| t.restore_row(row));
         }
         for (at, row) in &learnt.operations {
-            self.operation_stats.get_mut(*at).into_iter().for_each(|class| class.restore_row(row));
+            self.operation_stats.get_mut(*at).into_iter().for_each(|stats| stats.restore_row(row));
         }
         for (at, row) in &learnt.tenants {
-            self.tenant_stats.get_mut(*at).into_iter().for_each(|tenant| tenant.restore_row(row));
+            self.tenant_stats.get_mut(*at).into_iter().for_each(|stats| stats.restore_row(row));
         }
         for (at, row) in &learnt.kinds {
-            self.kind_stats.get_mut(*at).into_iter().for_each(|kind| kind.restore_row(row));
+            self.kind_stats.get_mut(*at).into_iter().for_each(|stats| stats.restore_row(row));
         }
         (self.accepted.0, self.further_sent.0) = (learnt.taken.clone().into(), learnt.further.clone().into());
-        if let &[util, level, fog, theirs, spill, misled, price, usual, raised, value, phi] = &learnt.node[..]
+        if let &[util, trust_reference, degraded_until, job_fault_rate, spill_probability, misleading_report_rate, price, typical_priority, price_raised_at, mean_value, phi] =
+            &learnt.node[..]
         {
             (self.util, self.trust_reference, self.degraded_until, self.job_fault_rate) =
-                (util, level, fog, theirs);
+                (util, trust_reference, degraded_until, job_fault_rate);
             (self.spill_probability, self.misleading_report_rate, self.price, self.typical_priority) =
-                (spill, misled, price, usual);
-            (self.price_raised_at, self.mean_value, self.phi) = (raised, value, phi);
+                (spill_probability, misleading_report_rate, price, typical_priority);
+            (self.price_raised_at, self.mean_value, self.phi) = (price_raised_at, mean_value, phi);
         }
     }
 
-    /// Of these tenants' shares, this many invocations a second are within them here: what an equal part of the nodes'
-    /// is elsewhere.
+    /// Sets the invocations per second that are within these tenants' shares at this node, in place of an
+    /// equal part per node.
     pub fn quotas(&mut self, quotas: &[(usize, f64)]) {
         let nodes = self.settings.nodes as f64;
         for (tenant, here) in quotas {
@@ -147,7 +155,7 @@
         }
     }
 
-    /// Of what a cold executor can stand, and of the budget of forwards, this is left to this process.
+    /// Sets this process's part of the load limit of cold executors and of the budget of further forwards.
     pub fn share(&mut self, factor: f64, budget: Option<Budget>) {
         self.settings.cold.factor = factor;
         self.settings.budget = budget;
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,4 @@
-//! Node: all that the decisions of one node keep. The decisions stand in `policy` and the modules beside it.
+//! The state of one node. The decision logic is in `policy` and the modules beside it.
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::chance::{mix, unit, Chance};
@@ -7,86 +7,95 @@
 use crate::sampler::{Index, RendezvousTree, Sampler, Subset, MAX_SCANNED};
 use crate::types::*;
 
-/// All that a node keeps.
+/// The state of a node.
 #[derive(Default)]
 pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) rng: Chance,
     pub(crate) executors: Vec<Executor>,
-    /// Ready executors, where a crossing has a price those of the own zone (`near` of them) first, then by
-    /// share, the largest first. Invocations that wait, the most pressing first.
+    /// Ready executors by share, the largest first. If zone crossings have a price, those of the own zone
+    /// come first.
     pub(crate) ranked: Vec<Tgt>,
+    /// The number of executors of the own zone at the front of `ranked`.
     pub(crate) own_zone_count: usize,
-    /// What is drawn from in a large fleet.
+    /// The sampling index of a large fleet.
     pub(crate) index: Index,
+    /// Waiting invocations, the highest priority first.
     pub(crate) waiting: Vec<InvId>,
     pub(crate) invocations: BTreeMap<InvId, Inv>,
     pub(crate) operation_stats: Vec<TrafficStats>,
     pub(crate) tenant_stats: Vec<TrafficStats>,
     pub(crate) kind_stats: Vec<MachineKindStats>,
     pub(crate) peer_last_heard: Vec<f64>,
+    /// The arrival rate at this node.
     pub(crate) phi: f64,
+    /// Mean utilisation of the executors.
     pub(crate) util: f64,
-    /// What executors are held against when they are doubted, at most one.
+    /// The level that executors' records are compared with, at most one.
     pub(crate) trust_reference: f64,
+    /// The network counts as degraded until then.
     pub(crate) degraded_until: f64,
-    /// How often an error is the invocation's own fault.
+    /// The rate of errors that are the invocation's own fault.
     pub(crate) job_fault_rate: f64,
-    /// Where nothing is reported: the part of invocations that may leave the own zone at once, as starts come late there.
+    /// Without load reports: the fraction of invocations that may leave the own zone at once, as starts are
+    /// late there.
     pub(crate) spill_probability: f64,
+    /// The rate of full answers that contradict a reported free slot.
     pub(crate) misleading_report_rate: f64,
-    /// How often a forward that was told of room had to wait.
+    /// The rate of forwards that had to wait although a free slot was reported.
     pub(crate) missing_slot_rate: f64,
-    /// How forwards over open and over new connections fared.
+    /// Records of forwards over reused and over new connections.
     pub(crate) connection_records: [Record; 2],
-    /// How often what should have started, and had not, never did.
+    /// The rate of overdue starts that never happen.
     pub(crate) never_started_rate: f64,
-    /// What an invocation must press to be taken, in parts of the usual press.
+    /// The priority required for admission, as a multiple of the typical priority.
     pub(crate) price: f64,
     pub(crate) typical_priority: f64,
+    /// When the price was last raised.
     pub(crate) price_raised_at: f64,
     /// Mean billed value of an invocation.
     pub(crate) mean_value: f64,
-    /// Mean own forwards held at an executor of the first `near` in rank, and of the others, at the last solve.
+    /// Mean number of own forwards held per executor, in the own zone and elsewhere, at the last solve.
     pub(crate) mean_held: [f64; 2],
     pub(crate) last_solve: f64,
-    /// When it last had a turn, and the one before.
+    /// The times of the last two inputs that differ in time, the latest last.
     pub(crate) last_inputs: [f64; 2],
+    /// The timer that retries the waiting queue is running.
     pub(crate) dispatch_timer_set: bool,
-    /// When invocations were taken, and forwards beyond the first sent, within the budget's span.
+    /// The times at which invocations arrived and further forwards were sent, for the budget.
     pub(crate) accepted: EventTimes,
     pub(crate) further_sent: EventTimes,
-    /// Invocations whose last forward had every reason to start, and had not when last looked at.
+    /// Invocations whose last forward should have started at once and had not when last checked.
     pub(crate) awaiting_start: BTreeSet<InvId>,
-    /// By when all must be answered, once the node is to stop.
+    /// When all invocations must be answered, once the node has to stop.
     pub(crate) stop_deadline: Option<f64>,
-    /// When discovery is called for the list, while it is not followed.
+    /// The schedule of calls to discovery while the list is not followed.
     pub(crate) list_calls: ListCalls,
     /// How current the list is, and whether requests may be sent by it.
     pub(crate) list_state: ListState,
-    /// Requests given up, unsent or not, at a time when the list did not permit to send.
+    /// Requests given up while the list was too old to send by.
     pub(crate) refused_without_list: u64,
 }
 
 impl Node {
-    /// For an executor and a kind that may be new.
-    pub(crate) fn add_slots_for(&mut self, entry: &Entry) {
+    /// Adds the executor and the machine kind of an entry if they are new.
+    pub(crate) fn ensure_known(&mut self, entry: &Entry) {
         self.executors.extend((self.executors.len()..=entry.tgt).map(Executor::unlisted));
         self.kind_stats.resize(self.kind_stats.len().max(entry.kind + 1), MachineKindStats::default());
         self.kind_stats[entry.kind].max_size = self.kind_stats[entry.kind].max_size.max(entry.size);
     }
 
-    /// The entries, before them as gone what a whole list leaves out.
+    /// The entries of a list, preceded by the executors that a whole list omits, as gone.
     pub(crate) fn with_absent(&self, whole: bool, entries: Vec<Entry>) -> Vec<Entry> {
         let absent = |t: &Executor| Entry { standing: Standing::Gone, ..t.entry.clone() };
         let named: BTreeSet<Tgt> = entries.iter().map(|entry| entry.tgt).collect();
-        let left_out = self.executors.iter().filter(|t| whole && !named.contains(&t.entry.tgt));
-        let mut all: Vec<Entry> = left_out.map(absent).collect();
+        let omitted = self.executors.iter().filter(|t| whole && !named.contains(&t.entry.tgt));
+        let mut all: Vec<Entry> = omitted.map(absent).collect();
         all.extend(entries);
         all
     }
 
-    /// What each ready executor's share is now, by its mark; for those who watch, no decision reads it.
+    /// The current share of each ready executor, by its mark; for monitoring only.
     pub fn shares(&self) -> impl Iterator<Item = (u32, f64)> + '_ {
         let sum: f64 = self.ranked.iter().map(|&tgt| self.executors[tgt].beta).sum();
         let share =
@@ -96,13 +105,14 @@
 }
 
 impl Node {
-    /// So few that a start looks at all of them.
+    /// Whether the fleet is small enough to consider every executor for each invocation.
     pub(crate) fn is_small_fleet(&self) -> bool {
         self.ranked.len() <= MAX_SCANNED
     }
 
-    /// Ready executors that an invocation is bound to by what may have run, by kind, or to the own zone if `near`.
-    pub(crate) fn subset(&self, inv: &Inv, near: bool) -> Option<&Sampler> {
+    /// The subset of ready executors that the invocation is restricted to: by an earlier forward that may
+    /// have run, by machine kind, or to the own zone if `own_zone_only`.
+    pub(crate) fn subset(&self, inv: &Inv, own_zone_only: bool) -> Option<&Sampler> {
         let op = &self.settings.operations[inv.op];
         let group = match (inv.first_possible_run(), op.effect) {
             (Some(first), Effect::Deduplicated { group, .. }) => {
@@ -115,18 +125,18 @@
             }
             _ => None,
         };
-        let own = near.then_some(Subset::Zone(self.settings.zone));
-        self.index.subsets.get(&group.or(op.kind.map(Subset::Kind)).or(own).unwrap_or(Subset::All))
+        let own_zone = own_zone_only.then_some(Subset::Zone(self.settings.zone));
+        self.index.subsets.get(&group.or(op.kind.map(Subset::Kind)).or(own_zone).unwrap_or(Subset::All))
     }
 
-    /// Executors that it can go to at all, and others: a part that it is bound to, or all.
+    /// A superset of the executors that may take the invocation: the subset it is restricted to, or all.
     pub(crate) fn permitted_executors<'a>(&'a self, inv: &Inv) -> impl Iterator<Item = &'a Executor> {
-        let part = self.subset(inv, false);
-        let all = if part.is_none() { &self.executors[..] } else { &[] };
-        part.into_iter().flat_map(|part| &part.members).map(|&i| &self.executors[i]).chain(all)
+        let subset = self.subset(inv, false);
+        let all = if subset.is_none() { &self.executors[..] } else { &[] };
+        subset.into_iter().flat_map(|subset| &subset.members).map(|&i| &self.executors[i]).chain(all)
     }
 
-    /// Connections to all executors; of a large fleet, when last solved.
+    /// The number of connections to all executors; in a large fleet, as of the last solve.
     pub(crate) fn connection_count(&self) -> usize {
         if self.is_small_fleet() {
             self.executors.iter().map(|t| t.connections).sum()
@@ -135,18 +145,19 @@
         }
     }
 
-    /// A key's order of executors, the same at every node (weighted rendezvous hashing): the whole, or its beginning.
+    /// The executors in the key's order, the same at every node (weighted rendezvous hashing). In a large
+    /// fleet only the first ones.
     pub(crate) fn rendezvous_order(&mut self, key: u64) -> Vec<Tgt> {
         if !self.is_small_fleet() {
-            let (rank, tgts) = (&self.ranked, &self.executors);
-            let mark = |i: Tgt| mix(u64::from(tgts[i].entry.mark));
-            let lots = || RendezvousTree::new(rank.clone(), mark, |i| tgts[i].share);
-            return self.index.rendezvous.get_or_insert_with(lots).order(key);
+            let (ranked, executors) = (&self.ranked, &self.executors);
+            let mark = |i: Tgt| mix(u64::from(executors[i].entry.mark));
+            let build = || RendezvousTree::new(ranked.clone(), mark, |i| executors[i].share);
+            return self.index.rendezvous.get_or_insert_with(build).order(key);
         }
-        let lot =
+        let score =
             |i: &Tgt| -self.executors[*i].share / unit(key ^ u64::from(self.executors[*i].entry.mark)).ln();
         let mut order = self.ranked.clone();
-        order.sort_by_cached_key(|i| std::cmp::Reverse(lot(i).to_bits()));
+        order.sort_by_cached_key(|i| std::cmp::Reverse(score(i).to_bits()));
         order
     }
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -171,7 +171,7 @@
 
     /// Applies one line of the list of executors.
     fn apply_entry(&mut self, now: f64, entry: Entry) {
-        self.add_slots_for(&entry);
+        self.ensure_known(&entry);
         let t = &mut self.executors[entry.tgt];
         let (previous, started, only_draining) =
             (t.entry.standing, t.entry.started, self.settings.only_draining);
