--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,8 @@
-//! coveroute: a node pushes invocations to executors by the Nash-bargaining split.
-//! `policy`, `list_state`, `list_calls` and `write_limit` hold every decision, `notes` what is known of answers and reports, `sampler` who is drawn from, `types` what goes in and out, `node` what is kept; neither does I/O or reads a clock.
+//! coveroute: a dispatcher whose nodes push invocations to executors by the Nash-bargaining split.
+//!
+//! `policy`, `list_state`, `list_calls` and `write_limit` hold all decisions. `notes` records answers
+//! and load reports, `sampler` draws executors, `types` defines inputs and outputs, and `node` holds the
+//! state. No module does I/O or reads a clock.
 pub mod adopt;
 pub mod chance;
 pub mod learnt;
--- a/src/list_calls/tests.rs
+++ b/src/list_calls/tests.rs
@@ -65,11 +65,11 @@
 #[test]
 fn a_call_is_due_until_the_list_is_followed() {
     let (set, mut calls) = (settings(200, 300), ListCalls::default());
-    assert!(!calls.is_due() && !calls.is_after(NOW));
+    assert!(!calls.is_scheduled() && !calls.is_after(NOW));
     let wait = calls.first(NOW, UNCONFIRMED, true, &set);
-    assert!(calls.is_due() && calls.is_after(NOW + wait - 0.01) && !calls.is_after(NOW + wait + 0.01));
+    assert!(calls.is_scheduled() && calls.is_after(NOW + wait - 0.01) && !calls.is_after(NOW + wait + 0.01));
     let again = calls.next(NOW + 7.0, UNCONFIRMED, Loss::Refused, 0.25, &set);
     assert!(calls.is_after(NOW + 7.0 + again - 0.01) && !calls.is_after(NOW + 7.0 + again + 0.01));
     calls.followed();
-    assert!(!calls.is_due() && !calls.is_after(NOW));
+    assert!(!calls.is_scheduled() && !calls.is_after(NOW));
 }
--- a/src/list_state.rs
+++ b/src/list_state.rs
@@ -1,35 +1,41 @@
-//! How current the list of executors is that a node holds, and whether requests may be sent by it.
-//! docs/design/told.md has the times.
+//! How current a node's list of executors is, and whether requests may be sent by it. docs/design/told.md
+//! gives the times.
 use std::fmt;
 
 use crate::types::{KeptAge, Loss};
 
-/// A change counts as told six seconds after discovery had it; of these a connection takes up to half a second.
+/// Seconds after which a list that receives no changes expires. A node counts as informed of a change six
+/// seconds after discovery has it, and a connection takes up to half a second of these.
 const LIST_LIFETIME: f64 = 5.5;
-/// By then what was decided before has to be written: the node may be held up for a moment after it looks at the clock.
+/// Seconds until which a forward decided before has to be written. The margin to six seconds covers a stall
+/// of the node after it has read the clock.
 const WRITE_LIFETIME: f64 = 5.85;
-/// A discovery that for so long gives no sign of being there is taken to be down, and an expired list is better than none: longer
-/// than the longest round of calls and the wait for an answer, in which a service that is there gets to each node.
+/// Seconds without a sign of discovery after which it counts as down and an expired list is used again, which
+/// is better than none. Longer than the longest round of calls plus the wait for an answer, within which a
+/// service that is up reaches each node.
 const OUTAGE_AFTER: f64 = 30.0;
 
+/// How current the list is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ListState {
     /// Changes arrive as they are made.
     #[default]
     Followed,
-    /// The list was current when discovery went down, or could no longer be reached: nobody is told of changes since.
+    /// The list was current when discovery went down or became unreachable; no node is informed of changes
+    /// since.
     Unreachable { since: f64 },
-    /// Changes since then may count as told, so the list expires; those before a list from before the start count at once.
+    /// Other nodes may be informed of changes after `since`, so the list expires. A list from before the
+    /// start has expired already (`since` is minus infinity).
     Unheard {
         since: f64,
-        /// Since when no call has met a sign of a discovery that is there.
+        /// Since when no call has had a sign that discovery is up.
         unreachable_since: Option<f64>,
     },
 }
 
 impl ListState {
-    /// The state with the list that a node begins with; where lists are pushed their keeper is called at once, and one that
-    /// does not answer is silent because discovery is down.
+    /// The state with the list that a node starts with. Where lists are pushed, discovery is contacted at
+    /// once, and no answer means that it is down.
     pub fn kept(now: f64, age: KeptAge, pushed: bool) -> Self {
         let unreachable_since = pushed.then_some(now);
         match age {
@@ -43,7 +49,7 @@
     pub fn after(self, now: f64, loss: Loss) -> Self {
         match (self, loss) {
             (_, Loss::Unsaid) => ListState::Followed,
-            // Guards against an expired list that counts as current again because discovery has gone since.
+            // An expired list must not count as current again because discovery has gone down since.
             (ListState::Unheard { since, unreachable_since }, Loss::Closed | Loss::Waited) => {
                 ListState::Unheard { since, unreachable_since: unreachable_since.or(Some(now)) }
             }
@@ -66,7 +72,7 @@
         }
     }
 
-    /// Until when what is decided by the list now may be written.
+    /// Until when a forward decided by the list now may be written.
     pub fn written_until(self) -> f64 {
         match self {
             ListState::Unheard { since, unreachable_since: None } => since + WRITE_LIFETIME,
@@ -74,12 +80,12 @@
         }
     }
 
-    /// Whether a process that goes on with the list may take it for current.
+    /// Whether a process that takes over the list may treat it as current.
     pub fn is_current(self) -> bool {
         matches!(self, ListState::Followed | ListState::Unreachable { .. })
     }
 
-    /// When changes last arrived as they were made, unless they do.
+    /// When changes last arrived as they were made; infinity while they do.
     fn since(self) -> f64 {
         match self {
             ListState::Followed => f64::INFINITY,
@@ -87,7 +93,7 @@
         }
     }
 
-    /// The state's name in figures and logs.
+    /// The state's name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             ListState::Followed => "followed",
@@ -97,14 +103,14 @@
         }
     }
 
-    /// A log line on the change to another state; none where it stays.
+    /// The log line for a change to another state, if it is one.
     pub(crate) fn transition(self, now: f64, next: Self) -> Option<String> {
         (self.name() != next.name())
             .then(|| format!("list state: {} -> {}", Shown(self, now), Shown(next, now)))
     }
 }
 
-/// A state with its times as spans before now.
+/// Displays a state with its times relative to now.
 struct Shown(ListState, f64);
 
 impl fmt::Display for Shown {
--- a/src/parcel.rs
+++ b/src/parcel.rs
@@ -1,9 +1,11 @@
-//! Parcels: an invocation leaves one process of a node and goes on in another one, as it stands. No decision.
+//! Transfer of an invocation, with its state, from one process of a node to another. This module makes no
+//! decisions.
 use crate::node::Node;
 use crate::types::{Executor, Inv, InvId, InvState, Operation};
 
 impl Node {
-    /// Takes the invocation out, with no answer and no word to executors: what it holds at them goes with it.
+    /// Removes the invocation without an answer or a message to executors; its forwards stay in flight and go
+    /// with it.
     pub fn part_with(&mut self, id: InvId) -> Option<Inv> {
         if self.invocations.get(&id).is_none_or(|inv| inv.state == InvState::Ended) {
             return None;
@@ -20,7 +22,7 @@
         Some(inv)
     }
 
-    /// Goes on with it; its operation and executors are numbered as here.
+    /// Continues the invocation; its operation and executors are indexed as at this node.
     pub fn take_in(&mut self, id: InvId, inv: Inv) {
         for forward in inv.in_flight().map(|at| &inv.forwards[at]) {
             self.executors.extend((self.executors.len()..=forward.tgt).map(Executor::unlisted));
@@ -29,16 +31,16 @@
             t.running += usize::from(forward.wait.is_some());
         }
         if matches!(inv.state, InvState::Waiting | InvState::Uncertain) {
-            let presses =
+            let goes_before =
                 |other: &InvId| self.invocations.get(other).is_some_and(|o| o.priority >= inv.priority);
-            let at = self.waiting.partition_point(presses);
+            let at = self.waiting.partition_point(goes_before);
             self.waiting.insert(at, id);
         }
         self.awaiting_start.extend(inv.forwards.last().filter(|f| f.is_start_missing()).map(|_| id));
         self.invocations.insert(id, inv);
     }
 
-    /// The operations' entries, which have grown; no earlier one has changed.
+    /// Extends the operations; earlier entries must be unchanged.
     pub fn extend(&mut self, operations: Vec<Operation>) {
         self.operation_stats.resize_with(self.operation_stats.len().max(operations.len()), Default::default);
         self.settings.operations = operations;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -124,7 +124,7 @@
             Input::Leaving(end) => self.begin_stop(end),
             Input::Timer(SOLVE_TIMER) => self.on_solve_timer(now, out),
             Input::Timer(LOOK) => self.expire_waiting(now, out),
-            Input::Timer(_) => out.extend(self.list_calls.is_due().then_some(Output::Follow)),
+            Input::Timer(_) => out.extend(self.list_calls.is_scheduled().then_some(Output::Follow)),
             Input::Probed { tgt, outcome, report } => self.on_probed(now, tgt, outcome, report, out),
             Input::Heard { from, told, tgt, count } => self.on_peer_message(now, from, told, tgt, count, out),
         }
--- a/src/sampler.rs
+++ b/src/sampler.rs
@@ -1,20 +1,23 @@
-//! Draws from many executors by their shares, and records of who may be of use, kept so that a start looks at a bounded
-//! number of them and never at all. No decision: `policy` tells who may be drawn. docs/design/size.md weighs the ways.
+//! Weighted sampling of executors, with an index that bounds the number of executors examined per invocation
+//! however large the fleet is. This module makes no decisions: `policy` says which executors may be drawn.
+//! docs/design/size.md compares the alternatives.
 use std::collections::BTreeMap;
 
 use crate::chance::{mix, sums, unit, Chance};
 use crate::types::*;
 
-/// Fleets up to this size are looked through whole; of a larger one, no more are looked through at a time.
+/// Fleets up to this size are scanned whole; of a larger one, at most this many executors are scanned at a
+/// time.
 pub(crate) const MAX_SCANNED: usize = 320;
-/// Draws by share until one is open: with a quarter of the shares open, all fail once in ten thousand starts.
+/// Draws by share until one is open. With a quarter of the shares open, all of them fail once in ten thousand
+/// times.
 const MAX_TRIES: usize = 32;
-/// Of those that are of use, so many are looked at.
+/// The number of preferred executors considered per list.
 const MAX_LISTED: usize = 64;
-/// The first of a key's order that are worked out: more than a wait opens.
+/// The number of executors computed of a key's order: more than are tried within a wait.
 const KEY_ORDER_LEN: usize = 12;
 
-/// The executors that an invocation is bound to.
+/// A subset of the executors that an invocation is restricted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subset {
     All,
@@ -23,7 +26,7 @@
     Kind(usize),
 }
 
-/// Members and the running sums of their shares.
+/// Executors and the cumulative sums of their shares.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sampler {
     pub(crate) members: Vec<Tgt>,
@@ -35,8 +38,9 @@
         Sampler { cumulative_shares: sums(members.iter().map(|&i| share(i))), members }
     }
 
-    /// So many draws by share among the open ones (sampling with rejection). Where a number of tries finds none, the
-    /// open ones of a bounded window are drawn from, which moves on with `from`: so all are looked at in turn.
+    /// Draws `times` executors by share among the open ones (rejection sampling). If all tries fail, draws
+    /// from the open ones in a window of bounded size that starts at `from`; the caller advances it, so that
+    /// all are reached in turn.
     pub fn draw(
         &self,
         times: usize,
@@ -52,8 +56,8 @@
         if !drawn.is_empty() {
             return drawn;
         }
-        let many = self.members.len();
-        let window = (0..many.min(MAX_SCANNED)).map(|i| (from + i) % many);
+        let count = self.members.len();
+        let window = (0..count.min(MAX_SCANNED)).map(|i| (from + i) % count);
         let found: Vec<usize> = window.filter(|&at| open(&self.members[at])).collect();
         let share = |at: usize| {
             self.cumulative_shares[at] - if at == 0 { 0.0 } else { self.cumulative_shares[at - 1] }
@@ -66,7 +70,7 @@
     }
 }
 
-/// Executors in no order, each once.
+/// A set of executors that can be sampled.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Members {
     members: Vec<Tgt>,
@@ -81,20 +85,21 @@
         }
     }
 
-    /// A bounded number of them: all, or some at random.
+    /// Appends a bounded number of them: all, or a random sample.
     fn sample_into(&self, chance: &mut Chance, out: &mut Vec<Tgt>) {
-        let many = self.members.len();
-        if many <= MAX_LISTED {
+        let count = self.members.len();
+        if count <= MAX_LISTED {
             return out.extend(&self.members);
         }
-        out.extend((0..MAX_LISTED).map(|_| self.members[(chance.draw() * many as f64) as usize]));
+        out.extend((0..MAX_LISTED).map(|_| self.members[(chance.draw() * count as f64) as usize]));
     }
 }
 
-/// Lots of keys, the same at every node, in steps by the fleet's logarithm: executors in the order of a hash of their
-/// marks, a run of equal leading digits being a branch with the sum of its shares. From the root down the branch, and
-/// at the end the executor, with the greatest lot is taken (weighted rendezvous hashing at each step), so that each
-/// executor is drawn by its share and a change moves the keys of its own branch alone.
+/// Hierarchical weighted rendezvous hashing: maps keys to executors, the same at every node, in time
+/// logarithmic in the fleet size. Executors are sorted by a hash of their marks; a run with equal leading
+/// digits is a branch, whose weight is the sum of its shares. From the root down, the branch with the highest
+/// score is taken, and at the end the executor with the highest score. So each executor is drawn by its
+/// share, and a change moves only the keys of its own branch.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RendezvousTree {
     marks: Vec<u64>,
@@ -115,11 +120,11 @@
         sum(to) - sum(from)
     }
 
-    /// The executor that the key draws; `None` of none.
+    /// The executor that the key maps to; `None` if there are none.
     fn draw(&self, key: u64) -> Option<Tgt> {
-        const LEAF_SIZE: usize = 16; // As many as a branch has branches.
-        const DIGIT_BITS: u32 = 4; // Bits.
-        let lot = |name: u64, weight: f64| -weight / unit(key ^ mix(name)).ln();
+        const LEAF_SIZE: usize = 16; // As many as a branch has children.
+        const DIGIT_BITS: u32 = 4; // Bits per level.
+        let score = |name: u64, weight: f64| -weight / unit(key ^ mix(name)).ln();
         let (mut from, mut to, mut shift) = (0, self.marks.len(), u64::BITS);
         while to - from > LEAF_SIZE && shift > 0 {
             shift -= DIGIT_BITS;
@@ -128,18 +133,18 @@
                 let branch = self.marks[at] >> shift;
                 let end = at + self.marks[at..to].partition_point(|mark| mark >> shift == branch);
                 let name = branch ^ u64::from(shift).rotate_right(8);
-                let found = (lot(name, self.weight(at, end)), at, end);
+                let found = (score(name, self.weight(at, end)), at, end);
                 best = if found.0 > best.0 { found } else { best };
                 at = end;
             }
             (from, to) = (best.1, best.2);
         }
-        let greatest = |i: &usize| lot(!self.marks[*i], self.weight(*i, i + 1));
-        let best = (from..to).max_by(|a, b| greatest(a).total_cmp(&greatest(b)));
+        let leaf_score = |i: &usize| score(!self.marks[*i], self.weight(*i, i + 1));
+        let best = (from..to).max_by(|a, b| leaf_score(a).total_cmp(&leaf_score(b)));
         best.map(|i| self.executors.members[i])
     }
 
-    /// The first of the key's order: each by share among those that were not drawn before.
+    /// The first executors of the key's order, each drawn by share among those not drawn before.
     pub fn order(&self, key: u64) -> Vec<Tgt> {
         let mut order: Vec<Tgt> = Vec::new();
         for nth in 0..2 * KEY_ORDER_LEN as u64 {
@@ -150,23 +155,24 @@
     }
 }
 
-/// What is kept of a large fleet: made anew with each solve, and between two solves as things change.
+/// The sampling index of a large fleet: rebuilt with each solve and updated in between.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
     pub(crate) subsets: BTreeMap<Subset, Sampler>,
-    /// Made with the first key after a solve.
+    /// Built for the first key after a solve.
     pub(crate) rendezvous: Option<RendezvousTree>,
     cold: Members,
     started_at_once: Members,
+    /// Executors with an idle connection.
     idle: Members,
-    /// Connections to all, at the last solve.
+    /// Connections to all executors, as of the last solve.
     pub(crate) connections: usize,
-    /// Where the next window begins.
+    /// Where the next scan window starts.
     pub window_start: usize,
 }
 
 impl Index {
-    /// Of ready executors; nothing is kept of a small fleet.
+    /// Builds the index of the ready executors; empty for a small fleet.
     pub fn new(now: f64, set: &Settings, tgts: &[Executor], rank: &[Tgt], from: usize) -> Self {
         let mut index = Index { window_start: from, ..Index::default() };
         if rank.len() <= MAX_SCANNED {
@@ -176,8 +182,8 @@
             Effect::Deduplicated { group, .. } => Some(group),
             _ => None,
         };
-        let bound = |to: Group| set.operations.iter().any(|op| group(op) == Some(to));
-        let (zones, cells) = (bound(Group::Zone) || set.cross_zone_price > 0.0, bound(Group::Cell));
+        let restricts = |to: Group| set.operations.iter().any(|op| group(op) == Some(to));
+        let (zones, cells) = (restricts(Group::Zone) || set.cross_zone_price > 0.0, restricts(Group::Cell));
         let kinds = set.operations.iter().any(|op| op.kind.is_some());
         let mut parts: BTreeMap<Subset, Vec<Tgt>> = BTreeMap::from([(Subset::All, rank.to_vec())]);
         for &i in rank {
@@ -199,7 +205,7 @@
         index
     }
 
-    /// Something has ended there: it began at once, or has a connection that is not in use.
+    /// Updates the index after a forward has ended at the executor.
     pub fn on_connection_freed(&mut self, t: &Executor) {
         if t.started_at_once {
             self.started_at_once.insert(t.entry.tgt);
@@ -209,14 +215,15 @@
         }
     }
 
-    /// Some that may be cold, or have begun at once, where the fleet is `blind`; with an idle connection if `idle`.
-    pub fn preferred_executors(&self, chance: &mut Chance, blind: bool, idle: bool) -> Vec<Tgt> {
-        let mut some = Vec::new();
-        let lists = [(blind, &self.cold), (blind, &self.started_at_once), (idle, &self.idle)];
-        lists.iter().filter(|list| list.0).for_each(|list| list.1.sample_into(chance, &mut some));
-        some.sort_unstable();
-        some.dedup();
-        some
+    /// Executors to prefer: without load reports, those that may be cold or started the last forward at once;
+    /// with `reuse_only`, those that may have an idle connection.
+    pub fn preferred_executors(&self, chance: &mut Chance, no_reports: bool, reuse_only: bool) -> Vec<Tgt> {
+        let mut found = Vec::new();
+        let lists = [(no_reports, &self.cold), (no_reports, &self.started_at_once), (reuse_only, &self.idle)];
+        lists.iter().filter(|list| list.0).for_each(|list| list.1.sample_into(chance, &mut found));
+        found.sort_unstable();
+        found.dedup();
+        found
     }
 }
 
--- a/src/write_limit.rs
+++ b/src/write_limit.rs
@@ -1,14 +1,14 @@
-//! Write limit: until when a forward that has been decided on may be written. Its connection may come up late, and what it was decided
-//! by may no longer hold then.
+//! Write limit: until when a forward may be written after the decision to send it. Its connection may come up
+//! late, when the basis of the decision no longer holds.
 use crate::node::Node;
 use crate::types::{Effect, InvId};
 
-/// Off the end of the window for repeats, in seconds: several times the way to an executor.
+/// Margin before the end of the deduplication window, in seconds: several times the delay to an executor.
 pub const WINDOW_MARGIN: f64 = 0.1;
 
 impl Node {
-    /// Until when the newest forward of an invocation may be written: a repeat within the window of the first that may have run,
-    /// and whatever goes by a list that expires before others are told of its changes.
+    /// Until when the newest forward of an invocation may be written: a repeat within the deduplication
+    /// window of the first forward that may have run, and any forward before its list of executors expires.
     pub fn write_until(&self, id: InvId) -> f64 {
         let by_list = self.list_state.written_until();
         let Some(inv) = self.invocations.get(&id) else { return by_list };
