--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -939,12 +939,12 @@
     node.invocations.entry(ID).and_modify(|inv| inv.load = load);
     let mut out = Vec::new();
     node.handle(2.0, Input::Leaving(5.0), &mut out);
-    let told = out.iter().find_map(|o| match o {
+    let paused = out.iter().find_map(|o| match o {
         Output::Throttle { pause, .. } => Some(*pause == 0.0),
         Output::Error { .. } => Some(false),
         _ => None,
     });
-    assert_eq!(told, throttled, "{out:?}");
+    assert_eq!(paused, throttled, "{out:?}");
     assert_eq!(out.iter().any(|o| matches!(o, Output::Forward { .. })), throttled.is_none(), "{out:?}");
 }
 
@@ -991,8 +991,8 @@
     node.invocations.entry(ID).and_modify(set);
     let mut out = Vec::new();
     node.transition(1.0, ID, InvEvent::GaveUp, &mut out);
-    let told = |pause: f64| (0.5 * most..=most).contains(&pause);
-    assert!(matches!(out[..], [Output::Throttle { pause, .. }] if told(pause)), "{out:?}");
+    let is_expected = |pause: f64| (0.5 * most..=most).contains(&pause);
+    assert!(matches!(out[..], [Output::Throttle { pause, .. }] if is_expected(pause)), "{out:?}");
 }
 
 #[test_case(2.0, false; "given back while there is time elsewhere")]
--- a/src/types.rs
+++ b/src/types.rs
@@ -142,12 +142,12 @@
         self.budget.map_or(0.0, |budget| 2.0 * budget.span)
     }
 
-    /// The time until this node's turn to call for the list. All nodes compute the same round: `call` seconds
-    /// per other node, within the bounds `least` and `most`, and short enough that no node counts as informed
-    /// before its call.
-    pub fn time_to_turn(&self, now: f64, call: f64, least: f64, most: f64) -> f64 {
+    /// The time until this node's turn to call for the list. All nodes compute the same round:
+    /// `call_interval` seconds per other node, within the bounds `least` and `most`, and short enough that no
+    /// node counts as informed before its call.
+    pub fn time_to_turn(&self, now: f64, call_interval: f64, least: f64, most: f64) -> f64 {
         let latest = self.ask_within.map_or(most, |within| most.min(0.9 * within));
-        let round = (call * self.nodes.saturating_sub(1) as f64).min(latest).max(least);
+        let round = (call_interval * self.nodes.saturating_sub(1) as f64).min(latest).max(least);
         let turn = self.me as f64 / self.nodes.max(1) as f64 * round;
         if round > 0.0 {
             (turn - now).rem_euclid(round)
@@ -457,6 +457,7 @@
         self.expected_at_once && self.state == ForwardState::InFlight && self.wait.is_none()
     }
 
+    /// The kind of connection it was sent over: `REUSED` or `NEW`.
     pub fn connection_kind(&self) -> usize {
         if self.reused_connection {
             REUSED
@@ -481,7 +482,7 @@
     }
 }
 
-/// An invocation that has no final answer yet.
+/// An invocation, kept until it is answered and none of its forwards is in flight.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Inv {
     pub op: usize,
@@ -569,15 +570,15 @@
         (1.0 + self.successes) / (2.0 + self.successes + self.failures)
     }
 
-    /// Adds a success, capped at `most`. With `blamed`, also retracts a failure that was recorded too early.
-    pub fn add_success(&mut self, now: f64, most: f64, blamed: bool) {
-        (self.successes, self.last_success) = ((self.successes + 1.0).min(most), now);
-        self.retract_failure(blamed);
+    /// Adds a success, up to `cap`. With `retract`, also retracts a failure that was recorded too early.
+    pub fn add_success(&mut self, now: f64, cap: f64, retract: bool) {
+        (self.successes, self.last_success) = ((self.successes + 1.0).min(cap), now);
+        self.retract_failure(retract);
     }
 
-    /// Retracts a failure that was recorded too early, if `blamed`.
-    pub fn retract_failure(&mut self, blamed: bool) {
-        self.failures = (self.failures - f64::from(u8::from(blamed))).max(0.0);
+    /// Retracts a failure that was recorded too early, if `retract`.
+    pub fn retract_failure(&mut self, retract: bool) {
+        self.failures = (self.failures - f64::from(u8::from(retract))).max(0.0);
     }
 }
 
@@ -620,7 +621,7 @@
     pub running: usize,
     /// It started the last forward at once.
     pub started_at_once: bool,
-    /// The counting node has to be told of `held` again.
+    /// `held` was announced to the counting node and has to be repeated, as messages may be lost.
     pub held_announced: bool,
     /// Slots granted to other nodes, and when the last was.
     pub promised_at: f64,
@@ -750,9 +751,9 @@
     }
 
     /// Clears the counts of nodes that have been silent for longer than `silent`.
-    pub fn forget_silent_peers(&mut self, now: f64, heard: &[f64], silent: f64) {
-        let others = self.peer_held.iter_mut().zip(heard);
-        others.filter(|o| now - o.1 > silent).for_each(|(count, _)| *count = 0);
+    pub fn forget_silent_peers(&mut self, now: f64, last_heard: &[f64], silent: f64) {
+        let counts = self.peer_held.iter_mut().zip(last_heard);
+        counts.filter(|o| now - o.1 > silent).for_each(|(count, _)| *count = 0);
     }
 
     /// Sets the number of forwards that another node holds there.
@@ -797,21 +798,21 @@
 }
 
 impl TrafficStats {
-    /// Updates the rate over the time `passed`; `new` is the smoothing weight.
-    pub fn smooth_rate(&mut self, passed: f64, new: f64) {
-        self.rate += new * (std::mem::take(&mut self.arrived) / passed - self.rate);
+    /// Updates the rate over the time `elapsed`; `weight` is the smoothing weight.
+    pub fn smooth_rate(&mut self, elapsed: f64, weight: f64) {
+        self.rate += weight * (std::mem::take(&mut self.arrived) / elapsed - self.rate);
     }
 
-    /// Adds a client timeout, as a fraction of the longest, with weight `new`, and returns the mean.
-    pub fn observe_timeout(&mut self, op: usize, part: f64, new: f64) -> f64 {
+    /// Adds a client timeout, as a fraction of the longest, with the given weight, and returns the mean.
+    pub fn observe_timeout(&mut self, op: usize, fraction: f64, weight: f64) -> f64 {
         self.timeout_fractions.resize(self.timeout_fractions.len().max(op + 1), 1.0);
-        self.timeout_fractions[op] += new * (part - self.timeout_fractions[op]);
+        self.timeout_fractions[op] += weight * (fraction - self.timeout_fractions[op]);
         self.timeout_fractions[op]
     }
 
-    /// Adds an outcome, in time or not, with weight `new`.
-    pub fn observe_outcome(&mut self, in_time: bool, new: f64) {
-        self.in_time_fraction += new * (f64::from(u8::from(in_time)) - self.in_time_fraction);
+    /// Adds an outcome, in time or not, with the given weight.
+    pub fn observe_outcome(&mut self, in_time: bool, weight: f64) {
+        self.in_time_fraction += weight * (f64::from(u8::from(in_time)) - self.in_time_fraction);
     }
 }
 
@@ -820,10 +821,10 @@
 pub struct EventTimes(pub VecDeque<f64>);
 
 impl EventTimes {
-    /// Records an event now if `so`, and drops those older than `kept`.
-    pub fn record_if(&mut self, so: bool, now: f64, kept: f64) {
-        self.0.extend(so.then_some(now));
-        while self.0.front().is_some_and(|&at| at < now - kept) {
+    /// Records an event now if `condition` holds, and drops those older than `retention`.
+    pub fn record_if(&mut self, condition: bool, now: f64, retention: f64) {
+        self.0.extend(condition.then_some(now));
+        while self.0.front().is_some_and(|&at| at < now - retention) {
             self.0.pop_front();
         }
     }
@@ -854,8 +855,8 @@
 }
 
 /// Restricts the pool to those that match, if the condition holds and any do.
-pub fn prefer(pool: &mut Vec<Tgt>, when: bool, those: impl Fn(&Tgt) -> bool) {
-    if when && pool.iter().any(&those) {
-        pool.retain(those);
+pub fn prefer(pool: &mut Vec<Tgt>, condition: bool, matches: impl Fn(&Tgt) -> bool) {
+    if condition && pool.iter().any(&matches) {
+        pool.retain(matches);
     }
 }
