--- a/src/list_calls/tests.rs
+++ b/src/list_calls/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the rounds in which discovery is called.
+//! Tests of the schedule of calls to discovery.
 use test_case::test_case;
 
 use super::*;
@@ -13,12 +13,13 @@
     Settings { me, nodes, must_ask: true, ..Settings::default() }
 }
 
-/// The longest wait of any of so many nodes, before each of the calls that follow as many failures.
+/// The longest wait of any node before each call: the first one if a list was kept, and one after each
+/// failure.
 fn longest(nodes: usize, state: ListState, kept: Option<KeptAge>, failures: usize) -> Vec<f64> {
     let waits = |me| {
         let (set, mut calls) = (settings(me, nodes), ListCalls::default());
         let first = kept.map(|age| calls.first(NOW, ListState::kept(NOW, age, false), true, &set));
-        let again = (0..failures).map(|_| calls.again(NOW, state, Loss::Waited, 0.25, &set));
+        let again = (0..failures).map(|_| calls.next(NOW, state, Loss::Waited, 0.25, &set));
         first.into_iter().chain(again).collect::<Vec<f64>>()
     };
     let all: Vec<Vec<f64>> = (0..nodes).map(waits).collect();
@@ -26,30 +27,34 @@
     (0..all[0].len()).map(most).collect()
 }
 
-// Rounds of hundreds of nodes. While a node sends by its list, it has to hear in time of the end of an outage; one that does not
-// can wait longer each time, so that a service that works off refused calls too gets through with all.
+// Rounds of hundreds of nodes. While a node sends by its list, it has to notice the end of an outage in time.
+// A node that does not send can wait longer each time, so that a service that also spends time on refused
+// calls serves all nodes.
 #[test_case(UNCONFIRMED, Some(KeptAge::Unknown), &[6.0, 9.0, 13.5, 18.0, 18.0]; "a list from before the start")]
-#[test_case(SILENT, Some(KeptAge::Current), &[4.5, 2.0, 4.0, 8.0]; "one that was handed over, and silence")]
+#[test_case(SILENT, Some(KeptAge::Current), &[4.5, 2.0, 4.0, 8.0]; "a list that was handed over, then silence")]
 #[test_case(SILENT, None, &[2.0, 2.0, 4.0, 8.0, 16.0, 18.0, 18.0]; "a watch that fell silent")]
 #[test_case(OUTAGE, None, &[4.5, 4.5, 4.5, 4.5, 9.0, 18.0, 18.0]; "an outage")]
 fn rounds_grow_while_calls_fail(state: ListState, kept: Option<KeptAge>, rounds: &[f64]) {
     let waits = longest(300, state, kept, rounds.len() - usize::from(kept.is_some()));
     for (at, (wait, round)) in waits.iter().zip(rounds).enumerate() {
-        assert!(*wait <= *round && *wait > 0.95 * round, "{waits:?}, the {at}th should be of {round} s");
+        assert!(
+            *wait <= *round && *wait > 0.95 * round,
+            "{waits:?}, wait {at} should be in a round of {round} s"
+        );
     }
 }
 
-// A call that hangs, or is broken off, tells of no crowd.
-#[test_case(Loss::Closed, 2.0; "nobody is there")]
-#[test_case(Loss::Missed(3.25), 2.0; "it hangs")]
-#[test_case(Loss::Missed(0.01), 2.0; "its answer is broken off")]
-#[test_case(Loss::Refused, 9.0; "it is refused as it comes")]
-#[test_case(Loss::Waited, 9.0; "it waits and is refused")]
+// A call that hangs or is aborted is no sign of too many callers.
+#[test_case(Loss::Closed, 2.0; "discovery is down")]
+#[test_case(Loss::Missed(3.25), 2.0; "the call hangs")]
+#[test_case(Loss::Missed(0.01), 2.0; "the answer is aborted")]
+#[test_case(Loss::Refused, 9.0; "the call is refused on arrival")]
+#[test_case(Loss::Waited, 9.0; "the call waits and is refused")]
 fn only_refusals_make_the_first_rounds_longer(loss: Loss, round: f64) {
     let wait = |me| {
         let (set, mut calls) = (settings(me, 300), ListCalls::default());
         calls.first(NOW, UNCONFIRMED, true, &set);
-        calls.again(NOW, UNCONFIRMED, loss, 0.25, &set)
+        calls.next(NOW, UNCONFIRMED, loss, 0.25, &set)
     };
     let longest = (0..300).map(wait).fold(0.0, f64::max);
     assert!(longest <= round && longest > 0.95 * round, "{longest}");
@@ -63,13 +68,13 @@
 }
 
 #[test]
-fn a_call_is_due_until_the_list_is_followed() {
+fn a_call_is_scheduled_until_the_list_is_followed() {
     let (set, mut calls) = (settings(200, 300), ListCalls::default());
-    assert!(!calls.wanted() && !calls.is_after(NOW));
+    assert!(!calls.is_scheduled() && !calls.is_after(NOW));
     let wait = calls.first(NOW, UNCONFIRMED, true, &set);
-    assert!(calls.wanted() && calls.is_after(NOW + wait - 0.01) && !calls.is_after(NOW + wait + 0.01));
-    let again = calls.again(NOW + 7.0, UNCONFIRMED, Loss::Refused, 0.25, &set);
+    assert!(calls.is_scheduled() && calls.is_after(NOW + wait - 0.01) && !calls.is_after(NOW + wait + 0.01));
+    let again = calls.next(NOW + 7.0, UNCONFIRMED, Loss::Refused, 0.25, &set);
     assert!(calls.is_after(NOW + 7.0 + again - 0.01) && !calls.is_after(NOW + 7.0 + again + 0.01));
     calls.followed();
-    assert!(!calls.wanted() && !calls.is_after(NOW));
+    assert!(!calls.is_scheduled() && !calls.is_after(NOW));
 }
--- a/src/parcel.rs
+++ b/src/parcel.rs
@@ -1,45 +1,48 @@
-//! Parcels: an invocation leaves one process of a node and goes on in another one, as it stands. No decision.
+//! Transfer of an invocation, with its state, from one process of a node to another. This module makes no
+//! decisions.
 use crate::node::Node;
-use crate::types::{Executor, Inv, InvId, Life, Operation};
+use crate::types::{Executor, Inv, InvId, InvState, Operation};
 
 impl Node {
-    /// Takes the invocation out, with no answer and no word to executors: what it holds at them goes with it.
+    /// Removes the invocation without an answer or a message to executors; its forwards stay in flight and go
+    /// with it.
     pub fn part_with(&mut self, id: InvId) -> Option<Inv> {
-        if self.invs.get(&id).is_none_or(|inv| inv.life == Life::Ended) {
+        if self.invocations.get(&id).is_none_or(|inv| inv.state == InvState::Ended) {
             return None;
         }
-        let mut inv = self.invs.remove(&id)?;
+        let mut inv = self.invocations.remove(&id)?;
         self.waiting.retain(|&other| other != id);
-        for forward in inv.still_out().map(|at| &inv.forwards[at]) {
-            let t = &mut self.tgts[forward.tgt];
+        for forward in inv.in_flight().map(|at| &inv.forwards[at]) {
+            let t = &mut self.executors[forward.tgt];
             t.held = t.held.saturating_sub(1);
             t.memory = if t.held == 0 { 0.0 } else { (t.memory - inv.memory).max(0.0) };
             t.running = t.running.saturating_sub(usize::from(forward.wait.is_some()));
         }
-        inv.sample.clear();
+        inv.candidates.clear();
         Some(inv)
     }
 
-    /// Goes on with it; its operation and executors are numbered as here.
+    /// Continues the invocation; its operation and executors are indexed as at this node.
     pub fn take_in(&mut self, id: InvId, inv: Inv) {
-        for forward in inv.still_out().map(|at| &inv.forwards[at]) {
-            self.tgts.extend((self.tgts.len()..=forward.tgt).map(Executor::unheard));
-            let t = &mut self.tgts[forward.tgt];
+        for forward in inv.in_flight().map(|at| &inv.forwards[at]) {
+            self.executors.extend((self.executors.len()..=forward.tgt).map(Executor::unlisted));
+            let t = &mut self.executors[forward.tgt];
             (t.held, t.memory) = (t.held + 1, t.memory + inv.memory);
             t.running += usize::from(forward.wait.is_some());
         }
-        if matches!(inv.life, Life::Waiting | Life::Suspect) {
-            let presses = |other: &InvId| self.invs.get(other).is_some_and(|o| o.press >= inv.press);
-            let at = self.waiting.partition_point(presses);
+        if matches!(inv.state, InvState::Waiting | InvState::Uncertain) {
+            let goes_before =
+                |other: &InvId| self.invocations.get(other).is_some_and(|o| o.priority >= inv.priority);
+            let at = self.waiting.partition_point(goes_before);
             self.waiting.insert(at, id);
         }
-        self.unsure.extend(inv.forwards.last().filter(|f| f.hangs()).map(|_| id));
-        self.invs.insert(id, inv);
+        self.awaiting_start.extend(inv.forwards.last().filter(|f| f.is_start_missing()).map(|_| id));
+        self.invocations.insert(id, inv);
     }
 
-    /// The operations' entries, which have grown; no earlier one has changed.
+    /// Extends the operations; earlier entries must be unchanged.
     pub fn extend(&mut self, operations: Vec<Operation>) {
-        self.classes.resize_with(self.classes.len().max(operations.len()), Default::default);
-        self.set.operations = operations;
+        self.operation_stats.resize_with(self.operation_stats.len().max(operations.len()), Default::default);
+        self.settings.operations = operations;
     }
 }
