--- a/crates/coveroute-node/examples/system_call_faults.rs
+++ b/crates/coveroute-node/examples/system_call_faults.rs
@@ -1,5 +1,5 @@
-//! A library that is loaded into a node's process by `LD_PRELOAD` and makes its system calls fail as Linux documents, by a table that the
-//! test shares with it. Built with the tests; it is no part of the node.
+//! Library for `LD_PRELOAD` that makes a node's system calls fail in ways that Linux documents, as set in a table shared with the
+//! test. Built with the tests; not part of the node.
 use std::collections::HashMap;
 use std::ffi::c_void;
 use std::sync::atomic::Ordering::Relaxed;
@@ -13,8 +13,8 @@
 mod fault_table;
 use fault_table::{Call, Rule, Table, ALWAYS, TABLE_FILE};
 
-/// How often what the kernel is to tell again is looked through.
-const REARM_EVERY: Duration = Duration::from_millis(2);
+/// Polling interval for descriptors that are due to be rearmed.
+const REARM_INTERVAL: Duration = Duration::from_millis(2);
 
 fn table() -> Option<&'static Table> {
     static TABLE: OnceLock<Option<&'static Table>> = OnceLock::new();
@@ -25,48 +25,48 @@
     *TABLE.get_or_init(map)
 }
 
-/// The next function of this name, which is the C library's.
-fn next(name: &'static std::ffi::CStr) -> *mut c_void {
-    // SAFETY: a name that ends with a nought; the answer is only called as what it is.
+/// Returns the next function of this name, which is the C library's.
+fn libc_function(name: &'static std::ffi::CStr) -> *mut c_void {
+    // SAFETY: the name is NUL-terminated; the result is only called as a function of its real type.
     unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) }
 }
 
 macro_rules! real {
     ($name:literal, $type:ty) => {{
         static REAL: OnceLock<usize> = OnceLock::new();
-        let at = *REAL.get_or_init(|| next($name) as usize);
+        let at = *REAL.get_or_init(|| libc_function($name) as usize);
         // SAFETY: the C library's function of this name has this type.
         unsafe { std::mem::transmute::<usize, $type>(at) }
     }};
 }
 
-/// Whether a rule strikes now, by a generator that all threads share.
-fn strikes(rule: &Rule) -> bool {
+/// Draws whether the rule applies to this call, from a generator shared by all threads.
+fn applies(rule: &Rule) -> bool {
     static STATE: Mutex<u64> = Mutex::new(0x9e37_79b9_7f4a_7c15);
-    let chance = rule.chance.load(Relaxed);
-    if chance == 0 {
+    let per_mille = rule.per_mille.load(Relaxed);
+    if per_mille == 0 {
         return false;
     }
     let Ok(mut state) = STATE.lock() else { return false };
     *state ^= *state << 13;
     *state ^= *state >> 7;
     *state ^= *state << 17;
-    let struck = (*state % u64::from(ALWAYS)) < u64::from(chance);
-    rule.struck.fetch_add(u64::from(struck), Relaxed);
-    struck
+    let applies = (*state % u64::from(ALWAYS)) < u64::from(per_mille);
+    rule.hits.fetch_add(u64::from(applies), Relaxed);
+    applies
 }
 
 fn rule(call: Call) -> Option<&'static Rule> {
-    table().map(|table| table.rule(call)).filter(|rule| strikes(rule))
+    table().map(|table| table.rule(call)).filter(|rule| applies(rule))
 }
 
-fn fail(errno: u32) -> c_int {
-    // SAFETY: the calling thread's own error number.
+fn set_errno(errno: u32) -> c_int {
+    // SAFETY: points to the calling thread's errno.
     unsafe { *libc::__errno_location() = errno as c_int };
     -1
 }
 
-/// Sleeps if the rule says so; what the call fails with, if it does.
+/// Applies the rule's delay, and returns the error number if the call is to fail.
 fn failure(rule: &Rule) -> Option<u32> {
     let delay = rule.delay_ms.load(Relaxed);
     if delay > 0 {
@@ -75,34 +75,34 @@
     Some(rule.errno.load(Relaxed)).filter(|errno| *errno != 0)
 }
 
-/// Whether a connection is a client's, by the port on this side; none where it is no connection over IPv4.
+/// Whether a connection is a client's, by its local port; none if it is not an IPv4 connection.
 fn is_clients(fd: c_int) -> Option<bool> {
     let mut name: libc::sockaddr_in = unsafe { std::mem::zeroed() };
     let mut size = std::mem::size_of_val(&name) as socklen_t;
-    // SAFETY: writes at most `size` bytes of the record.
-    let told = unsafe { libc::getsockname(fd, (&raw mut name).cast(), &mut size) };
-    if told != 0 || c_int::from(name.sin_family) != libc::AF_INET {
+    // SAFETY: writes at most `size` bytes of the structure.
+    let result = unsafe { libc::getsockname(fd, (&raw mut name).cast(), &mut size) };
+    if result != 0 || c_int::from(name.sin_family) != libc::AF_INET {
         return None;
     }
     Some(u32::from(u16::from_be(name.sin_port)) == table()?.clients_port.load(Relaxed))
 }
 
-fn moving(fd: c_int, from_clients: Call, from_servers: Call) -> Option<&'static Rule> {
+fn transfer_rule(fd: c_int, from_clients: Call, from_servers: Call) -> Option<&'static Rule> {
     let either = [from_clients, from_servers];
     let any =
-        either.iter().any(|call| table().is_some_and(|table| table.rule(*call).chance.load(Relaxed) > 0));
+        either.iter().any(|call| table().is_some_and(|table| table.rule(*call).per_mille.load(Relaxed) > 0));
     if !any {
         return None;
     }
     rule(if is_clients(fd)? { from_clients } else { from_servers })
 }
 
-/// What is watched on a descriptor: by which set, and for what.
-type Watched = HashMap<c_int, (c_int, epoll_event)>;
+/// For each descriptor, the epoll set and the event that it is registered with.
+type Registrations = HashMap<c_int, (c_int, epoll_event)>;
 
-fn watched() -> &'static Mutex<Watched> {
-    static WATCHED: OnceLock<Mutex<Watched>> = OnceLock::new();
-    WATCHED.get_or_init(Mutex::default)
+fn registrations() -> &'static Mutex<Registrations> {
+    static REGISTRATIONS: OnceLock<Mutex<Registrations>> = OnceLock::new();
+    REGISTRATIONS.get_or_init(Mutex::default)
 }
 
 fn pending() -> &'static Mutex<Vec<(c_int, Instant)>> {
@@ -110,22 +110,23 @@
     PENDING.get_or_init(Mutex::default)
 }
 
-/// Lets the kernel tell later that the descriptor is ready: as it does where its room was used up for a moment.
-fn tell_again(fd: c_int, rule: &Rule) {
+/// Rearms the descriptor later, so that the kernel signals readiness again, as it does after its buffer was full for a moment.
+fn rearm_later(fd: c_int, rule: &Rule) {
     static STARTED: Once = Once::new();
-    STARTED.call_once(|| drop(thread::spawn(tell_what_is_due)));
+    STARTED.call_once(|| drop(thread::spawn(rearm_due)));
     let due = Instant::now() + Duration::from_millis(u64::from(rule.rearm_ms.load(Relaxed)));
     if let Ok(mut pending) = pending().lock() {
-        // Once each: a set that is told twice would read twice, and so ask for four.
+        // Queues a descriptor only once: each rearm leads to a read, and each read could queue another one, so duplicates would
+        // multiply.
         if pending.iter().all(|one| one.0 != fd) {
             pending.push((fd, due));
         }
     }
 }
 
-fn tell_what_is_due() {
+fn rearm_due() {
     loop {
-        thread::sleep(REARM_EVERY);
+        thread::sleep(REARM_INTERVAL);
         let now = Instant::now();
         let due: Vec<c_int> = match pending().lock() {
             Ok(mut pending) => {
@@ -136,10 +137,10 @@
             Err(_) => return,
         };
         for fd in due {
-            let Ok(watched) = watched().lock() else { return };
-            if let Some((set, event)) = watched.get(&fd) {
+            let Ok(registrations) = registrations().lock() else { return };
+            if let Some((set, event)) = registrations.get(&fd) {
                 let mut event = *event;
-                // SAFETY: a set and a descriptor of this process; one that was closed meanwhile is told as an error.
+                // SAFETY: an epoll set and a descriptor of this process; if one was closed meanwhile, the call returns an error.
                 unsafe { real_epoll_ctl(*set, libc::EPOLL_CTL_MOD, fd, &mut event) };
             }
         }
@@ -153,11 +154,11 @@
 
 #[no_mangle]
 unsafe extern "C" fn epoll_ctl(set: c_int, change: c_int, fd: c_int, event: *mut epoll_event) -> c_int {
-    if let Ok(mut watched) = watched().lock() {
+    if let Ok(mut registrations) = registrations().lock() {
         match change {
-            libc::EPOLL_CTL_DEL => drop(watched.remove(&fd)),
+            libc::EPOLL_CTL_DEL => drop(registrations.remove(&fd)),
             _ if event.is_null() => {}
-            _ => drop(watched.insert(fd, (set, unsafe { *event }))),
+            _ => drop(registrations.insert(fd, (set, unsafe { *event }))),
         }
     }
     unsafe { real_epoll_ctl(set, change, fd, event) }
@@ -166,7 +167,7 @@
 #[no_mangle]
 unsafe extern "C" fn accept4(fd: c_int, addr: *mut sockaddr, size: *mut socklen_t, flags: c_int) -> c_int {
     if let Some(errno) = rule(Call::Accept).and_then(failure) {
-        return fail(errno);
+        return set_errno(errno);
     }
     let real = real!(c"accept4", unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
     unsafe { real(fd, addr, size, flags) }
@@ -176,7 +177,7 @@
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET {
         if let Some(errno) = rule(Call::Socket).and_then(failure) {
-            return fail(errno);
+            return set_errno(errno);
         }
     }
     let real = real!(c"socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
@@ -187,50 +188,50 @@
 unsafe extern "C" fn connect(fd: c_int, addr: *const sockaddr, size: socklen_t) -> c_int {
     if is_clients(fd).is_some() {
         if let Some(errno) = rule(Call::Connect).and_then(failure) {
-            return fail(errno);
+            return set_errno(errno);
         }
     }
     let real = real!(c"connect", unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
     unsafe { real(fd, addr, size) }
 }
 
-/// Goes by the rule: fails, or moves as many bytes as it allows; the rest is told of later.
-fn moved(fd: c_int, rule: Option<&Rule>, len: size_t, real: impl FnOnce(size_t) -> ssize_t) -> ssize_t {
+/// Applies the rule to a transfer: fails it, or limits its bytes and rearms the descriptor for the rest.
+fn transfer(fd: c_int, rule: Option<&Rule>, len: size_t, real: impl FnOnce(size_t) -> ssize_t) -> ssize_t {
     let Some(rule) = rule else { return real(len) };
     if let Some(errno) = failure(rule) {
         if errno == libc::EAGAIN as u32 {
-            tell_again(fd, rule);
+            rearm_later(fd, rule);
         }
-        return fail(errno) as ssize_t;
+        return set_errno(errno) as ssize_t;
     }
     let most = rule.most_bytes.load(Relaxed) as size_t;
     if most == 0 || most >= len {
         return real(len);
     }
-    tell_again(fd, rule);
+    rearm_later(fd, rule);
     real(most)
 }
 
 #[no_mangle]
 unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, len: size_t, flags: c_int) -> ssize_t {
     let real = real!(c"recv", unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
-    let rule = moving(fd, Call::ReceiveFromClient, Call::ReceiveFromServer);
-    moved(fd, rule, len, |len| unsafe { real(fd, buffer, len, flags) })
+    let rule = transfer_rule(fd, Call::ReceiveFromClient, Call::ReceiveFromServer);
+    transfer(fd, rule, len, |len| unsafe { real(fd, buffer, len, flags) })
 }
 
 #[no_mangle]
 unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, len: size_t, flags: c_int) -> ssize_t {
     let real = real!(c"send", unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
-    let rule = moving(fd, Call::SendToClient, Call::SendToServer);
-    moved(fd, rule, len, |len| unsafe { real(fd, buffer, len, flags) })
+    let rule = transfer_rule(fd, Call::SendToClient, Call::SendToServer);
+    transfer(fd, rule, len, |len| unsafe { real(fd, buffer, len, flags) })
 }
 
 #[no_mangle]
 unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, many: c_int) -> ssize_t {
     let real = real!(c"writev", unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t);
-    let rule = moving(fd, Call::SendToClient, Call::SendToServer);
+    let rule = transfer_rule(fd, Call::SendToClient, Call::SendToServer);
     match rule.and_then(failure) {
-        Some(errno) => fail(errno) as ssize_t,
+        Some(errno) => set_errno(errno) as ssize_t,
         None => unsafe { real(fd, parts, many) },
     }
 }
@@ -244,7 +245,7 @@
     };
     let Some(rule) = rule else { return unsafe { real(fd, buffer, len) } };
     if let Some(errno) = failure(rule) {
-        return fail(errno) as ssize_t;
+        return set_errno(errno) as ssize_t;
     }
     let most = rule.most_bytes.load(Relaxed) as size_t;
     unsafe { real(fd, buffer, if most == 0 { len } else { len.min(most) }) }
@@ -260,7 +261,7 @@
 ) -> c_int {
     if (level, name) == (libc::IPPROTO_TCP, libc::TCP_INFO) {
         if let Some(errno) = rule(Call::ConnectionInfo).and_then(failure) {
-            return fail(errno);
+            return set_errno(errno);
         }
     }
     type Getsockopt = unsafe extern "C" fn(c_int, c_int, c_int, *mut c_void, *mut socklen_t) -> c_int;
@@ -271,11 +272,11 @@
 #[no_mangle]
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     let real = real!(c"clock_gettime", unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
-    let told = unsafe { real(clock, time) };
-    if clock == libc::CLOCK_REALTIME && told == 0 {
-        // Not before the table can be mapped: that itself reads no clock.
+    let result = unsafe { real(clock, time) };
+    if clock == libc::CLOCK_REALTIME && result == 0 {
+        // Mapping the table reads no clock, so this does not recurse.
         let step = table().map_or(0, |table| table.clock_step.load(Relaxed));
         unsafe { (*time).tv_sec += step };
     }
-    told
+    result
 }
--- a/crates/coveroute-node/tests/crowds/descriptors.rs
+++ b/crates/coveroute-node/tests/crowds/descriptors.rs
@@ -1,4 +1,4 @@
-//! Idle clients hold all of a node's connections: real processes under a real limit of descriptors.
+//! Idle clients hold all of a node's connections: real processes under a real file descriptor limit.
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -9,17 +9,19 @@
 use coveroute_emu::loopback::taken_by;
 use test_case::test_case;
 
-use crate::stand_in::{executor, free, get, job, status, until, Bound, Discovery, Process, Seat};
+use crate::harness::{
+    executor, free, get, job, status, until, Discovery, DiscoveryLimits, NodeOptions, Process,
+};
 
 const DESCRIPTORS: usize = 300;
-/// Of these, for clients: those that wait for an answer, and those beyond.
+/// Descriptors for client connections: a third of all for those that wait for a response, and a sixth for further ones.
 const CLIENTS: usize = DESCRIPTORS / 3 + DESCRIPTORS / 6;
-/// The operators want nine in ten ready by then.
+/// The operators' target: nine in ten nodes are ready by then.
 const READY: Duration = Duration::from_secs(10);
 const SOON: Duration = Duration::from_secs(1);
 
-/// Idle clients: every second asks for something, and having its answer keeps a connection for two minutes; the others
-/// say nothing. None waits: where the node can't accept they stand in its backlog.
+/// Opens idle connections. Every second one sends a request, whose response keeps the connection open for two minutes; the others
+/// send nothing. None waits for a response: where the node can't accept, they stay in its backlog.
 fn idle(node: SocketAddr, many: usize) -> Vec<TcpStream> {
     let one = |at| {
         let mut stream = TcpStream::connect_timeout(&node, SOON).ok()?;
@@ -31,7 +33,7 @@
     (0..many).filter_map(one).collect()
 }
 
-/// A client that keeps opening connections, and has an answer on each: so many are held, the oldest goes first.
+/// A client that keeps opening connections with a request on each. It holds at most `holds` and closes the oldest first.
 struct Filler {
     ends: Arc<AtomicBool>,
     opened: Arc<AtomicUsize>,
@@ -60,26 +62,26 @@
     }
 }
 
-struct World {
+struct Fixture {
     discovery: Discovery,
     process: Process,
 }
 
-impl World {
-    fn new(seat: Seat) -> Self {
+impl Fixture {
+    fn new(options: NodeOptions) -> Self {
         let node = free();
-        let discovery = Discovery::down(executor(node), Bound::NONE);
-        let process = Process::start(node, discovery.addr, seat);
+        let discovery = Discovery::stopped(executor(node), DiscoveryLimits::NONE);
+        let process = Process::start(node, discovery.addr, options);
         assert!(until(READY, || status(node, "/up") == Some(503)), "{}", process.log());
-        World { discovery, process }
+        Fixture { discovery, process }
     }
 
     fn held(&self) -> usize {
         taken_by(self.process.id()).most_descriptors
     }
 
-    /// Until it is ready, and has served calls through its executor.
-    fn serves(&self) {
+    /// Waits until the node is ready, and checks that it serves calls through its executor.
+    fn check_serves(&self) {
         let begun = Instant::now();
         assert!(until(READY, || self.process.is_ready()), "not ready: {}", self.process.log());
         println!("ready after {:.2} s, {} descriptors", begun.elapsed().as_secs_f64(), self.held());
@@ -87,7 +89,7 @@
     }
 }
 
-/// Twenty calls, one each 30 ms.
+/// Sends twenty calls, one each 30 ms.
 fn jobs(node: SocketAddr, millis: u64) -> Vec<JoinHandle<Option<(u16, String)>>> {
     let one = |at| {
         thread::sleep(Duration::from_millis(30));
@@ -105,52 +107,53 @@
     }
 }
 
-// Guards against clients that take the descriptors by which the list is fetched and executors are reached.
-#[test_case(false; "and stay")]
-#[test_case(true; "and one keeps filling")]
-fn idle_clients_hold_all_while_discovery_is_down(fills: bool) {
-    let world = World::new(Seat::of(DESCRIPTORS));
-    let _idle = idle(world.process.node, 2 * DESCRIPTORS);
-    let filler = fills.then(|| Filler::new(world.process.node, 2 * DESCRIPTORS));
-    assert!(until(READY, || world.held() >= CLIENTS * 3 / 4), "{} of {CLIENTS}", world.held());
-    world.discovery.comes_up();
-    world.serves();
-    assert!(world.held() < DESCRIPTORS);
+// Guards against clients that use up the descriptors needed to fetch the list and to reach executors.
+#[test_case(false; "no new connections")]
+#[test_case(true; "one client keeps opening connections")]
+fn node_serves_after_idle_clients_held_all_connections_while_discovery_was_down(refills: bool) {
+    let fixture = Fixture::new(NodeOptions::with_descriptors(DESCRIPTORS));
+    let _idle = idle(fixture.process.node, 2 * DESCRIPTORS);
+    let filler = refills.then(|| Filler::new(fixture.process.node, 2 * DESCRIPTORS));
+    assert!(until(READY, || fixture.held() >= CLIENTS * 3 / 4), "{} of {CLIENTS}", fixture.held());
+    fixture.discovery.start();
+    fixture.check_serves();
+    assert!(fixture.held() < DESCRIPTORS);
     filler.iter().for_each(|filler| println!("{} opened", filler.opened.load(Ordering::Relaxed)));
 }
 
-// What is taken is answered, and the process ends in time, with idle clients on all places and one that keeps coming.
+// With idle clients on all connections and one client that keeps opening more, accepted jobs are answered and the process exits
+// in time.
 #[test]
-fn a_stop_with_all_places_held_answers_what_is_taken() {
-    let mut world = World::new(Seat::of(DESCRIPTORS));
-    world.discovery.comes_up();
-    assert!(until(READY, || world.process.is_ready()), "{}", world.process.log());
-    let _idle = idle(world.process.node, 2 * DESCRIPTORS);
-    let _filler = Filler::new(world.process.node, 2 * DESCRIPTORS);
-    let jobs = jobs(world.process.node, 900);
-    world.process.stop();
-    let ended = world.process.ends_within(Duration::from_secs(4));
-    answered(jobs, &world.process);
+fn shutdown_with_all_connections_held_answers_accepted_jobs() {
+    let mut fixture = Fixture::new(NodeOptions::with_descriptors(DESCRIPTORS));
+    fixture.discovery.start();
+    assert!(until(READY, || fixture.process.is_ready()), "{}", fixture.process.log());
+    let _idle = idle(fixture.process.node, 2 * DESCRIPTORS);
+    let _filler = Filler::new(fixture.process.node, 2 * DESCRIPTORS);
+    let jobs = jobs(fixture.process.node, 900);
+    fixture.process.stop();
+    let ended = fixture.process.wait_for_exit(Duration::from_secs(4));
+    answered(jobs, &fixture.process);
     println!("ended after {ended:?}");
-    assert!(ended.is_some(), "{}", world.process.log());
+    assert!(ended.is_some(), "{}", fixture.process.log());
 }
 
-/// A core's part that a node may spend where it can't accept.
-const SPENT: f64 = 0.2;
+/// Fraction of a core that a node may use while it can't accept.
+const MAX_CPU: f64 = 0.2;
 
-// Descriptors run out below the bound: the machine gives fewer than the configuration says, or other files hold some.
-// Guards against an accept that fails for as long as idle clients stay, and against a core spent on trying.
-#[test_case(Seat { given: 100, ..Seat::of(DESCRIPTORS) }; "the machine gives fewer")]
-#[test_case(Seat { taken: 200, ..Seat::of(DESCRIPTORS) }; "other files hold most")]
-fn descriptors_run_out_below_the_bound(seat: Seat) {
-    let world = World::new(seat);
-    let _idle = idle(world.process.node, 2 * DESCRIPTORS);
+// Descriptors run out below the configured number: the process limit is lower, or other files hold some. Guards against an accept
+// that fails for as long as idle clients stay, and against a busy loop that retries it.
+#[test_case(NodeOptions { descriptor_limit: 100, ..NodeOptions::with_descriptors(DESCRIPTORS) }; "the process limit is lower")]
+#[test_case(NodeOptions { preopened_files: 200, ..NodeOptions::with_descriptors(DESCRIPTORS) }; "other files hold most")]
+fn descriptors_run_out_below_the_configured_number(options: NodeOptions) {
+    let fixture = Fixture::new(options);
+    let _idle = idle(fixture.process.node, 2 * DESCRIPTORS);
     thread::sleep(Duration::from_millis(500));
-    let (cpu, begun) = (taken_by(world.process.id()).cpu_seconds, Instant::now());
+    let (cpu, begun) = (taken_by(fixture.process.id()).cpu_seconds, Instant::now());
     thread::sleep(Duration::from_secs(2));
-    let spent = (taken_by(world.process.id()).cpu_seconds - cpu) / begun.elapsed().as_secs_f64();
-    println!("{spent:.3} of a core, {} descriptors", world.held());
-    assert!(spent < SPENT, "{spent} of a core: {}", world.process.log());
-    world.discovery.comes_up();
-    world.serves();
+    let spent = (taken_by(fixture.process.id()).cpu_seconds - cpu) / begun.elapsed().as_secs_f64();
+    println!("{spent:.3} of a core, {} descriptors", fixture.held());
+    assert!(spent < MAX_CPU, "{spent} of a core: {}", fixture.process.log());
+    fixture.discovery.start();
+    fixture.check_serves();
 }
--- a/crates/coveroute-node/tests/crowds/fault_table.rs
+++ b/crates/coveroute-node/tests/crowds/fault_table.rs
@@ -1,17 +1,17 @@
-//! Table of system-call faults, in memory that a test shares with the processes it starts: the test sets what fails, and the library
-//! that is loaded into a process (`examples/system_call_faults.rs`) reads it at each call.
+//! Table of system-call faults in memory shared between a test and the processes it starts. The test sets the faults, and the
+//! library preloaded into a process (`examples/system_call_faults.rs`) reads them at each call.
 use std::fs::OpenOptions;
 use std::os::fd::AsRawFd;
 use std::path::Path;
 use std::sync::atomic::{AtomicI64, AtomicU32, AtomicU64};
 
-/// The environment variable that names the table's file.
+/// Environment variable with the path of the table's file.
 pub const TABLE_FILE: &str = "COVEROUTE_FAULT_TABLE";
 pub const CALLS: usize = 9;
-/// A chance of one.
+/// Every call, in a thousand.
 pub const ALWAYS: u32 = 1000;
 
-/// Calls that can fail. Clients' connections are those that the node has accepted, servers' those that it has opened.
+/// Calls that can fail. Client connections are those that the node has accepted, server connections those that it has opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[repr(usize)]
 pub enum Call {
@@ -23,7 +23,7 @@
     ReceiveFromServer,
     SendToServer,
     WriteLog,
-    /// What the kernel tells of a connection.
+    /// `getsockopt` with `TCP_INFO`.
     ConnectionInfo,
 }
 
@@ -31,24 +31,24 @@
 #[repr(C)]
 #[derive(Default)]
 pub struct Rule {
-    /// In a thousand calls.
-    pub chance: AtomicU32,
-    /// What it fails with; 0 where it only moves fewer bytes, or is late.
+    /// Calls affected, in a thousand.
+    pub per_mille: AtomicU32,
+    /// Error number to fail with; 0 if the call only moves fewer bytes or is delayed.
     pub errno: AtomicU32,
-    /// The most bytes that it moves; 0 for no bound.
+    /// Maximum number of bytes that a call moves; 0 for no limit.
     pub most_bytes: AtomicU32,
-    /// So late it returns.
+    /// Delay of the call.
     pub delay_ms: AtomicU32,
-    /// After what did not move all bytes, the kernel tells so much later that more can be moved.
+    /// After a call that did not move all bytes, delay until the kernel signals readiness again.
     pub rearm_ms: AtomicU32,
-    /// How often it has struck.
-    pub struck: AtomicU64,
+    /// Number of calls that the rule was applied to.
+    pub hits: AtomicU64,
 }
 
 #[repr(C)]
 #[derive(Default)]
 pub struct Table {
-    /// Where clients connect: tells clients' connections from servers'.
+    /// Port that clients connect to; tells client connections from server connections.
     pub clients_port: AtomicU32,
     /// Added to the wall clock, in seconds.
     pub clock_step: AtomicI64,
@@ -56,19 +56,19 @@
 }
 
 impl Table {
-    /// The table in the file, which is made where there is none. It stays mapped until the process ends.
+    /// Maps the table from the file, which is created if missing. It stays mapped until the process ends.
     pub fn map(path: &Path) -> std::io::Result<&'static Table> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
         file.set_len(std::mem::size_of::<Table>() as u64)?;
         let (protection, size) = (libc::PROT_READ | libc::PROT_WRITE, std::mem::size_of::<Table>());
-        // SAFETY: a new shared mapping of a file that is as long; all fields are atomics, for which any bits are valid.
+        // SAFETY: a new shared mapping of a file of this length; all fields are atomics, for which any bits are valid.
         let at = unsafe {
             libc::mmap(std::ptr::null_mut(), size, protection, libc::MAP_SHARED, file.as_raw_fd(), 0)
         };
         if at == libc::MAP_FAILED {
             return Err(std::io::Error::last_os_error());
         }
-        // SAFETY: as above; nothing unmaps it.
+        // SAFETY: the mapping has the size of a table, as above, and is never unmapped.
         Ok(unsafe { &*at.cast::<Table>() })
     }
 
--- a/crates/coveroute-node/tests/crowds/stand_in.rs
+++ b/crates/coveroute-node/tests/crowds/harness.rs
@@ -1,5 +1,5 @@
-//! What a node of these tests talks to: a discovery with a bound on its work, an executor, clients; and the node itself,
-//! a real process of the program under a real limit of descriptors.
+//! Test harness: a discovery service of limited capacity, executors and clients, and the node itself as a real process under
+//! a real file descriptor limit.
 use std::io::{BufReader, Write};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -13,31 +13,31 @@
 mod message;
 pub use message::read_message;
 
-/// What a call may take before its test counts it as lost.
-const CALL_WITHIN: Duration = Duration::from_secs(10);
+/// A call without an answer after this time counts as lost.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A loopback host of this test's own, so that tests don't meet.
+/// Returns a loopback host that no other test uses.
 pub fn host() -> IpAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
-    const EACH: usize = 250; // Of one octet.
+    const PER_OCTET: usize = 250;
     let (at, own) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id() as usize);
-    let third = (own / 120 + at / EACH) % EACH;
-    [127, 122 + (own % 120) as u8, 1 + third as u8, 1 + (at % EACH) as u8].into()
+    let third = (own / 120 + at / PER_OCTET) % PER_OCTET;
+    [127, 122 + (own % 120) as u8, 1 + third as u8, 1 + (at % PER_OCTET) as u8].into()
 }
 
-/// An address that nobody listens at, and no client connects from: one that is tried before a node listens there could
-/// be given the very same port, and hold it.
+/// Returns an address with a fixed port outside the ephemeral range on an unused host. With an ephemeral port, a client that
+/// connects before the node listens could be assigned that same port as its source and block it.
 pub fn free() -> SocketAddr {
     (host(), 9000).into()
 }
 
-/// Writes a request on the connection; the answer's status and body.
+/// Writes a request on the connection and returns the response's status and body.
 pub fn ask(stream: &mut TcpStream, request: &str) -> Option<(u16, String)> {
-    ask_within(CALL_WITHIN, stream, request)
+    ask_within(CALL_TIMEOUT, stream, request)
 }
 
-fn ask_within(most: Duration, stream: &mut TcpStream, request: &str) -> Option<(u16, String)> {
-    stream.set_read_timeout(Some(most)).ok()?;
+fn ask_within(timeout: Duration, stream: &mut TcpStream, request: &str) -> Option<(u16, String)> {
+    stream.set_read_timeout(Some(timeout)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     let (head, body) = read_message(&mut BufReader::new(stream))?;
     Some((head[0].split(' ').nth(1)?.parse().ok()?, String::from_utf8_lossy(&body).into_owned()))
@@ -47,24 +47,24 @@
     format!("GET {path} HTTP/1.1\r\nHost: n\r\n\r\n")
 }
 
-/// The status of a call on a connection of its own.
+/// Sends a GET on a new connection and returns the response's status.
 pub fn status(addr: SocketAddr, path: &str) -> Option<u16> {
-    let mut stream = TcpStream::connect_timeout(&addr, CALL_WITHIN).ok()?;
+    let mut stream = TcpStream::connect_timeout(&addr, CALL_TIMEOUT).ok()?;
     ask(&mut stream, &get(path)).map(|answer| answer.0)
 }
 
-/// A client's job that runs for so long; its answer, in another thread. Who is told to come back does, as clients may:
-/// an executor that was heard of just now is cold.
+/// Sends a job that runs for `millis` from another thread, which returns the response. Retries on 503, as clients may: an
+/// executor that was discovered just now is cold.
 pub fn job(node: SocketAddr, id: &str, millis: u64) -> thread::JoinHandle<Option<(u16, String)>> {
     const TRIES: usize = 3;
-    const WITHIN: Duration = Duration::from_millis(2500); // What the client has told the node, and a busy machine's part.
+    const TIMEOUT: Duration = Duration::from_millis(2500); // The budget sent to the node, and a margin for a busy machine.
     let (id, body) = (id.to_owned(), millis.to_string());
     let call = move |again: usize| {
         let request = format!(
             "POST /look HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id}-{again}\r\nX-Budget-Ms: 2000\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        ask_within(WITHIN, &mut TcpStream::connect_timeout(&node, WITHIN).ok()?, &request)
+        ask_within(TIMEOUT, &mut TcpStream::connect_timeout(&node, TIMEOUT).ok()?, &request)
     };
     thread::spawn(move || {
         for again in 1..TRIES {
@@ -77,12 +77,12 @@
     })
 }
 
-/// An executor that runs each job for so long as its body says, in milliseconds, and tells `node` on a new connection.
+/// Starts an executor that runs each job for the milliseconds in its body and reports to `node` on a new connection.
 pub fn executor(node: SocketAddr) -> SocketAddr {
     Executor::start("s-0", move |_| node).addr
 }
 
-/// An executor with a name, which counts its jobs.
+/// An executor with an id that counts its jobs.
 #[derive(Clone)]
 pub struct Executor {
     id: &'static str,
@@ -91,7 +91,7 @@
 }
 
 impl Executor {
-    /// One that tells of each job, by its id, on a new connection to a node.
+    /// Starts an executor that reports each job on a new connection to the node that `node` returns for the job's id.
     pub fn start(id: &'static str, node: impl Fn(&str) -> SocketAddr + Clone + Send + 'static) -> Self {
         let listener = TcpListener::bind((host(), 0)).expect("a port");
         let addr = listener.local_addr().expect("an address");
@@ -106,12 +106,12 @@
         executor
     }
 
-    /// Jobs that have come so far.
+    /// Number of jobs received so far.
     pub fn jobs(&self) -> usize {
         self.jobs.load(Ordering::Relaxed)
     }
 
-    /// It as a list names it.
+    /// Its entry in a list.
     pub fn entry(&self, state: &str) -> String {
         format!("{{\"id\":\"{}\",\"addr\":\"{}\",\"state\":\"{state}\"}}", self.id, self.addr)
     }
@@ -123,7 +123,8 @@
             let is_job = head[0].starts_with("POST");
             let (status, text) = if is_job { ("202 Accepted", "") } else { ("200 OK", "{\"x0\":64}") };
             let answer = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-            let _ = answers.write_all(answer.as_bytes()); // In one piece: a second one would wait for the first.
+            // In one write: a second one would be delayed until the first is acknowledged (Nagle's algorithm).
+            let _ = answers.write_all(answer.as_bytes());
             let id = head
                 .iter()
                 .find_map(|line| line.to_lowercase().strip_prefix("x-call-id:").map(str::to_owned));
@@ -134,25 +135,27 @@
         }
     }
 
-    /// Has done the job after so long, and tells the node.
+    /// Reports the job as done after `millis`.
     fn run(&self, job: &str, millis: u64, node: SocketAddr) {
         let news = format!(
             "{{\"id\":\"{job}\",\"from\":\"{}\",\"state\":\"done\",\"result\":\"r-{job}\"}}",
             self.id
         );
-        tell_later(node, Duration::from_millis(millis), news);
+        report_later(node, Duration::from_millis(millis), news);
     }
 }
 
-/// Tells a node of a job after so long, in another thread: as executors do, again until it is acknowledged.
-pub fn tell_later(node: SocketAddr, after: Duration, news: String) {
+/// Reports on a job to a node after a delay, from another thread. Retries until acknowledged, as executors do.
+pub fn report_later(node: SocketAddr, after: Duration, news: String) {
     let length = news.len();
     let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: n\r\nContent-Length: {length}\r\n\r\n{news}");
     thread::spawn(move || {
         thread::sleep(after);
         for _ in 0..20 {
-            let stream = TcpStream::connect_timeout(&node, CALL_WITHIN);
-            if stream.is_ok_and(|mut stream| ask(&mut stream, &text).is_some_and(|told| told.0 == 200)) {
+            let stream = TcpStream::connect_timeout(&node, CALL_TIMEOUT);
+            if stream
+                .is_ok_and(|mut stream| ask(&mut stream, &text).is_some_and(|response| response.0 == 200))
+            {
                 return;
             }
             thread::sleep(Duration::from_millis(100));
@@ -160,82 +163,87 @@
     });
 }
 
-/// How much a discovery does.
+/// Limits of the discovery service.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
-    /// Calls a second, in turn.
-    pub calls: f64,
-    /// Who would wait longer is refused after as long, and has cost as much.
-    pub patience: Duration,
-    /// How it refuses: by an answer, or by closing.
-    pub answers: bool,
-    /// Each answer is late by so much besides.
-    pub late: Duration,
+pub struct DiscoveryLimits {
+    /// Calls a second, served one after the other.
+    pub calls_per_second: f64,
+    /// A call that would wait longer is refused after this time, and has used up as much capacity as a served one.
+    pub max_wait: Duration,
+    /// Whether it refuses with a 503 response or with a connection reset.
+    pub refuses_with_503: bool,
+    /// Additional delay of each response.
+    pub delay: Duration,
 }
 
-impl Bound {
-    pub const NONE: Bound =
-        Bound { calls: 1e9, patience: Duration::from_secs(60), answers: true, late: Duration::ZERO };
+impl DiscoveryLimits {
+    pub const NONE: DiscoveryLimits = DiscoveryLimits {
+        calls_per_second: 1e9,
+        max_wait: Duration::from_secs(60),
+        refuses_with_503: true,
+        delay: Duration::ZERO,
+    };
 }
 
-/// A discovery that tells of one executor, once it is up: until then nobody listens there.
+/// A discovery service that lists one executor. Nothing listens at its address until `start`.
 pub struct Discovery {
     pub addr: SocketAddr,
     pub calls: Arc<AtomicU64>,
     pub refused: Arc<AtomicU64>,
-    bound: Bound,
+    limits: DiscoveryLimits,
     pub executor: SocketAddr,
 }
 
 impl Discovery {
-    pub fn down(executor: SocketAddr, bound: Bound) -> Self {
-        Discovery { addr: free(), calls: Arc::default(), refused: Arc::default(), bound, executor }
+    pub fn stopped(executor: SocketAddr, limits: DiscoveryLimits) -> Self {
+        Discovery { addr: free(), calls: Arc::default(), refused: Arc::default(), limits, executor }
     }
 
-    pub fn comes_up(&self) {
+    pub fn start(&self) {
         let listener = TcpListener::bind(self.addr).expect("its address");
-        let (bound, executor) = (self.bound, self.executor);
+        let (limits, executor) = (self.limits, self.executor);
         let (calls, refused) = (self.calls.clone(), self.refused.clone());
         let busy = Arc::new(Mutex::new(Instant::now()));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (calls, refused, busy) = (calls.clone(), refused.clone(), busy.clone());
                 thread::spawn(move || {
-                    let Ok(asks) = stream.try_clone() else { return };
-                    if read_message(&mut BufReader::new(asks)).is_none() {
+                    let Ok(request) = stream.try_clone() else { return };
+                    if read_message(&mut BufReader::new(request)).is_none() {
                         return;
                     }
                     calls.fetch_add(1, Ordering::Relaxed);
                     let turn = {
                         let mut busy = busy.lock().expect("a lock");
-                        *busy = (*busy).max(Instant::now()) + Duration::from_secs_f64(1.0 / bound.calls);
+                        *busy = (*busy).max(Instant::now())
+                            + Duration::from_secs_f64(1.0 / limits.calls_per_second);
                         *busy - Instant::now()
                     };
-                    thread::sleep(turn.min(bound.patience) + bound.late);
-                    if turn > bound.patience {
+                    thread::sleep(turn.min(limits.max_wait) + limits.delay);
+                    if turn > limits.max_wait {
                         refused.fetch_add(1, Ordering::Relaxed);
-                        return refuses(stream, bound.answers);
+                        return refuse(stream, limits.refuses_with_503);
                     }
-                    tells(stream, executor);
+                    send_list(stream, executor);
                 });
             }
         });
     }
 }
 
-fn refuses(mut stream: TcpStream, answers: bool) {
-    match answers {
+fn refuse(mut stream: TcpStream, with_503: bool) {
+    match with_503 {
         true => drop(stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")),
         false => drop(socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO))),
     }
 }
 
-/// The executor as a list names it.
+/// The executor's entry in a list.
 fn entry(executor: SocketAddr) -> String {
     format!("{{\"id\":\"s-0\",\"addr\":\"{executor}\",\"state\":\"up\"}}")
 }
 
-fn tells(mut stream: TcpStream, executor: SocketAddr) {
+fn send_list(mut stream: TcpStream, executor: SocketAddr) {
     let list = format!("{{\"version\":7,\"full\":true,\"servers\":[{}]}}\n", entry(executor));
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     for line in std::iter::once(list).chain(std::iter::repeat_n("\n".to_owned(), 60)) {
@@ -246,34 +254,41 @@
     }
 }
 
-/// What a node is started with.
+/// Resources and fleet position of a node.
 #[derive(Clone, Copy, Debug)]
-pub struct Seat {
-    /// Descriptors that its configuration gives it, and that the machine does.
-    pub told: usize,
-    pub given: usize,
-    /// Of these, files that are open before it begins.
-    pub taken: usize,
-    /// Nodes that its configuration tells of, and which of them it is.
-    pub nodes: usize,
-    pub me: usize,
-    /// The executor that it knew of when it last ran.
-    pub known: Option<SocketAddr>,
+pub struct NodeOptions {
+    /// File descriptors that its configuration states, and its actual limit.
+    pub configured_descriptors: usize,
+    pub descriptor_limit: usize,
+    /// Files that are already open when it starts; they count towards the limit.
+    pub preopened_files: usize,
+    /// Number of nodes in its configuration, and its own index.
+    pub fleet_size: usize,
+    pub index: usize,
+    /// Executor known from an earlier run.
+    pub cached_executor: Option<SocketAddr>,
 }
 
-impl Seat {
-    pub fn of(descriptors: usize) -> Self {
-        Seat { told: descriptors, given: descriptors, taken: 0, nodes: 1, me: 0, known: None }
+impl NodeOptions {
+    pub fn with_descriptors(descriptors: usize) -> Self {
+        NodeOptions {
+            configured_descriptors: descriptors,
+            descriptor_limit: descriptors,
+            preopened_files: 0,
+            fleet_size: 1,
+            index: 0,
+            cached_executor: None,
+        }
     }
 }
 
-/// In what a process differs from others beside its seat.
+/// Further differences of a process from the default configuration.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Texts of the configuration, and what stands in their place.
+    /// Texts of the configuration and their replacements.
     pub settings: Vec<(&'static str, &'static str)>,
     pub environment: Vec<(String, String)>,
-    /// The least level of its log.
+    /// Log level.
     pub log: &'static str,
 }
 
@@ -283,7 +298,7 @@
     }
 }
 
-/// A process of the node.
+/// A running process of the node.
 pub struct Process {
     pub node: SocketAddr,
     folder: PathBuf,
@@ -299,34 +314,41 @@
 }
 
 impl Process {
-    pub fn start(node: SocketAddr, discovery: SocketAddr, seat: Seat) -> Self {
-        let known: Vec<String> = seat.known.map(entry).into_iter().collect();
-        Process::start_knowing(node, discovery, seat, &known)
+    pub fn start(node: SocketAddr, discovery: SocketAddr, options: NodeOptions) -> Self {
+        let known: Vec<String> = options.cached_executor.map(entry).into_iter().collect();
+        Process::start_with_list(node, discovery, options, &known)
     }
 
-    /// One whose configuration holds this list, from when it last ran.
-    pub fn start_knowing(node: SocketAddr, discovery: SocketAddr, seat: Seat, known: &[String]) -> Self {
-        Process::start_with(node, discovery, seat, known, &Setup::default())
+    /// Starts a process whose configuration holds the list `known` from an earlier run.
+    pub fn start_with_list(
+        node: SocketAddr,
+        discovery: SocketAddr,
+        options: NodeOptions,
+        known: &[String],
+    ) -> Self {
+        Process::start_with(node, discovery, options, known, &Setup::default())
     }
 
-    /// One with other settings, or in another environment.
+    /// Starts a process with other settings or another environment.
     pub fn start_with(
         node: SocketAddr,
         discovery: SocketAddr,
-        seat: Seat,
+        options: NodeOptions,
         known: &[String],
         setup: &Setup,
     ) -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let at = NEXT.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("coveroute-doors-{}-{at}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("coveroute-crowds-{}-{at}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let config = include_str!("../../../../examples/config.json");
         let config = config.replace("127.0.0.1:9000", &node.to_string());
         let config = config.replace("127.0.0.1:8500", &discovery.to_string());
-        let config = config.replace("\"sockets\": 1024", &format!("\"sockets\": {}", seat.told));
-        let config = config.replace("\"replicasOfMe\": 1", &format!("\"replicasOfMe\": {}", seat.nodes));
-        let config = config.replace("\"me\": 0", &format!("\"me\": {}", seat.me));
+        let config =
+            config.replace("\"sockets\": 1024", &format!("\"sockets\": {}", options.configured_descriptors));
+        let config =
+            config.replace("\"replicasOfMe\": 1", &format!("\"replicasOfMe\": {}", options.fleet_size));
+        let config = config.replace("\"me\": 0", &format!("\"me\": {}", options.index));
         let known = format!("[{}]", known.join(","));
         let config = config.replace("\"servers\": []", &format!("\"servers\": {known}"));
         let config = config.replace("8c1f30d27a5be964", &format!("8c1f30d27a5b{at:04x}"));
@@ -336,12 +358,15 @@
         });
         std::fs::write(folder.join("config.json"), config).expect("a file");
         let log = std::fs::File::create(folder.join("log")).expect("a log");
-        // The limit holds from the start on; what is open before stays open in the program.
+        // The limit applies from the start; files opened here stay open in the program.
         let mut command = Command::new("bash");
         command.arg("-c").arg(
             "for ((i = 0; i < $2; i++)); do exec {file}</dev/null; done; ulimit -n $1; exec \"$0\" serve --config $3 --log $4",
         );
-        command.arg(env!("CARGO_BIN_EXE_coveroute")).arg(seat.given.to_string()).arg(seat.taken.to_string());
+        command
+            .arg(env!("CARGO_BIN_EXE_coveroute"))
+            .arg(options.descriptor_limit.to_string())
+            .arg(options.preopened_files.to_string());
         command.arg(folder.join("config.json")).arg(setup.log).env_remove("TMPDIR");
         command.envs(setup.environment.iter().cloned());
         let child = command.stdin(Stdio::null()).stderr(log).spawn().expect("a process");
@@ -356,12 +381,12 @@
         self.child.id() as i32
     }
 
-    /// Whether a line of its log has these words.
-    pub fn has_logged(&self, words: &str) -> bool {
-        std::fs::read_to_string(self.folder.join("log")).is_ok_and(|log| log.contains(words))
+    /// Whether its log contains this text.
+    pub fn has_logged(&self, text: &str) -> bool {
+        std::fs::read_to_string(self.folder.join("log")).is_ok_and(|log| log.contains(text))
     }
 
-    /// The last lines of its log.
+    /// Returns the last lines of its log.
     pub fn log(&self) -> String {
         let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
@@ -373,25 +398,25 @@
     }
 
     pub fn signal(&self, signal: libc::c_int) {
-        // SAFETY: a child of this process, which has not been waited for as long as this lives.
-        let told = unsafe { libc::kill(self.id(), signal) };
-        assert_eq!(told, 0, "{}", std::io::Error::last_os_error());
+        // SAFETY: a child of this process that is not reaped while this value lives.
+        let result = unsafe { libc::kill(self.id(), signal) };
+        assert_eq!(result, 0, "{}", std::io::Error::last_os_error());
     }
 
-    /// Whether it has ended.
-    pub fn has_ended(&mut self) -> bool {
+    /// Whether the process has ended.
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// How long it takes to end by itself, if it does within that time.
-    pub fn ends_within(&mut self, most: Duration) -> Option<Duration> {
+    /// Waits up to `most` for a successful end of the process and returns how long that took.
+    pub fn wait_for_exit(&mut self, most: Duration) -> Option<Duration> {
         let begun = Instant::now();
         until(most, || matches!(self.child.try_wait(), Ok(Some(status)) if status.success()))
             .then(|| begun.elapsed())
     }
 }
 
-/// Waits until it holds; whether it did in time.
+/// Polls a condition for at most the given time and returns whether it held.
 pub fn until(most: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
     while !holds() {
--- a/crates/coveroute-node/tests/crowds/main.rs
+++ b/crates/coveroute-node/tests/crowds/main.rs
@@ -1,12 +1,13 @@
-//! Many at once, on real processes under real limits: idle clients on all of a node's connections, nodes that all start again.
+//! Load and fault tests on real processes under real limits, such as idle clients on all of a node's connections and nodes
+//! that all restart at once.
+mod checker;
+mod deadline_propagation;
 mod descriptors;
 mod fault_table;
-mod judged;
-mod old_list;
-mod own_failures;
-mod referee;
+mod harness;
+mod local_failures;
+mod recording_servers;
 mod restarts;
 mod soak;
-mod stand_in;
+mod stale_list;
 mod system_calls;
-mod told_deadlines;
--- a/crates/coveroute-node/tests/crowds/judged.rs
+++ b/crates/coveroute-node/tests/crowds/recording_servers.rs
@@ -1,4 +1,4 @@
-//! Executors, a list of them and clients, all of which the referee hears of.
+//! Executors that report each attempt to the checker, and a service that keeps the list of executors.
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,54 +6,54 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::referee::{newest_byte, Referee};
-use crate::stand_in::{free, host, read_message, tell_later};
+use crate::checker::{newest_byte, Checker};
+use crate::harness::{free, host, read_message, report_later};
 
-/// What an executor does with an attempt.
+/// How an executor responds to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
-    /// Takes it, and has done it after so many milliseconds.
-    Takes(u64),
-    /// Turns it away unstarted.
-    Rejects,
-    /// Takes it, and gives it back unstarted after so many milliseconds.
-    Returns(u64),
-    /// Answers that it has failed.
-    Fails,
+pub enum Behaviour {
+    /// Accepts it and reports it as done after this many milliseconds.
+    Accept(u64),
+    /// Rejects it without starting it.
+    Reject,
+    /// Accepts it and returns it unstarted after this many milliseconds.
+    Return(u64),
+    /// Answers with status 500.
+    Fail,
     /// Resets the connection.
-    Resets,
-    /// Says nothing.
-    Silent,
+    Reset,
+    /// Never answers.
+    Ignore,
 }
 
-/// What becomes of an attempt at this server, the n-th of its request.
-pub type Script = Arc<dyn Fn(&str, usize) -> Does + Send + Sync>;
+/// Chooses the response to an attempt from the request's id and the attempt's number, counted over all servers.
+pub type Script = Arc<dyn Fn(&str, usize) -> Behaviour + Send + Sync>;
 
-/// An executor that the referee hears of.
+/// An executor that reports each attempt to the checker.
 #[derive(Clone)]
 pub struct Server {
     pub id: &'static str,
     pub addr: SocketAddr,
-    referee: Arc<Referee>,
+    checker: Arc<Checker>,
     node: fn(&str) -> SocketAddr,
     script: Script,
 }
 
-/// What a probe is told: there is room for many.
+/// Response to a probe: enough free capacity for every request of a test.
 fn probe_answer() -> String {
     const REPORT: &str = "{\"x0\":200,\"depth\":0,\"concurrent\":0}";
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{REPORT}", REPORT.len())
 }
 
 impl Server {
-    /// It tells of each job to the node that its id names.
+    /// `node` maps a job's id to the node that the job is reported to.
     pub fn new(
         id: &'static str,
-        referee: &Arc<Referee>,
+        checker: &Arc<Checker>,
         node: fn(&str) -> SocketAddr,
         script: Script,
     ) -> Self {
-        Server { id, addr: (host(), 7000).into(), referee: referee.clone(), node, script }
+        Server { id, addr: (host(), 7000).into(), checker: checker.clone(), node, script }
     }
 
     pub fn listen(&self) {
@@ -82,34 +82,34 @@
             let at = newest_byte(&answers);
             let header = |name: &str| {
                 head.iter().find_map(|line| {
-                    line.to_lowercase().strip_prefix(name).map(|told| told.trim().to_owned())
+                    line.to_lowercase().strip_prefix(name).map(|value| value.trim().to_owned())
                 })
             };
-            let (Some(call), Some(told)) = (header("x-call-id:"), header("x-budget-ms:")) else {
+            let (Some(call), Some(budget)) = (header("x-call-id:"), header("x-budget-ms:")) else {
                 let _ = answers.write_all(probe_answer().as_bytes());
                 continue;
             };
-            let told = Duration::from_millis(told.parse().expect("a figure"));
-            self.referee.seen(&call, self.id, at, told);
-            let does = (self.script)(&call, self.referee.attempts_of(&call));
-            if !matches!(does, Does::Rejects | Does::Returns(_)) {
-                self.referee.may_have_run(&call, self.id);
+            let budget = Duration::from_millis(budget.parse().expect("a figure"));
+            self.checker.received(&call, self.id, at, budget);
+            let behaviour = (self.script)(&call, self.checker.attempts_of(&call));
+            if !matches!(behaviour, Behaviour::Reject | Behaviour::Return(_)) {
+                self.checker.may_have_run(&call, self.id);
             }
-            let answer = match does {
-                Does::Takes(millis) => {
-                    self.tells(&call, millis, "\"state\":\"done\",\"result\":\"r\"");
+            let answer = match behaviour {
+                Behaviour::Accept(millis) => {
+                    self.report(&call, millis, "\"state\":\"done\",\"result\":\"r\"");
                     "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
                 }
-                Does::Returns(millis) => {
-                    self.tells(&call, millis, "\"state\":\"returned\"");
+                Behaviour::Return(millis) => {
+                    self.report(&call, millis, "\"state\":\"returned\"");
                     "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
                 }
-                Does::Rejects => "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
-                Does::Fails => "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-                Does::Resets => {
+                Behaviour::Reject => "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+                Behaviour::Fail => "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                Behaviour::Reset => {
                     return drop(socket2::SockRef::from(&answers).set_linger(Some(Duration::ZERO)))
                 }
-                Does::Silent => continue,
+                Behaviour::Ignore => continue,
             };
             if answers.write_all(answer.as_bytes()).is_err() {
                 return;
@@ -117,18 +117,18 @@
         }
     }
 
-    fn tells(&self, call: &str, millis: u64, state: &str) {
+    fn report(&self, call: &str, millis: u64, state: &str) {
         let news = format!("{{\"id\":\"{call}\",\"from\":\"{}\",\"load\":{{\"x0\":200}},{state}}}", self.id);
-        tell_later((self.node)(call), Duration::from_millis(millis), news);
+        report_later((self.node)(call), Duration::from_millis(millis), news);
     }
 }
 
-/// Keeps the list of executors, for all nodes: on each watch the whole list, and again when it changes.
+/// Serves the list of executors to all nodes: each watch gets the whole list at first and after each change.
 pub struct ListService {
     pub addr: SocketAddr,
     entries: Arc<Mutex<Vec<String>>>,
     version: Arc<AtomicUsize>,
-    /// How often all watches have been closed.
+    /// Number of times that all watches have been closed.
     closed: Arc<AtomicUsize>,
 }
 
@@ -146,57 +146,62 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (entries, version, closed) = (entries.clone(), version.clone(), closed.clone());
-                thread::spawn(move || keep(stream, &entries, &version, &closed));
+                thread::spawn(move || serve_watch(stream, &entries, &version, &closed));
             }
         });
         list_service
     }
 
-    /// The list is another one from now on, and each watch is told.
+    /// Replaces the list; each open watch gets the new one.
     pub fn change(&self, entries: Vec<String>) {
         *self.entries.lock().expect("a lock") = entries;
         self.version.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// The same, and all watches are closed: who calls again is told.
-    pub fn change_unheard(&self, entries: Vec<String>) {
+    /// Replaces the list and closes all watches; only a node that reconnects gets the new list.
+    pub fn change_and_close_watches(&self, entries: Vec<String>) {
         self.change(entries);
         self.closed.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// A watch: looks for a change often, and says at least each second that there is none.
-fn keep(mut stream: TcpStream, entries: &Mutex<Vec<String>>, version: &AtomicUsize, closed: &AtomicUsize) {
-    const LOOKS: u32 = 20;
-    const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Serves one watch: polls for a change, and sends an empty line each second without one.
+fn serve_watch(
+    mut stream: TcpStream,
+    entries: &Mutex<Vec<String>>,
+    version: &AtomicUsize,
+    closed: &AtomicUsize,
+) {
+    const POLLS_PER_SECOND: u32 = 20;
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
     let Ok(request) = stream.try_clone() else { return };
     if read_message(&mut BufReader::new(request)).is_none() {
         return;
     }
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let (mut told, mut looks, before) = (0, 0, closed.load(Ordering::SeqCst));
-    while closed.load(Ordering::SeqCst) == before {
-        let present = version.load(Ordering::SeqCst);
-        looks += 1;
-        let text = match present == told {
-            true if looks < LOOKS => String::new(),
+    let (mut sent_version, mut polls, closed_before) = (0, 0, closed.load(Ordering::SeqCst));
+    while closed.load(Ordering::SeqCst) == closed_before {
+        let current = version.load(Ordering::SeqCst);
+        polls += 1;
+        let text = match current == sent_version {
+            true if polls < POLLS_PER_SECOND => String::new(),
             true => "\n".to_owned(),
             false => {
                 let entries = entries.lock().expect("a lock").join(",");
-                format!("{{\"version\":{present},\"full\":true,\"servers\":[{entries}]}}\n")
+                format!("{{\"version\":{current},\"full\":true,\"servers\":[{entries}]}}\n")
             }
         };
         if !text.is_empty() {
-            (told, looks) = (present, 0);
+            (sent_version, polls) = (current, 0);
             if stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).is_err() {
                 return;
             }
         }
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Reads one answer; its status.
+/// Reads one response and returns its status.
 pub fn answer(stream: &mut impl BufRead) -> Option<u16> {
     read_message(stream)?.0[0].split(' ').nth(1)?.parse().ok()
 }
--- a/crates/coveroute-node/tests/crowds/soak/client.rs
+++ b/crates/coveroute-node/tests/crowds/soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the soak, and what they take for a break of a rule.
+//! Clients of the soak test, and the violations that they record.
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
@@ -7,14 +7,14 @@
 
 use coveroute::chance::Chance;
 
-use super::{any, between, Run, LONGEST, LOST_AFTER};
-use crate::judged::answer;
-use crate::referee::newest_byte;
+use super::{pick, uniform, Run, LOST_AFTER, MAX_BUDGET};
+use crate::checker::newest_byte;
+use crate::recording_servers::answer;
 
-/// One client: asks on a kept connection, one request after the other; sometimes it leaves before the answer.
+/// A client that sends requests one after the other on a kept-alive connection, and sometimes closes it before the response.
 pub struct Client<'a> {
     pub run: &'a Run,
-    /// The node it was given, and the connection to it with how often a process of it had been killed by then.
+    /// Index of the node it is connected to, and the connection with the node's number of SIGKILLs when it was opened.
     pub at: usize,
     pub kept: Option<(TcpStream, usize)>,
     pub chance: Chance,
@@ -25,22 +25,22 @@
 /// How a request ended.
 enum End {
     Answered(u16, Instant),
-    /// The connection ended without an answer.
+    /// The connection was closed without a response.
     Closed,
     Silent,
 }
 
 impl Client<'_> {
-    pub fn runs(&mut self) {
+    pub fn run(&mut self) {
         while Instant::now() < self.run.end {
-            thread::sleep(Duration::from_secs_f64(between(&mut self.chance, 0.02, 0.15)));
+            thread::sleep(Duration::from_secs_f64(uniform(&mut self.chance, 0.02, 0.15)));
             if !self.connect() {
                 continue;
             }
-            let again = self.asks(false);
-            // A request that crossed the end of a resting connection is sent once more on a new one.
+            let again = self.send_request(false);
+            // A request that was sent while the node closed the idle connection is sent once more on a new one.
             if again && self.connect() {
-                self.asks(true);
+                self.send_request(true);
             }
         }
     }
@@ -50,41 +50,41 @@
             return true;
         }
         let offered: Vec<usize> =
-            (0..self.run.nodes.len()).filter(|at| self.run.nodes[*at].is_offered()).collect();
+            (0..self.run.nodes.len()).filter(|at| self.run.nodes[*at].accepts_new_clients()).collect();
         if offered.is_empty() {
             return false;
         }
-        self.at = any(&mut self.chance, &offered);
+        self.at = pick(&mut self.chance, &offered);
         let node = &self.run.nodes[self.at];
         let kills = node.kills();
-        self.kept = TcpStream::connect_timeout(&node.addr, LONGEST).ok().map(|stream| (stream, kills));
+        self.kept = TcpStream::connect_timeout(&node.addr, MAX_BUDGET).ok().map(|stream| (stream, kills));
         self.kept.is_some()
     }
 
-    /// Asks for one thing; whether it has to be sent again.
-    fn asks(&mut self, is_new: bool) -> bool {
+    /// Sends one request and returns whether it has to be sent again.
+    fn send_request(&mut self, is_new: bool) -> bool {
         let Some((mut stream, kills)) = self.kept.take() else { return false };
         let node = &self.run.nodes[self.at];
         self.asked += 1;
         let class = if self.chance.draw() < 0.25 { "pay" } else { "look" };
-        let budget = Duration::from_millis(between(&mut self.chance, 700.0, 2000.0) as u64);
+        let budget = Duration::from_millis(uniform(&mut self.chance, 700.0, 2000.0) as u64);
         let call = format!("{}-{class}-{}-{}", node.addr.ip(), self.name, self.asked);
         let length = if self.chance.draw() < 0.1 { 20_000 } else { 40 };
         let head = format!(
             "POST /{class} HTTP/1.1\r\nHost: b\r\nX-Call-Id: {call}\r\nX-Budget-Ms: {}\r\nContent-Length: {length}\r\n\r\n",
             budget.as_millis()
         );
-        let leaves = (self.chance.draw() < 0.05).then(|| between(&mut self.chance, 0.005, 0.3));
+        let leaves = (self.chance.draw() < 0.05).then(|| uniform(&mut self.chance, 0.005, 0.3));
         if stream.write_all([head.as_bytes(), &vec![b'x'; length]].concat().as_slice()).is_err() {
             return !is_new;
         }
-        self.run.referee.sent(&call, budget);
+        self.run.checker.sent(&call, budget);
         let sent = Instant::now();
         if let Some(after) = leaves {
             thread::sleep(Duration::from_secs_f64(after));
-            // What has been answered by then is no departure.
+            // If the request has been answered by then, recording the departure changes nothing: no attempt follows.
             drop(stream);
-            self.run.referee.left(&call);
+            self.run.checker.left(&call);
             self.run.left.fetch_add(1, Ordering::Relaxed);
             return false;
         }
@@ -98,7 +98,10 @@
                 };
                 count.fetch_add(1, Ordering::Relaxed);
                 if at > due {
-                    self.run.breaks(format!("{call}: answered {:?} after its time", at - sent - budget));
+                    self.run.record_violation(format!(
+                        "{call}: answered {:?} after its budget",
+                        at - sent - budget
+                    ));
                 }
                 self.kept = Some((stream, kills));
                 false
@@ -107,18 +110,20 @@
         }
     }
 
-    /// Whether it has to be sent again; lost, where it was read, or could not be unread.
+    /// Returns whether the request has to be sent again. Records it as lost if the node has read it or stayed silent, or if the
+    /// connection was new, so that the request can't have crossed an idle close.
     fn unanswered(&self, call: &str, is_new: bool, kills: usize, silent: bool) -> bool {
         let node = &self.run.nodes[self.at];
         if node.kills() != kills {
             return false;
         }
-        let attempts = self.run.referee.attempts_of(call);
+        let attempts = self.run.checker.attempts_of(call);
         if silent || is_new || attempts > 0 {
-            let how = if silent { "silence" } else { "a closed connection" };
+            let how = if silent { "no response" } else { "a closed connection" };
             let state = node.state();
-            self.run
-                .breaks(format!("{call}: lost by {how}, {attempts} attempts, new {is_new}, node {state:?}"));
+            self.run.record_violation(format!(
+                "{call}: lost by {how}, {attempts} attempts, new connection: {is_new}, node {state:?}"
+            ));
             return false;
         }
         true
@@ -126,7 +131,7 @@
 }
 
 fn await_answer(stream: &TcpStream, due: Instant) -> End {
-    const GRACE: Duration = Duration::from_secs(1); // Of the machine, which may be busy.
+    const GRACE: Duration = Duration::from_secs(1); // The machine may be busy.
     let within = due.saturating_duration_since(Instant::now()) + GRACE;
     let Ok(reading) = stream.try_clone() else { return End::Closed };
     let _ = stream.set_read_timeout(Some(within));
--- a/crates/coveroute-node/tests/crowds/soak/fault_schedule.rs
+++ b/crates/coveroute-node/tests/crowds/soak/fault_schedule.rs
@@ -1,47 +1,47 @@
-//! What happens to the system calls and the clock of one node.
+//! Schedule of the system-call faults and clock steps of one node.
 use std::thread;
 use std::time::{Duration, Instant};
 
 use coveroute::chance::Chance;
 
-use super::{any, between, PLAYED};
+use super::{pick, uniform, DURATION};
 use crate::fault_table::Call;
 use crate::system_calls::{Fault, Faults};
 
-/// How long one system call of one process fails, so that an answer in time stays possible.
-const FAILS_AT_MOST: f64 = 0.35;
-const WINDOWS_EACH: usize = 8;
+/// Maximum duration of a fault of one system call in seconds, short enough for a response in time.
+const MAX_FAULT_SECONDS: f64 = 0.35;
+const WINDOWS_PER_NODE: usize = 8;
 const HOUR: i64 = 3600;
 const EAGAIN: Fault = Fault { rearm_ms: 20, ..Fault::errno(libc::EAGAIN) };
-/// What can fail, one of them at a time for each system call.
-const CATALOGUE: [(Call, Fault); 18] = [
+/// Possible faults; at most one at a time for each system call.
+const FAULTS: [(Call, Fault); 18] = [
     (Call::Accept, Fault::errno(libc::EMFILE)),
-    (Call::Accept, Fault::errno(libc::ENOBUFS).of(900)),
-    (Call::Accept, Fault::errno(libc::EINTR).of(500)),
+    (Call::Accept, Fault::errno(libc::ENOBUFS).with_per_mille(900)),
+    (Call::Accept, Fault::errno(libc::EINTR).with_per_mille(500)),
     (Call::Socket, Fault::errno(libc::ENFILE)),
-    (Call::Connect, Fault::errno(libc::EINTR).of(500)),
-    (Call::Connect, Fault::errno(libc::EADDRNOTAVAIL).of(800)),
+    (Call::Connect, Fault::errno(libc::EINTR).with_per_mille(500)),
+    (Call::Connect, Fault::errno(libc::EADDRNOTAVAIL).with_per_mille(800)),
     (Call::ReceiveFromClient, EAGAIN),
     (Call::ReceiveFromClient, Fault::short(60, 20)),
-    (Call::ReceiveFromClient, Fault::errno(libc::EINTR).of(400)),
-    (Call::ReceiveFromClient, Fault::errno(libc::ENOMEM).of(500)),
+    (Call::ReceiveFromClient, Fault::errno(libc::EINTR).with_per_mille(400)),
+    (Call::ReceiveFromClient, Fault::errno(libc::ENOMEM).with_per_mille(500)),
     (Call::SendToClient, Fault::short(40, 20)),
-    (Call::SendToClient, Fault::errno(libc::ENOBUFS).of(500)),
-    (Call::SendToServer, Fault::errno(libc::ENOBUFS).of(500)),
+    (Call::SendToClient, Fault::errno(libc::ENOBUFS).with_per_mille(500)),
+    (Call::SendToServer, Fault::errno(libc::ENOBUFS).with_per_mille(500)),
     (Call::SendToServer, EAGAIN),
     (Call::SendToServer, Fault::short(70, 60)),
-    (Call::ReceiveFromServer, Fault::errno(libc::EINTR).of(400)),
+    (Call::ReceiveFromServer, Fault::errno(libc::EINTR).with_per_mille(400)),
     (Call::WriteLog, Fault::errno(libc::ENOSPC)),
-    (Call::WriteLog, Fault::late(100).of(100)),
+    (Call::WriteLog, Fault::late(100).with_per_mille(100)),
 ];
 
-/// The windows in which system calls of one process fail: no two of one call at a time.
+/// Draws the windows in which system calls of one process fail. Windows of the same call are at least a second apart.
 fn windows(chance: &mut Chance) -> Vec<(f64, f64, Call, Fault)> {
     let mut windows: Vec<(f64, f64, Call, Fault)> = Vec::new();
-    for _ in 0..WINDOWS_EACH {
-        let (call, fault) = any(chance, &CATALOGUE);
-        let from = between(chance, 0.3, PLAYED.as_secs_f64() - 1.5);
-        let to = from + between(chance, 0.05, FAILS_AT_MOST);
+    for _ in 0..WINDOWS_PER_NODE {
+        let (call, fault) = pick(chance, &FAULTS);
+        let from = uniform(chance, 0.3, DURATION.as_secs_f64() - 1.5);
+        let to = from + uniform(chance, 0.05, MAX_FAULT_SECONDS);
         let apart =
             |other: &(f64, f64, Call, Fault)| other.2 != call || to + 1.0 < other.0 || other.1 + 1.0 < from;
         if windows.iter().all(apart) {
@@ -51,7 +51,7 @@
     windows
 }
 
-/// A change of it.
+/// A change of the faults or of the clock.
 #[derive(Clone, Copy, Debug)]
 pub enum FaultChange {
     Begin(Call, Fault),
@@ -59,7 +59,7 @@
     StepClock(i64),
 }
 
-/// In order of time, in seconds after the beginning.
+/// Draws the schedule of one node, ordered by time in seconds after the start.
 pub fn fault_schedule(chance: &mut Chance) -> Vec<(f64, FaultChange)> {
     let mut fault_schedule = Vec::new();
     for (from, to, call, fault) in windows(chance) {
@@ -67,7 +67,7 @@
     }
     if chance.draw() < 0.5 {
         let step = if chance.draw() < 0.5 { HOUR } else { -HOUR };
-        fault_schedule.push((between(chance, 0.0, 6.0), FaultChange::StepClock(step)));
+        fault_schedule.push((uniform(chance, 0.0, 6.0), FaultChange::StepClock(step)));
     }
     fault_schedule.sort_by(|a, b| a.0.total_cmp(&b.0));
     fault_schedule
--- a/crates/coveroute-node/tests/crowds/soak/mod.rs
+++ b/crates/coveroute-node/tests/crowds/soak/mod.rs
@@ -1,6 +1,6 @@
-//! Soak: two dozen real processes under seeded, overlapping faults: system calls that fail, clocks that step, executors that fail in all
-//! ways, drain and go, nodes that are stopped, killed and told to read their configuration anew, clients that leave or only connect.
-//! What must hold whatever happens is judged at the end. `COVEROUTE_SOAK_SEEDS=1-50` names other seeds.
+//! Soak test: 24 real processes under seeded, overlapping faults: failing system calls, clock steps, executors that fail in every
+//! way, drain and are removed, nodes that are stopped, killed and reloaded, clients that disconnect or only connect. The
+//! invariants are checked at the end. `COVEROUTE_SOAK_SEEDS=1-50` selects other seeds.
 use std::net::{SocketAddr, TcpStream};
 use std::ops::RangeInclusive;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,9 +10,9 @@
 
 use coveroute::chance::Chance;
 
-use crate::judged::{Does, ListService, Server};
-use crate::referee::Referee;
-use crate::stand_in::{free, until, Process, Seat, Setup};
+use crate::checker::Checker;
+use crate::harness::{free, until, NodeOptions, Process, Setup};
+use crate::recording_servers::{Behaviour, ListService, Server};
 use crate::system_calls::Faults;
 
 mod client;
@@ -27,32 +27,32 @@
 const SEEDS_VARIABLE: &str = "COVEROUTE_SOAK_SEEDS";
 const NODES: usize = 24;
 const SERVERS: [&str; 6] = ["s-0", "s-1", "s-2", "s-3", "s-4", "s-5"];
-const PLAYED: Duration = Duration::from_secs(10);
+const DURATION: Duration = Duration::from_secs(10);
 const READY: Duration = Duration::from_secs(10);
-const CLIENTS_EACH: usize = 3;
-/// The longest that a client waits, and when the platform kills a node that was told to stop.
-const LONGEST: Duration = Duration::from_secs(3);
-const KILLED_AFTER: Duration = Duration::from_millis(3700);
-/// A request that has no answer so long after its time is lost.
+const CLIENTS_PER_NODE: usize = 3;
+/// The longest budget of a client, and the time after which the platform kills a node that was told to stop.
+const MAX_BUDGET: Duration = Duration::from_secs(3);
+const KILL_AFTER: Duration = Duration::from_millis(3700);
+/// A request without a response this long after its budget counts as lost.
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// From a stop on, clients still come on new connections for so long.
+/// Clients still open new connections to a node for this long after it was told to stop.
 const NOTICED_AFTER: Duration = Duration::from_millis(300);
-/// A change of the list counts as told after that.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// A change of the list counts as known to all nodes after this time.
+const KNOWN_AFTER: Duration = Duration::from_secs(6);
 const DESCRIPTORS: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    Serves,
-    /// Told to stop at that moment.
-    Stops(Instant),
-    /// Has ended as it was told, and is not ready again.
-    Starts,
-    /// Killed outright, and not ready again.
+    Serving,
+    /// Was told to stop at this moment.
+    Stopping(Instant),
+    /// Has exited as told, and its successor is not ready yet.
+    Starting,
+    /// Was killed by SIGKILL, and its successor is not ready yet.
     Killed,
 }
 
-/// A node's address, what its process is at, and how often one has been killed outright.
+/// A node's address, the state of its process, and the number of SIGKILLs so far.
 struct Node {
     addr: SocketAddr,
     state: Mutex<(State, usize)>,
@@ -67,31 +67,31 @@
         self.state.lock().expect("a lock").1
     }
 
-    /// Whether the front sends a new connection there.
-    fn is_offered(&self) -> bool {
+    /// Whether clients open new connections to it.
+    fn accepts_new_clients(&self) -> bool {
         match self.state() {
-            State::Serves => true,
-            State::Stops(since) => since.elapsed() < NOTICED_AFTER,
-            State::Starts | State::Killed => false,
+            State::Serving => true,
+            State::Stopping(since) => since.elapsed() < NOTICED_AFTER,
+            State::Starting | State::Killed => false,
         }
     }
 }
 
-/// What all threads of a run share.
+/// State shared by all threads of a run.
 struct Run {
-    referee: Arc<Referee>,
+    checker: Arc<Checker>,
     nodes: Vec<Node>,
     end: Instant,
     served: AtomicUsize,
     refused: AtomicUsize,
     failed: AtomicUsize,
     left: AtomicUsize,
-    broken: Mutex<Vec<String>>,
+    violations: Mutex<Vec<String>>,
 }
 
 impl Run {
-    fn breaks(&self, what: String) {
-        self.broken.lock().expect("a lock").push(what);
+    fn record_violation(&self, what: String) {
+        self.violations.lock().expect("a lock").push(what);
     }
 }
 
@@ -104,25 +104,25 @@
     Chance::new(seed * 1000 + part as u64)
 }
 
-fn between(chance: &mut Chance, least: f64, most: f64) -> f64 {
+fn uniform(chance: &mut Chance, least: f64, most: f64) -> f64 {
     least + (most - least) * chance.draw()
 }
 
-fn any<T: Copy>(chance: &mut Chance, of: &[T]) -> T {
+fn pick<T: Copy>(chance: &mut Chance, of: &[T]) -> T {
     of[(chance.draw() * of.len() as f64) as usize % of.len()]
 }
 
-/// What a server does with an attempt: by the request, so that a run can be told again by its seed.
-fn does(seed: u64, call: &str, number: usize) -> Does {
-    let lot = coveroute::chance::hash(format!("{seed} {call} {number}").as_bytes()) % 100;
-    match lot {
-        0..=7 => Does::Rejects,
-        8..=11 => Does::Returns(150),
-        12..=14 => Does::Fails,
-        15..=17 => Does::Resets,
-        18..=20 => Does::Silent,
-        21..=30 => Does::Takes(300),
-        _ => Does::Takes(15),
+/// How a server responds to an attempt: derived from the request, so that a run can be repeated by its seed.
+fn behaviour(seed: u64, call: &str, number: usize) -> Behaviour {
+    let roll = coveroute::chance::hash(format!("{seed} {call} {number}").as_bytes()) % 100;
+    match roll {
+        0..=7 => Behaviour::Reject,
+        8..=11 => Behaviour::Return(150),
+        12..=14 => Behaviour::Fail,
+        15..=17 => Behaviour::Reset,
+        18..=20 => Behaviour::Ignore,
+        21..=30 => Behaviour::Accept(300),
+        _ => Behaviour::Accept(15),
     }
 }
 
@@ -133,61 +133,62 @@
         ("\"connIdle\": 60000.0", "\"connIdle\": 2000.0"),
     ];
     let setup = Setup { settings, environment: faults.environment(), log: "warn" };
-    Process::start_with(node, list, Seat::of(DESCRIPTORS), &[], &setup)
+    Process::start_with(node, list, NodeOptions::with_descriptors(DESCRIPTORS), &[], &setup)
 }
 
-/// Idle clients on one node: they connect, and stay.
-fn crowd(node: SocketAddr) -> Vec<TcpStream> {
+/// Opens idle connections to one node.
+fn connect_idle_clients(node: SocketAddr) -> Vec<TcpStream> {
     (0..DESCRIPTORS)
         .filter_map(|_| TcpStream::connect_timeout(&node, Duration::from_millis(200)).ok())
         .collect()
 }
 
-fn play(seed: u64) -> Vec<String> {
-    let referee: Arc<Referee> = Arc::default();
+fn run_seed(seed: u64) -> Vec<String> {
+    let checker: Arc<Checker> = Arc::default();
     let server =
-        |id| Server::new(id, &referee, node_of, Arc::new(move |call: &str, nth| does(seed, call, nth)));
+        |id| Server::new(id, &checker, node_of, Arc::new(move |call: &str, nth| behaviour(seed, call, nth)));
     let servers = SERVERS.map(server);
     servers.iter().for_each(Server::listen);
     let list = ListService::start(servers.iter().map(|server| server.entry("up")).collect());
     let faults: Vec<Faults> = (0..NODES).map(|_| Faults::new(9000)).collect();
     let processes: Vec<Process> = faults.iter().map(|faults| start(free(), list.addr, faults)).collect();
     let ready = processes.iter().all(|process| until(3 * READY, || process.is_ready()));
-    assert!(ready, "they start: {}", processes[0].log());
-    let node = |process: &Process| Node { addr: process.node, state: Mutex::new((State::Serves, 0)) };
+    assert!(ready, "not ready: {}", processes[0].log());
+    let node = |process: &Process| Node { addr: process.node, state: Mutex::new((State::Serving, 0)) };
     let begun = Instant::now();
     let run = Run {
-        referee,
+        checker,
         nodes: processes.iter().map(node).collect(),
-        end: begun + PLAYED,
+        end: begun + DURATION,
         served: AtomicUsize::new(0),
         refused: AtomicUsize::new(0),
         failed: AtomicUsize::new(0),
         left: AtomicUsize::new(0),
-        broken: Mutex::default(),
+        violations: Mutex::default(),
     };
     let mut chance = chance(seed, NODES);
-    let (drains_at, goes_at) = (between(&mut chance, 0.5, 1.5), between(&mut chance, 2.0, 3.5));
-    let unheard = chance.draw() < 0.5;
-    // In each fourth run idle clients fill some nodes.
+    let (drains_at, removed_at) = (uniform(&mut chance, 0.5, 1.5), uniform(&mut chance, 2.0, 3.5));
+    let closes_watches = chance.draw() < 0.5;
+    // In every fourth run, idle clients use up the connections of some nodes.
     let crowded = if seed.is_multiple_of(4) { 3 } else { 0 };
-    let mut told = begun;
+    let mut known = begun;
     thread::scope(|scope| {
         for (at, process) in processes.into_iter().enumerate() {
             let supervisor = Supervisor { run: &run, at, faults: &faults[at], list: list.addr, process };
             let mut chance = self::chance(seed, at);
             let (fault_schedule, signals) = (fault_schedule(&mut chance), signals(&mut chance));
-            scope.spawn(move || supervisor.supervises(begun, signals));
+            scope.spawn(move || supervisor.run(begun, signals));
             let faults = &faults[at];
             scope.spawn(move || apply_schedule(faults, begun, fault_schedule));
         }
-        for at in 0..NODES * CLIENTS_EACH {
+        for at in 0..NODES * CLIENTS_PER_NODE {
             let chance = self::chance(seed, NODES + 1 + at);
             let mut client =
                 Client { run: &run, at: 0, kept: None, chance, name: format!("c{at}"), asked: 0 };
-            scope.spawn(move || client.runs());
+            scope.spawn(move || client.run());
         }
-        let crowds: Vec<_> = run.nodes.iter().take(crowded).map(|node| crowd(node.addr)).collect();
+        let crowds: Vec<_> =
+            run.nodes.iter().take(crowded).map(|node| connect_idle_clients(node.addr)).collect();
         let entries = |first: &str| {
             let others = servers.iter().skip(1).map(|server| server.entry("up"));
             let first = Some(first).filter(|state| !state.is_empty()).map(|state| servers[0].entry(state));
@@ -199,41 +200,52 @@
         };
         wait(drains_at);
         list.change(entries("draining"));
-        told = Instant::now() + TOLD_AFTER;
-        wait(goes_at);
-        match unheard {
-            true => list.change_unheard(entries("")),
+        known = Instant::now() + KNOWN_AFTER;
+        wait(removed_at);
+        match closes_watches {
+            true => list.change_and_close_watches(entries("")),
             false => list.change(entries("")),
         }
-        wait(PLAYED.as_secs_f64());
+        wait(DURATION.as_secs_f64());
         drop(crowds);
     });
     let of = |count: &AtomicUsize| count.load(Ordering::Relaxed);
-    let struck: u64 = faults.iter().map(Faults::all_struck).sum();
+    let hits: u64 = faults.iter().map(Faults::total_hits).sum();
     println!(
-        "seed {seed}: {} served, {} refused, {} failed, {} left, {} attempts, {struck} calls failed",
+        "seed {seed}: {} served, {} refused, {} failed, {} left, {} attempts, {hits} faults injected",
         of(&run.served),
         of(&run.refused),
         of(&run.failed),
         of(&run.left),
-        run.referee.attempts()
+        run.checker.attempts()
     );
-    let mut broken = std::mem::take(&mut *run.broken.lock().expect("a lock"));
-    broken.extend(run.referee.overstated().iter().map(|overstated| format!("told too much: {overstated:?}")));
-    broken.extend(
-        run.referee.doubled(|call| call.contains("-pay-")).iter().map(|call| format!("ran twice: {call}")),
+    let mut violations = std::mem::take(&mut *run.violations.lock().expect("a lock"));
+    violations.extend(
+        run.checker
+            .overstated_budgets()
+            .iter()
+            .map(|overstated| format!("budget exceeds the client's remaining time: {overstated:?}")),
     );
-    broken.extend(
-        run.referee.begun_for_nobody().iter().map(|late| format!("begun for who has left: {late:?}")),
+    violations.extend(
+        run.checker
+            .executed_twice(|call| call.contains("-pay-"))
+            .iter()
+            .map(|call| format!("executed twice: {call}")),
     );
-    let late = run.referee.attempts_at(SERVERS[0], told);
+    violations.extend(
+        run.checker
+            .begun_after_close()
+            .iter()
+            .map(|late| format!("attempt begun after its client left: {late:?}")),
+    );
+    let late = run.checker.attempts_at(SERVERS[0], known);
     if late > 0 {
-        broken.push(format!("{late} attempts at an executor that drains or is gone"));
+        violations.push(format!("{late} attempts at a draining or removed executor"));
     }
     if of(&run.served) == 0 {
-        broken.push("nobody was served".to_owned());
+        violations.push("no request was served".to_owned());
     }
-    broken
+    violations
 }
 
 fn seeds() -> RangeInclusive<u64> {
@@ -243,12 +255,12 @@
 }
 
 #[test]
-fn what_must_hold_holds_under_overlapping_faults() {
-    let mut broken = Vec::new();
+fn invariants_hold_under_overlapping_faults() {
+    let mut violations = Vec::new();
     for seed in seeds() {
-        let of_seed = play(seed);
+        let of_seed = run_seed(seed);
         of_seed.iter().take(20).for_each(|what| println!("seed {seed}: {what}"));
-        broken.extend(of_seed.into_iter().map(|what| format!("seed {seed}: {what}")));
+        violations.extend(of_seed.into_iter().map(|what| format!("seed {seed}: {what}")));
     }
-    assert!(broken.is_empty(), "{} broken, the first: {:?}", broken.len(), broken.first());
+    assert!(violations.is_empty(), "{} violations, the first: {:?}", violations.len(), violations.first());
 }
--- a/crates/coveroute-node/tests/crowds/old_list.rs
+++ b/crates/coveroute-node/tests/crowds/stale_list.rs
@@ -1,5 +1,5 @@
-//! Nodes that are killed and start again with the list that they had before: real processes, executors that are removed or begin to
-//! drain while the nodes are dead and go on answering, and a discovery that is late, refuses, resets or breaks off its first calls.
+//! Nodes that are killed and restart with a stale list of executors, as real processes. Meanwhile an executor is removed or begins
+//! to drain, but still answers, and discovery delays, refuses, resets or breaks off its first calls.
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -9,43 +9,43 @@
 
 use test_case::test_case;
 
-use crate::stand_in::{ask, free, read_message, until, Executor, Process, Seat};
+use crate::harness::{ask, free, read_message, until, Executor, NodeOptions, Process};
 
-/// Processes at a time, spread over the turns of a fleet.
+/// Processes started at a time, with indexes spread evenly over the fleet.
 const PROCESSES: usize = 6;
 const FLEET: usize = 300;
-/// Nine in ten restarted nodes have to be ready by then.
+/// Required time to readiness for nine in ten restarted nodes.
 const READY: Duration = Duration::from_secs(10);
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Between two requests to one node.
+/// Interval between requests to one node.
 const PACE: Duration = Duration::from_millis(50);
 
-/// What becomes of a call for the list.
+/// How discovery responds to a call for the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Call {
-    /// Answered after so many milliseconds.
+    /// Answers after this many milliseconds.
     Late(u64),
-    /// 503 after so many milliseconds.
+    /// Answers with 503 after this many milliseconds.
     Refused(u64),
-    /// The connection is reset after so many milliseconds.
+    /// Resets the connection after this many milliseconds.
     Reset(u64),
-    /// The answer's head comes, and the connection is closed or stays silent before a list has come.
+    /// Sends the response's head, then closes the connection (`BrokenOff`) or stays silent (`HeadOnly`) without sending a list.
     BrokenOff,
     HeadOnly,
-    /// An empty line comes first, and the list so many milliseconds after it.
+    /// Sends an empty line first, and the list this many milliseconds later.
     EmptyLineFirst(u64),
 }
 use Call::*;
 
-/// How the list names the old executor by the time the nodes are back.
+/// State of the old executor in the list when the nodes restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Change {
     Removed,
     Draining,
 }
 
-/// Discovery as one node calls it: two executors, of which one changes. The n-th call after that goes by the n-th of the script,
-/// and all further ones by the last.
+/// Discovery for one node: two executors, one of which changes. The n-th call after the change gets the n-th response of the
+/// script, and all further calls get the last one.
 struct ListService {
     script: Vec<Call>,
     addr: SocketAddr,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The whole list as it is now.
+    /// Returns the whole current list.
     fn list(&self) -> String {
         let [old, other] = &self.executors;
         let entries = match *self.change.lock().expect("a lock") {
@@ -137,11 +137,11 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Clients of one node, each on a connection of its own, one after the other until they are told to stop.
+/// Clients of one node, started at a fixed pace on a new connection each, until stopped.
 struct Clients {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicUsize>,
-    /// Requests that were read and had no answer in their time, by when.
+    /// Ids of requests on an established connection that got no response in time.
     lost: Arc<Mutex<Vec<String>>>,
 }
 
@@ -157,7 +157,7 @@
                 }
                 let (served, lost, id) = (served.clone(), lost.clone(), format!("{name}-{nth}"));
                 thread::spawn(move || {
-                    // Nobody may listen there yet.
+                    // The node may not be listening yet.
                     let Ok(mut stream) = TcpStream::connect_timeout(&node, CLIENT_TIMEOUT) else { return };
                     let budget = CLIENT_TIMEOUT.as_millis();
                     let head =
@@ -175,8 +175,8 @@
     }
 }
 
-/// The nodes come back, and each has clients from the first moment on. Which executor got how many of their requests, how long it
-/// took until each node was ready, and how many requests were served or lost.
+/// Result of a restart in which each node has clients from the start: requests that each executor got, the time until each node
+/// was ready, and requests served and lost.
 #[derive(Debug)]
 struct Restart {
     old: usize,
@@ -195,18 +195,22 @@
     };
     let executors = [Executor::start("s-0", node.clone()), Executor::start("s-1", node)];
     let services: Vec<_> = nodes.iter().map(|_| ListService::start(script, executors.clone())).collect();
-    let seat = |nth: usize| Seat { nodes: FLEET, me: nth * (FLEET / PROCESSES), ..Seat::of(128) };
+    let options = |nth: usize| NodeOptions {
+        fleet_size: FLEET,
+        index: nth * (FLEET / PROCESSES),
+        ..NodeOptions::with_descriptors(128)
+    };
     let start = |nth: usize, known: bool| {
         let known: Vec<_> = executors.iter().filter(|_| known).map(|executor| executor.entry("up")).collect();
-        Process::start_knowing(nodes[nth], services[nth].addr, seat(nth), &known)
+        Process::start_with_list(nodes[nth], services[nth].addr, options(nth), &known)
     };
-    // Each follows the list, is ready, and dies.
+    // Each node watches the list, becomes ready and is killed.
     let before: Vec<Process> = (0..PROCESSES).map(|nth| start(nth, false)).collect();
     let ready = before.iter().all(|process| until(3 * READY, || process.is_ready()));
-    assert!(ready, "they start: {}", before[0].log());
+    assert!(ready, "not ready: {}", before[0].log());
     drop(before);
     services.iter().for_each(|service| service.change(change));
-    // It counts as told six seconds after that: to each that starts then as well.
+    // A change counts as known to all six seconds later, also to a node that starts then.
     thread::sleep(Duration::from_secs(6));
     let taken: Vec<usize> = executors.iter().map(Executor::jobs).collect();
     let clients: Vec<Clients> =
@@ -236,8 +240,8 @@
     }
 }
 
-// Issue 47: the zone's nodes and executors die together, and the executors are back a second before discovery lists them. A node
-// that starts has no right to the list that it had before: each change of six seconds ago counts as told, also to it.
+// Issue 47: the nodes and executors of a zone die together, and the executors are back a second before discovery lists them. A
+// starting node may not use the list from its earlier run: a change of six seconds ago counts as known, also to it.
 #[test_case(Change::Removed, &[Late(300)]; "removed, and the list is late")]
 #[test_case(Change::Draining, &[Late(300)]; "draining, and the list is late")]
 #[test_case(Change::Removed, &[Refused(0), Late(0)]; "the first call is refused as it comes")]
@@ -247,13 +251,13 @@
 #[test_case(Change::Draining, &[BrokenOff, Late(0)]; "the first answer is broken off before its list")]
 #[test_case(Change::Removed, &[HeadOnly, Late(0)]; "the first answer has a head and nothing more")]
 #[test_case(Change::Removed, &[EmptyLineFirst(800)]; "an empty line comes before the list")]
-fn restarted_nodes_send_nothing_by_the_list_from_before(change: Change, script: &[Call]) {
-    // Refused calls come again in longer rounds.
+fn restarted_nodes_do_not_use_the_stale_list(change: Change, script: &[Call]) {
+    // Calls are retried at longer intervals after a refusal.
     let rounds = if script.iter().any(|call| matches!(call, Refused(_) | Reset(1..))) { 20 } else { 12 };
-    let told = restart(change, script, Duration::from_secs(rounds));
-    println!("{change:?}, {script:?}: {told:?}");
-    assert_eq!(told.old, 0, "requests to the executor that had gone");
-    assert!(told.ready.iter().all(|ready| *ready < READY.as_secs_f64()), "{told:?}");
-    assert!(told.served.iter().all(|served| *served > 0), "each serves by the new list: {told:?}");
-    assert!(told.other > 0 && told.lost.is_empty(), "{told:?}");
+    let result = restart(change, script, Duration::from_secs(rounds));
+    println!("{change:?}, {script:?}: {result:?}");
+    assert_eq!(result.old, 0, "requests to the removed or draining executor");
+    assert!(result.ready.iter().all(|ready| *ready < READY.as_secs_f64()), "{result:?}");
+    assert!(result.served.iter().all(|served| *served > 0), "a node served no request: {result:?}");
+    assert!(result.other > 0 && result.lost.is_empty(), "{result:?}");
 }
--- a/crates/coveroute-node/tests/crowds/system_calls.rs
+++ b/crates/coveroute-node/tests/crowds/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail in the processes of a test: the table that they share, and the library that reads it.
+//! Sets the system-call faults of the processes that a test starts, through the shared table that the preloaded library reads.
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
@@ -7,8 +7,8 @@
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// In a thousand calls.
-    pub chance: u32,
+    /// Calls affected, in a thousand.
+    pub per_mille: u32,
     pub errno: i32,
     pub most_bytes: u32,
     pub delay_ms: u32,
@@ -16,32 +16,32 @@
 }
 
 impl Fault {
-    const NONE: Fault = Fault { chance: 0, errno: 0, most_bytes: 0, delay_ms: 0, rearm_ms: 0 };
-    /// How soon the kernel tells again that there is room, where the fault does not say.
+    const NONE: Fault = Fault { per_mille: 0, errno: 0, most_bytes: 0, delay_ms: 0, rearm_ms: 0 };
+    /// Default delay until the kernel signals readiness again.
     const REARM_MS: u32 = 5;
 
-    /// Each call fails with this.
+    /// Each call fails with this error number.
     pub const fn errno(errno: i32) -> Fault {
-        Fault { chance: ALWAYS, errno, rearm_ms: Fault::REARM_MS, ..Fault::NONE }
+        Fault { per_mille: ALWAYS, errno, rearm_ms: Fault::REARM_MS, ..Fault::NONE }
     }
 
-    /// Each call moves at most so many bytes, and can move more after so many milliseconds.
+    /// Each call moves at most `most_bytes`; readiness is signalled again after `rearm_ms`.
     pub const fn short(most_bytes: u32, rearm_ms: u32) -> Fault {
-        Fault { chance: ALWAYS, most_bytes, rearm_ms, ..Fault::NONE }
+        Fault { per_mille: ALWAYS, most_bytes, rearm_ms, ..Fault::NONE }
     }
 
-    /// Each call returns so many milliseconds late.
+    /// Each call is delayed by `delay_ms`.
     pub const fn late(delay_ms: u32) -> Fault {
-        Fault { chance: ALWAYS, delay_ms, ..Fault::NONE }
+        Fault { per_mille: ALWAYS, delay_ms, ..Fault::NONE }
     }
 
-    /// So many of a thousand calls.
-    pub const fn of(self, chance: u32) -> Fault {
-        Fault { chance, ..self }
+    /// Limits the fault to this many of a thousand calls.
+    pub const fn with_per_mille(self, per_mille: u32) -> Fault {
+        Fault { per_mille, ..self }
     }
 }
 
-/// The faults of one process, or of several.
+/// The faults of the processes that share one table.
 pub struct Faults {
     table: &'static Table,
     file: PathBuf,
@@ -54,7 +54,7 @@
 }
 
 impl Faults {
-    /// None yet; clients connect to this port.
+    /// Creates a table without faults. Connections to `clients_port` count as clients'.
     pub fn new(clients_port: u16) -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let at = NEXT.fetch_add(1, Relaxed);
@@ -64,13 +64,13 @@
         Faults { table, file }
     }
 
-    /// What a process needs in its environment for them.
+    /// Environment variables that load the library and name the table in a process.
     pub fn environment(&self) -> Vec<(String, String)> {
         let test = std::env::current_exe().expect("this program's path");
-        let folder = test.parent().and_then(|deps| deps.parent()).expect("the folder of what is built");
+        let folder = test.parent().and_then(|deps| deps.parent()).expect("the build directory");
         let library = folder.join("examples/libsystem_call_faults.so");
-        assert!(library.exists(), "{}: cargo build --examples makes it", library.display());
-        let text = |path: &PathBuf| path.to_str().expect("a plain path").to_owned();
+        assert!(library.exists(), "{} is missing: run cargo build --examples", library.display());
+        let text = |path: &PathBuf| path.to_str().expect("a UTF-8 path").to_owned();
         vec![("LD_PRELOAD".to_owned(), text(&library)), (TABLE_FILE.to_owned(), text(&self.file))]
     }
 
@@ -80,24 +80,24 @@
         rule.most_bytes.store(fault.most_bytes, Relaxed);
         rule.delay_ms.store(fault.delay_ms, Relaxed);
         rule.rearm_ms.store(fault.rearm_ms, Relaxed);
-        rule.chance.store(fault.chance, Relaxed);
+        rule.per_mille.store(fault.per_mille, Relaxed);
     }
 
     pub fn end(&self, call: Call) {
-        self.table.rule(call).chance.store(0, Relaxed);
+        self.table.rule(call).per_mille.store(0, Relaxed);
     }
 
-    /// How often calls have failed.
-    pub fn struck(&self, call: Call) -> u64 {
-        self.table.rule(call).struck.load(Relaxed)
+    /// Number of calls that the fault was injected into.
+    pub fn hits(&self, call: Call) -> u64 {
+        self.table.rule(call).hits.load(Relaxed)
     }
 
-    /// How often any has.
-    pub fn all_struck(&self) -> u64 {
-        self.table.rules.iter().map(|rule| rule.struck.load(Relaxed)).sum()
+    /// Number of injected faults over all calls.
+    pub fn total_hits(&self) -> u64 {
+        self.table.rules.iter().map(|rule| rule.hits.load(Relaxed)).sum()
     }
 
-    /// The wall clock steps by so many seconds.
+    /// Steps the wall clock by this many seconds.
     pub fn step_clock(&self, seconds: i64) {
         self.table.clock_step.fetch_add(seconds, Relaxed);
     }
--- a/crates/coveroute-node/tests/support/message.rs
+++ b/crates/coveroute-node/tests/support/message.rs
@@ -1,7 +1,7 @@
-//! What tests read from a connection.
+//! Reads HTTP/1.1 messages in tests.
 use std::io::BufRead;
 
-/// A request's or an answer's head, line by line, and body.
+/// Reads a request or a response: the lines of its head, and its body.
 pub fn read_message(stream: &mut impl BufRead) -> Option<(Vec<String>, Vec<u8>)> {
     let (mut head, mut length) = (Vec::new(), 0);
     loop {
@@ -13,8 +13,8 @@
         if line.is_empty() {
             break;
         }
-        if let Some(told) = line.to_lowercase().strip_prefix("content-length:") {
-            length = told.trim().parse().ok()?;
+        if let Some(value) = line.to_lowercase().strip_prefix("content-length:") {
+            length = value.trim().parse().ok()?;
         }
         head.push(line);
     }
