--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,11 +1,11 @@
-//! A toy world for one node, on loopback: discovery, and executors that run each job for a moment.
+//! A minimal environment for one node on loopback: a discovery service, and executors that run each job for a short time.
 //!
 //!     cargo run --release --example toy
 //!
-//! With an address behind it, it is discovery alone, at that address.
+//! With an address as argument, runs only the discovery service, at that address.
 //!
-//! Discovery listens on 127.0.0.1:8500, two executors on 9101 and 9102, and they tell the node on 9000 (see
-//! `examples/config.json`) what became of its jobs. It keeps to the protocol's ordinary path only.
+//! Discovery listens on 127.0.0.1:8500 and two executors on 9101 and 9102. They report the results of jobs to the node on 9000
+//! (see `examples/config.json`). Only the protocol's success path is implemented.
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,9 +16,9 @@
 const NODE: &str = "127.0.0.1:9000";
 const DISCOVERY: &str = "127.0.0.1:8500";
 const EXECUTORS: [(&str, &str); 2] = [("s-one", "127.0.0.1:9101"), ("s-two", "127.0.0.1:9102")];
-/// Jobs that an executor runs at a time, and for how long.
+/// Number of jobs that an executor runs concurrently, and the duration of each.
 const SLOTS: usize = 2;
-const RUNS_FOR: Duration = Duration::from_millis(300);
+const JOB_DURATION: Duration = Duration::from_millis(300);
 
 struct Request {
     line: String,
@@ -26,7 +26,7 @@
     body: Vec<u8>,
 }
 
-/// Reads one request; none when the other side has closed.
+/// Reads one request; none if the peer has closed the connection.
 fn read(stream: &mut BufReader<TcpStream>) -> Option<Request> {
     let (mut line, mut call, mut length) = (String::new(), String::new(), 0);
     stream.read_line(&mut line).ok().filter(|read| *read > 0)?;
@@ -47,15 +47,15 @@
 
 fn answer(stream: &mut TcpStream, status: &str, headers: &str, body: &str) -> std::io::Result<()> {
     let length = body.len();
-    // In one piece: small ones after another would wait for each other on the way.
+    // In one write: Nagle's algorithm would hold back a second small one until the first is acknowledged.
     stream
         .write_all(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}").as_bytes())
 }
 
-/// Serves each connection in a thread of its own.
+/// Serves each connection in its own thread.
 fn listen(addr: &str, serve: impl Fn(TcpStream) + Clone + Send + 'static) {
     let listener = TcpListener::bind(addr).expect("a free port");
-    println!("listens on {addr}");
+    println!("listening on {addr}");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
@@ -64,37 +64,40 @@
     });
 }
 
-fn load(held: &AtomicUsize) -> String {
-    let inflight = held.load(Ordering::SeqCst);
+fn load_report(running: &AtomicUsize) -> String {
+    let inflight = running.load(Ordering::SeqCst);
     format!(r#"{{"x0":{},"queue":0,"inflight":{inflight}}}"#, SLOTS - inflight.min(SLOTS))
 }
 
-/// Takes jobs while it has a slot, and tells the node when they are done.
-fn executor(id: &'static str, stream: TcpStream, held: &Arc<AtomicUsize>) -> std::io::Result<()> {
+/// Accepts jobs while a slot is free, and reports to the node when they are done.
+fn executor(id: &'static str, stream: TcpStream, running: &Arc<AtomicUsize>) -> std::io::Result<()> {
     let mut out = stream.try_clone()?;
     let mut stream = BufReader::new(stream);
     while let Some(request) = read(&mut stream) {
         match request.line.split(' ').next() {
-            Some("GET") => answer(&mut out, "200 OK", "", &load(held))?,
+            Some("GET") => answer(&mut out, "200 OK", "", &load_report(running))?,
             Some("DELETE") => answer(&mut out, "204 No Content", "", "")?,
-            _ if held.load(Ordering::SeqCst) >= SLOTS => {
-                let headers = format!("X-Rejected: 1\r\nX-Load-Report: {}\r\n", load(held));
+            _ if running.load(Ordering::SeqCst) >= SLOTS => {
+                let headers = format!("X-Rejected: 1\r\nX-Load-Report: {}\r\n", load_report(running));
                 answer(&mut out, "503 Service Unavailable", &headers, "")?;
             }
             _ => {
-                held.fetch_add(1, Ordering::SeqCst);
+                running.fetch_add(1, Ordering::SeqCst);
                 answer(&mut out, "202 Accepted", "", "")?;
-                let held = held.clone();
+                let running = running.clone();
                 thread::spawn(move || {
-                    thread::sleep(RUNS_FOR);
-                    held.fetch_sub(1, Ordering::SeqCst);
+                    thread::sleep(JOB_DURATION);
+                    running.fetch_sub(1, Ordering::SeqCst);
                     let result = format!("{id} read {} bytes", request.body.len());
-                    let (call, load) = (&request.call, load(&held));
+                    let (call, load) = (&request.call, load_report(&running));
                     let news = format!(
                         r#"{{"id":"{call}","from":"{id}","state":"done","result":"{result}","load":{load}}}"#
                     );
-                    let told = tell(&news);
-                    println!("{id}: {call} done{}", if told.is_ok() { "" } else { ", but the node is gone" });
+                    let reported = report(&news);
+                    println!(
+                        "{id}: {call} done{}",
+                        if reported.is_ok() { "" } else { ", but the report to the node failed" }
+                    );
                 });
             }
         }
@@ -102,7 +105,7 @@
     Ok(())
 }
 
-fn tell(news: &str) -> std::io::Result<()> {
+fn report(news: &str) -> std::io::Result<()> {
     let mut node = TcpStream::connect(NODE)?;
     let length = news.len();
     let head = format!("POST /_jobs/news HTTP/1.1\r\nHost: {NODE}\r\nConnection: close\r\n");
@@ -110,7 +113,7 @@
     node.read_to_end(&mut Vec::new()).map(drop)
 }
 
-/// The whole list once; then an empty line every two seconds, as nothing changes.
+/// Sends the whole list once, then an empty line every two seconds, as the list never changes.
 fn discovery(stream: TcpStream) -> std::io::Result<()> {
     let mut out = stream.try_clone()?;
     let Some(request) = read(&mut BufReader::new(stream)) else { return Ok(()) };
@@ -129,11 +132,11 @@
 }
 
 fn main() {
-    let alone = std::env::args().nth(1);
-    listen(alone.as_deref().unwrap_or(DISCOVERY), |stream| drop(discovery(stream)));
-    for (id, addr) in EXECUTORS.into_iter().filter(|_| alone.is_none()) {
-        let held = Arc::default();
-        listen(addr, move |stream| drop(executor(id, stream, &held)));
+    let discovery_addr = std::env::args().nth(1);
+    listen(discovery_addr.as_deref().unwrap_or(DISCOVERY), |stream| drop(discovery(stream)));
+    for (id, addr) in EXECUTORS.into_iter().filter(|_| discovery_addr.is_none()) {
+        let running = Arc::default();
+        listen(addr, move |stream| drop(executor(id, stream, &running)));
     }
     loop {
         thread::park();
