--- a/crates/coveroute-node/tests/limits.rs
+++ b/crates/coveroute-node/tests/limits.rs
@@ -1,5 +1,5 @@
-//! A tenant's share over several processes of the program, with faults between them: it goes where its traffic is, and all
-//! together never have more than is stated.
+//! A tenant's share over several real processes under faults: it moves to the nodes with traffic, and the total over all nodes
+//! never exceeds the configured share.
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -9,14 +9,14 @@
 
 const TENANT: &str = "acme";
 const SHARE: f64 = 40.0;
-/// Of what is wanted at one node, and of a share that all want more of, at least so much is had. An equal part would be a
-/// quarter of the share.
-const PART: f64 = 0.9;
-const OF_SHARE: f64 = 0.85;
-/// Beside the share, what all may have had more at any moment: twice a stock's time, half a second.
-const OVER: f64 = 2.0 * 0.5 * SHARE;
+/// Required fraction of the demand at one node. An equal split would give it a quarter of the share.
+const MIN_ADMITTED: f64 = 0.9;
+/// Required fraction of a share that is exceeded by the total demand.
+const MIN_SHARE_USED: f64 = 0.85;
+/// Allowed excess over the share at any moment, over all nodes: twice the time for which rights accumulate, half a second.
+const MAX_EXCESS: f64 = 2.0 * 0.5 * SHARE;
 
-fn met(nodes: usize) -> (Processes, Vec<Caller>) {
+fn start_connected(nodes: usize) -> (Processes, Vec<Caller>) {
     let program = Path::new(env!("CARGO_BIN_EXE_coveroute"));
     let tenant = Some((TENANT, SHARE));
     let fleet = Processes::limited(program, nodes, FleetPart::default(), tenant).expect("processes");
@@ -30,71 +30,73 @@
     fleet.fleet(node)?["mints"].as_u64()
 }
 
-/// How often it is looked at what was wanted and had: as often as rights last.
-const LOOKS: f64 = 0.5;
+/// Sampling interval of demand and admissions in seconds: equals the lifetime of rights.
+const SAMPLE_SECONDS: f64 = 0.5;
 
-/// Of what was wanted at these nodes in that time and could be had, the part that was. Counted look by look, so that a
-/// machine that gives nodes or callers no time for a while costs nothing: what is not wanted then can't be had, and what
-/// callers make up for afterwards is beyond the share. On a machine with time it is the part of all that was wanted, or of
-/// the share where more is.
-fn part_within(fleet: &Processes, nodes: &[usize], seconds: f64) -> f64 {
-    let look = || {
+/// Returns the admitted fraction of the demand at these nodes, with demand capped at the share. The cap is applied per sampling
+/// interval, so that pauses of nodes or callers on a busy machine don't count against the result: demand that is missing in a
+/// pause can't be admitted, and what callers make up for afterwards exceeds the share. On an idle machine, the result is the
+/// admitted fraction of all demand, or of the share if demand exceeds it.
+fn admitted_fraction(fleet: &Processes, nodes: &[usize], seconds: f64) -> f64 {
+    let sample = || {
         let figures = nodes.iter().map(|node| fleet.within(*node, TENANT).expect("figures"));
         (Instant::now(), figures.fold((0.0, 0.0), |sum, node| (sum.0 + node.0, sum.1 + node.1)))
     };
-    let (mut before, mut could, mut had) = (look(), 0.0, 0.0);
-    for _ in 0..(seconds / LOOKS) as usize {
-        std::thread::sleep(Duration::from_secs_f64(LOOKS));
-        let now = look();
-        let most = SHARE * (now.0 - before.0).as_secs_f64() + 1.0;
-        could += (now.1 .0 - before.1 .0).min(most);
-        had += now.1 .1 - before.1 .1;
+    let (mut before, mut demand, mut admitted) = (sample(), 0.0, 0.0);
+    for _ in 0..(seconds / SAMPLE_SECONDS) as usize {
+        std::thread::sleep(Duration::from_secs_f64(SAMPLE_SECONDS));
+        let now = sample();
+        let limit = SHARE * (now.0 - before.0).as_secs_f64() + 1.0;
+        demand += (now.1 .0 - before.1 .0).min(limit);
+        admitted += now.1 .1 - before.1 .1;
         before = now;
     }
-    assert!(could > 10.0 * seconds, "{could} could be had in {seconds} s");
-    println!("{:.3} of {could:.0}", had / could);
-    had / could
+    assert!(demand > 10.0 * seconds, "only {demand} invocations within the share in {seconds} s");
+    println!("{:.3} of {demand:.0}", admitted / demand);
+    admitted / demand
 }
 
 #[test]
-fn the_share_goes_where_the_traffic_is() {
-    let (fleet, callers) = met(4);
+fn the_share_moves_to_the_nodes_with_traffic() {
+    let (fleet, callers) = start_connected(4);
     for node in [0, 3] {
         callers[node].calls(0.9 * SHARE);
         std::thread::sleep(Duration::from_secs(2));
-        let part = part_within(&fleet, &[node], 4.0);
-        assert!(part > PART, "{part} {:?}", fleet.fleet(node));
+        let fraction = admitted_fraction(&fleet, &[node], 4.0);
+        assert!(fraction > MIN_ADMITTED, "{fraction} {:?}", fleet.fleet(node));
         callers[node].calls(0.0);
     }
 }
 
-/// A dead node's part comes back once its lease is over for sure, and a deputy has it.
+/// A dead node's part is taken over by a deputy once its lease has certainly expired.
 #[test]
-fn what_was_a_dead_nodes_comes_back() {
-    let (mut fleet, callers) = met(4);
+fn a_dead_nodes_part_is_taken_over_and_returned() {
+    let (mut fleet, callers) = start_connected(4);
     fleet.kill(2);
     let taken = |p: &Processes| [0, 1, 3].map(|node| mints(p, node).unwrap_or(0)).iter().sum::<u64>() == 4;
     assert!(fleet.until(15.0, taken).is_some(), "{:?}", fleet.fleet(0));
     callers[0].calls(0.9 * SHARE);
     std::thread::sleep(Duration::from_secs(2));
-    let part = part_within(&fleet, &[0], 4.0);
-    assert!(part > PART, "{part} {:?}", fleet.fleet(0));
-    // And it gets its own again when it is back.
+    let fraction = admitted_fraction(&fleet, &[0], 4.0);
+    assert!(fraction > MIN_ADMITTED, "{fraction} {:?}", fleet.fleet(0));
+    // The node gets its part back after a restart.
     fleet.begin(2).expect("a process");
     assert!(fleet.until(20.0, |p| mints(p, 2) == Some(1)).is_some(), "{:?}", fleet.fleet(2));
 }
 
-/// Guards against rights that are had twice: by who is cut off, stands still or starts again, and by who goes on for it.
+/// Guards against rights that are used twice: by a node that is partitioned, stalled or restarted, and by the node that took
+/// over from it.
 #[test]
-fn all_together_never_have_more_than_is_stated() {
-    let (mut fleet, callers) = met(5);
+fn all_nodes_together_never_exceed_the_share() {
+    let (mut fleet, callers) = start_connected(5);
     callers.iter().for_each(|caller| caller.calls(SHARE));
     let began = Instant::now();
-    // Of each process, what it had when it was last seen; and of all that ended.
+    // Admissions of each running process at its last sample, and the total of processes that have ended.
     let (mut last, mut ended) = (vec![0.0; 5], 0.0);
-    let mut seen: Vec<(f64, f64)> = Vec::new();
-    let look = |fleet: &Processes, last: &mut Vec<f64>, ended: f64| {
-        // Looked at from first to last: no window that ends before is shorter than it is taken to be.
+    let mut samples: Vec<(f64, f64)> = Vec::new();
+    let sample = |fleet: &Processes, last: &mut Vec<f64>, ended: f64| {
+        // Takes the time before the first and after the last reading: a window from the start of one sample to the end of a later
+        // one is never shorter than the time that its admissions took.
         let from = began.elapsed().as_secs_f64();
         for node in fleet.running() {
             last[node] = fleet.within(node, TENANT).map_or(last[node], |within| within.1.max(last[node]));
@@ -103,12 +105,17 @@
     };
     let mut step = 0;
     while began.elapsed().as_secs_f64() < 24.0 {
-        let (from, to, had) = look(&fleet, &mut last, ended);
-        for (at, before) in &seen {
-            let most = SHARE * (to - at) * 1.02 + OVER + 1.0;
-            assert!(had - before <= most, "{} in {:.2} s, {most:.1} at most", had - before, to - at);
+        let (from, to, admitted) = sample(&fleet, &mut last, ended);
+        for (at, before) in &samples {
+            let limit = SHARE * (to - at) * 1.02 + MAX_EXCESS + 1.0;
+            assert!(
+                admitted - before <= limit,
+                "{} admitted in {:.2} s, limit {limit:.1}",
+                admitted - before,
+                to - at
+            );
         }
-        seen.push((from, had));
+        samples.push((from, admitted));
         let due = [3.0, 6.0, 9.0, 12.0, 15.0, 18.0, 21.0].iter().filter(|at| from >= **at).count();
         if due > step {
             step = due;
@@ -129,15 +136,15 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    let (_, had) = seen[seen.len() - 1];
-    assert!(had > 0.5 * SHARE * 24.0, "most of it is used: {had}");
+    let (_, admitted) = samples[samples.len() - 1];
+    assert!(admitted > 0.5 * SHARE * 24.0, "less than half of the share was used: {admitted}");
 }
 
-/// A share that is lowered by SIGHUP under load holds from then on, also at a node that is cut off from the others; one
-/// that is raised is had within seconds.
+/// A share lowered by SIGHUP under load is enforced from then on, also at a partitioned node; a raised one is available within
+/// seconds.
 #[test]
-fn a_share_read_anew_holds_under_load() {
-    let (mut fleet, callers) = met(4);
+fn a_reloaded_share_is_enforced_under_load() {
+    let (mut fleet, callers) = start_connected(4);
     let all = [0, 1, 2, 3];
     callers.iter().for_each(|caller| caller.calls(SHARE / 2.0));
     std::thread::sleep(Duration::from_secs(2));
@@ -146,32 +153,33 @@
     all.iter().for_each(|node| fleet.reread(*node));
     let lower = |p: &Processes| all.iter().all(|node| share_in_force(p, *node) == Some(SHARE / 4.0));
     assert!(fleet.until(5.0, lower).is_some(), "{}", fleet.log(0));
-    let had = |p: &Processes| all.iter().filter_map(|node| p.within(*node, TENANT)).map(|w| w.1).sum::<f64>();
-    let (before, began) = (had(&fleet), Instant::now());
+    let admitted =
+        |p: &Processes| all.iter().filter_map(|node| p.within(*node, TENANT)).map(|w| w.1).sum::<f64>();
+    let (before, began) = (admitted(&fleet), Instant::now());
     std::thread::sleep(Duration::from_secs(4));
-    let (after, span) = (had(&fleet), began.elapsed().as_secs_f64());
-    let most = SHARE / 4.0 * (span * 1.02 + 2.0 * 0.5) + 1.0;
-    assert!(after - before <= most, "{} of {most} in {span} s", after - before);
+    let (after, span) = (admitted(&fleet), began.elapsed().as_secs_f64());
+    let limit = SHARE / 4.0 * (span * 1.02 + 2.0 * 0.5) + 1.0;
+    assert!(after - before <= limit, "{} of {limit} in {span} s", after - before);
     fleet.heal();
     fleet.share(&all, SHARE).expect("files");
     all.iter().for_each(|node| fleet.reread(*node));
     let minted = |p: &Processes| all.iter().all(|node| mints(p, *node) == Some(1));
     std::thread::sleep(Duration::from_secs(1));
     assert!(fleet.until(20.0, minted).is_some(), "{:?}", fleet.fleet(0));
-    let part = part_within(&fleet, &all, 4.0);
-    assert!(part > OF_SHARE, "{part} of the share is had");
+    let fraction = admitted_fraction(&fleet, &all, 4.0);
+    assert!(fraction > MIN_SHARE_USED, "{fraction} of the share was used");
 }
 
-/// What the door says of the share: invocations a second.
+/// The share in force by the management endpoint, in invocations a second.
 fn share_in_force(fleet: &Processes, node: usize) -> Option<f64> {
     let limit = fleet.fleet(node)?["limits"][TENANT].clone();
     Some(limit["share"].as_f64()? / limit["window"].as_f64()?)
 }
 
-/// Who is cut off from most voters goes by an equal part, as without a fleet, and says so.
+/// A node without a majority of voters falls back to an equal part, as without a fleet, and reports that it mints no rights.
 #[test]
-fn who_is_cut_off_goes_by_an_equal_part() {
-    let (fleet, callers) = met(4);
+fn a_partitioned_node_falls_back_to_an_equal_part() {
+    let (fleet, callers) = start_connected(4);
     callers[3].calls(SHARE);
     fleet.strike(What::LinkCut, 0.0, &[3], Direction::Both);
     let alone = |p: &Processes| mints(p, 3) == Some(0) && mints(p, 0).is_some_and(|mints| mints >= 1);
--- a/crates/coveroute-node/tests/replace.rs
+++ b/crates/coveroute-node/tests/replace.rs
@@ -1,5 +1,5 @@
-//! One process takes the place of another one, as operators do it: real processes of the program on loopback, with an
-//! executor and a discovery of the test's own.
+//! Zero-downtime replacement of a process by another one, as operators do it: real processes on loopback with a test executor
+//! and a test discovery service.
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -16,9 +16,9 @@
 mod message;
 use message::read_message;
 
-const SOON: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An address that is free now, on an address of this test's own so that tests don't meet.
+/// Returns a free address on a loopback host that no other test uses.
 fn free() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let (at, own) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -28,7 +28,7 @@
 
 fn call(addr: SocketAddr, request: &str) -> Option<(Vec<String>, Vec<u8>)> {
     let mut stream = TcpStream::connect(addr).ok()?;
-    stream.set_read_timeout(Some(SOON)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     read_message(&mut BufReader::new(stream))
 }
@@ -38,11 +38,11 @@
     Some(head[0].split(' ').nth(1)?.to_owned())
 }
 
-/// An executor that runs each job for so long as its body says, in milliseconds, and tells `node` on a new connection.
-fn executor(node: SocketAddr, ran: Arc<AtomicU64>, full: Arc<AtomicBool>) -> SocketAddr {
+/// Starts an executor that runs each job for the milliseconds in its body and reports to `node` on a new connection.
+fn executor(node: SocketAddr, executions: Arc<AtomicU64>, full: Arc<AtomicBool>) -> SocketAddr {
     let listener = TcpListener::bind((free().ip(), 0)).expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let serve = move |stream: TcpStream, ran: Arc<AtomicU64>, full: Arc<AtomicBool>| {
+    let serve = move |stream: TcpStream, executions: Arc<AtomicU64>, full: Arc<AtomicBool>| {
         let mut answers = stream.try_clone().expect("a stream");
         let mut requests = BufReader::new(stream);
         while let Some((head, body)) = read_message(&mut requests) {
@@ -54,9 +54,10 @@
                 (false, true) => ("200 OK", "{\"x0\":0}"),
             };
             let answer = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-            let _ = answers.write_all(answer.as_bytes()); // In one piece: a second one would wait for the first.
+            // In one write: a second one would be delayed until the first is acknowledged (Nagle's algorithm).
+            let _ = answers.write_all(answer.as_bytes());
             if job && !full {
-                ran.fetch_add(1, Ordering::Relaxed);
+                executions.fetch_add(1, Ordering::Relaxed);
                 let id = head
                     .iter()
                     .find_map(|line| line.to_lowercase().strip_prefix("x-call-id:").map(str::to_owned));
@@ -71,9 +72,9 @@
                         "POST /_jobs/news HTTP/1.1\r\nHost: n\r\nContent-Length: {}\r\n\r\n{news}",
                         news.len()
                     );
-                    // As executors do: again until it is acknowledged.
+                    // Retries until acknowledged, as executors do.
                     for _ in 0..10 {
-                        if call(node, &text).is_some_and(|told| told.0[0].contains(" 200 ")) {
+                        if call(node, &text).is_some_and(|response| response.0[0].contains(" 200 ")) {
                             return;
                         }
                         thread::sleep(Duration::from_millis(100));
@@ -84,14 +85,14 @@
     };
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (ran, full) = (ran.clone(), full.clone());
-            thread::spawn(move || serve(stream, ran, full));
+            let (executions, full) = (executions.clone(), full.clone());
+            thread::spawn(move || serve(stream, executions, full));
         }
     });
     addr
 }
 
-/// A discovery that tells of that executor alone.
+/// Starts a discovery service that lists only this executor.
 fn discovery(executor: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind((free().ip(), 0)).expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -118,18 +119,18 @@
     addr
 }
 
-struct World {
+struct Fixture {
     folder: PathBuf,
     node: SocketAddr,
-    ran: Arc<AtomicU64>,
-    /// Whether the executor has no room.
+    executions: Arc<AtomicU64>,
+    /// Whether the executor rejects jobs for lack of capacity.
     full: Arc<AtomicBool>,
 }
 
-/// A process of the node, and its operators' door.
+/// A process of the node, and its management address.
 struct Process {
     child: Child,
-    door: SocketAddr,
+    management: SocketAddr,
 }
 
 impl Drop for Process {
@@ -139,28 +140,29 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Fixture {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl World {
+impl Fixture {
     fn new() -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let at = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("coveroute-replace-{}-{at}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (node, ran, full) = (free(), Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(false)));
-        let discovery = discovery(executor(node, ran.clone(), full.clone()));
+        let (node, executions, full) =
+            (free(), Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(false)));
+        let discovery = discovery(executor(node, executions.clone(), full.clone()));
         let config = include_str!("../../../examples/config.json");
         let config = config.replace("127.0.0.1:9000", &node.to_string());
         let config = config.replace("127.0.0.1:8500", &discovery.to_string());
         std::fs::write(folder.join("config.json"), config).expect("a file");
-        World { folder, node, ran, full }
+        Fixture { folder, node, executions, full }
     }
 
-    fn place(&self) -> PathBuf {
+    fn socket_path(&self) -> PathBuf {
         let name = format!("coveroute-{}.sock", self.node).replace(':', "_");
         self.folder.join(name)
     }
@@ -169,29 +171,29 @@
         self.start_at(folder, free())
     }
 
-    fn start_at(&self, folder: Option<&Path>, door: SocketAddr) -> Process {
+    fn start_at(&self, folder: Option<&Path>, management: SocketAddr) -> Process {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("log"));
         let mut command = Command::new(env!("CARGO_BIN_EXE_coveroute"));
         command.arg("serve").arg("--config").arg(self.folder.join("config.json"));
-        command.env_remove("TMPDIR").env("BALANCER_MANAGEMENT", door.to_string());
+        command.env_remove("TMPDIR").env("BALANCER_MANAGEMENT", management.to_string());
         if let Some(folder) = folder {
             command.env("TMPDIR", folder);
         }
         let child = command.stdin(Stdio::null()).stderr(log.expect("a log")).spawn().expect("a process");
-        Process { child, door }
+        Process { child, management }
     }
 
-    fn ready(&self, folder: Option<&Path>) -> Process {
+    fn start_ready(&self, folder: Option<&Path>) -> Process {
         let process = self.start(folder);
-        until(|| status(process.door, "/v1/readyz").as_deref() == Some("200"));
+        until(|| status(process.management, "/v1/readyz").as_deref() == Some("200"));
         process
     }
 
-    fn replaceable(&self) -> Process {
-        self.ready(Some(&self.folder))
+    fn start_replaceable(&self) -> Process {
+        self.start_ready(Some(&self.folder))
     }
 
-    /// A client's job that runs so long; its answer, in another thread.
+    /// Sends a job that runs for `millis` from another thread, which returns the response's body.
     fn job(&self, id: &str, millis: u64) -> thread::JoinHandle<String> {
         let (node, body) = (self.node, millis.to_string());
         let request = format!(
@@ -212,26 +214,27 @@
 fn until(what: impl Fn() -> bool) {
     let begun = Instant::now();
     while !what() {
-        assert!(begun.elapsed() < SOON, "not in time");
+        assert!(begun.elapsed() < TIMEOUT, "the condition did not hold in time");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 impl Process {
-    /// Whether it has so many jobs whose clients wait.
-    fn owes(&self, many: usize) -> bool {
-        let (_, body) = call(self.door, "GET /v1/metrics HTTP/1.1\r\nHost: n\r\n\r\n").expect("figures");
-        String::from_utf8_lossy(&body).contains(&format!("\"outstanding\":{many}"))
+    /// Whether it has this many jobs whose clients wait for a response.
+    fn has_waiting(&self, count: usize) -> bool {
+        let (_, body) =
+            call(self.management, "GET /v1/metrics HTTP/1.1\r\nHost: n\r\n\r\n").expect("figures");
+        String::from_utf8_lossy(&body).contains(&format!("\"outstanding\":{count}"))
     }
 
     fn signal(&self, name: &str) {
-        let told = Command::new("kill").args([name, &self.child.id().to_string()]).status();
-        assert!(told.is_ok_and(|told| told.success()));
+        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        assert!(status.is_ok_and(|status| status.success()));
     }
 
-    fn ends(&mut self) -> bool {
+    fn exits_successfully(&mut self) -> bool {
         let begun = Instant::now();
-        while begun.elapsed() < SOON {
+        while begun.elapsed() < TIMEOUT {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.success();
             }
@@ -241,123 +244,128 @@
     }
 }
 
-fn answered(jobs: Vec<(String, thread::JoinHandle<String>)>) {
+fn check_answers(jobs: Vec<(String, thread::JoinHandle<String>)>) {
     for (id, job) in jobs {
         assert_eq!(job.join().expect("a client"), format!("r-{id}"));
     }
 }
 
-/// Jobs of this length, one each 20 ms, with these ids.
-fn load(world: &World, name: &str, many: usize, millis: u64) -> Vec<(String, thread::JoinHandle<String>)> {
+/// Sends jobs of this duration, one each 20 ms, with ids that start with `name`.
+fn send_jobs(
+    fixture: &Fixture,
+    name: &str,
+    many: usize,
+    millis: u64,
+) -> Vec<(String, thread::JoinHandle<String>)> {
     let one = |at| {
         let id = format!("{name}{at}");
-        let job = world.job(&id, millis);
+        let job = fixture.job(&id, millis);
         thread::sleep(Duration::from_millis(20));
         (id, job)
     };
     (0..many).map(one).collect()
 }
 
-// Each job's end is told on a new connection, which the new process takes: it passes it on to the old one.
+// Executors report each job on a new connection, which the new process accepts and forwards to the old one.
 #[test]
-fn no_job_is_lost_when_processes_take_each_others_place() {
-    let world = World::new();
-    let mut old = world.replaceable();
+fn no_job_is_lost_in_repeated_replacements() {
+    let fixture = Fixture::new();
+    let mut old = fixture.start_replaceable();
     for round in 0..2 {
-        let before = load(&world, &format!("before{round}-"), 20, 700);
-        let new = world.replaceable();
+        let before = send_jobs(&fixture, &format!("before{round}-"), 20, 700);
+        let new = fixture.start_replaceable();
         old.signal("-TERM");
-        let after = load(&world, &format!("after{round}-"), 20, 50);
-        answered(before);
-        answered(after);
-        assert!(old.ends(), "the old one ends by itself: {}", world.log());
+        let after = send_jobs(&fixture, &format!("after{round}-"), 20, 50);
+        check_answers(before);
+        check_answers(after);
+        assert!(old.exits_successfully(), "the old process did not exit: {}", fixture.log());
         old = new;
     }
-    assert_eq!(world.ran.load(Ordering::Relaxed), 80, "none ran twice");
+    assert_eq!(fixture.executions.load(Ordering::Relaxed), 80, "number of executions");
 }
 
 #[test]
 fn a_new_process_that_dies_leaves_the_old_one_serving() {
-    let world = World::new();
-    let old = world.replaceable();
-    let new = world.replaceable();
+    let fixture = Fixture::new();
+    let old = fixture.start_replaceable();
+    let new = fixture.start_replaceable();
     drop(new); // Killed.
-    until(|| world.log().contains("the link to the process after has ended"));
-    answered(load(&world, "a", 10, 50));
-    assert_eq!(status(old.door, "/v1/readyz").as_deref(), Some("200"));
-    drop(world.replaceable()); // Another one may still come.
+    until(|| fixture.log().contains("the link to the process after has ended"));
+    check_answers(send_jobs(&fixture, "a", 10, 50));
+    assert_eq!(status(old.management, "/v1/readyz").as_deref(), Some("200"));
+    drop(fixture.start_replaceable()); // A further replacement is still possible.
 }
 
 #[test]
 fn an_old_process_that_dies_leaves_the_new_one_serving() {
-    let world = World::new();
-    let (old, new) = (world.replaceable(), world.replaceable());
+    let fixture = Fixture::new();
+    let (old, new) = (fixture.start_replaceable(), fixture.start_replaceable());
     drop(old);
-    until(|| world.log().contains("the link to the process before has ended"));
-    answered(load(&world, "a", 10, 50));
-    assert_eq!(status(new.door, "/v1/readyz").as_deref(), Some("200"));
+    until(|| fixture.log().contains("the link to the process before has ended"));
+    check_answers(send_jobs(&fixture, "a", 10, 50));
+    assert_eq!(status(new.management, "/v1/readyz").as_deref(), Some("200"));
 }
 
-enum Odd {
-    Stale,
+enum Obstacle {
+    StaleSocket,
     File,
     Silent,
-    Garbage,
+    Unreadable,
     NoFolder,
 }
 
-// A start goes on without what a process before knows, whatever stands in its way, well inside six seconds.
-#[test_case(Odd::Stale; "a socket that nobody listens on")]
-#[test_case(Odd::File; "a file that is no socket")]
-#[test_case(Odd::Silent; "a process that says nothing")]
-#[test_case(Odd::Garbage; "a process that says what can't be read")]
-#[test_case(Odd::NoFolder; "no folder that both have")]
-fn a_start_goes_on_without_a_process_before(odd: Odd) {
+// A process becomes ready without the state of an earlier one, whatever it finds in place of one, and well within six seconds.
+#[test_case(Obstacle::StaleSocket; "a socket without a listener")]
+#[test_case(Obstacle::File; "a file that is no socket")]
+#[test_case(Obstacle::Silent; "a process that sends nothing")]
+#[test_case(Obstacle::Unreadable; "a process that sends an unreadable message")]
+#[test_case(Obstacle::NoFolder; "no shared folder")]
+fn a_process_starts_without_state_of_an_earlier_one(obstacle: Obstacle) {
     use std::os::unix::net::UnixListener;
-    let world = World::new();
-    let bound = || UnixListener::bind(world.place()).expect("a socket");
-    let (mut held, mut folder) = (None, Some(&*world.folder));
-    match odd {
-        Odd::Stale => drop(bound()),
-        Odd::File => std::fs::write(world.place(), "x").expect("a file"),
-        Odd::Silent => held = Some(bound()),
-        Odd::Garbage => {
+    let fixture = Fixture::new();
+    let bound = || UnixListener::bind(fixture.socket_path()).expect("a socket");
+    let (mut held, mut folder) = (None, Some(&*fixture.folder));
+    match obstacle {
+        Obstacle::StaleSocket => drop(bound()),
+        Obstacle::File => std::fs::write(fixture.socket_path(), "x").expect("a file"),
+        Obstacle::Silent => held = Some(bound()),
+        Obstacle::Unreadable => {
             let listener = bound();
             thread::spawn(move || {
                 let _ = listener.accept().and_then(|(mut stream, _)| stream.write_all(b"s{\"Hello\":{}}\n"));
             });
         }
-        Odd::NoFolder => folder = None,
+        Obstacle::NoFolder => folder = None,
     }
     let begun = Instant::now();
-    let _process = world.ready(folder);
+    let _process = fixture.start_ready(folder);
     assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
-    answered(load(&world, "a", 5, 50));
+    check_answers(send_jobs(&fixture, "a", 5, 50));
     drop(held);
 }
 
 #[test]
-fn what_is_said_on_the_link_costs_the_link_alone() {
+fn invalid_messages_only_close_the_link() {
     use std::os::unix::net::UnixStream;
-    let world = World::new();
-    let _old = world.replaceable();
-    let words =
+    let fixture = Fixture::new();
+    let _old = fixture.start_replaceable();
+    let messages =
         ["", "nonsense\n", "{\"Hello\":99}\n", "\"Serves\"\n", "{\"Hello\":1}\n{\"News\":[1,\"x\"]}\n"];
-    for word in words {
-        let mut stream = UnixStream::connect(world.place()).expect("a link");
-        stream.write_all(word.as_bytes()).expect("written");
+    for message in messages {
+        let mut stream = UnixStream::connect(fixture.socket_path()).expect("a link");
+        stream.write_all(message.as_bytes()).expect("written");
         thread::sleep(Duration::from_millis(50));
     }
-    answered(load(&world, "a", 5, 50));
-    answered(load(&world, "b", 5, 50));
+    check_answers(send_jobs(&fixture, "a", 5, 50));
+    check_answers(send_jobs(&fixture, "b", 5, 50));
 }
 
-// Guards against jobs that are cut when a process stops: they go on in the next one, with their clients.
+// Guards against jobs that are aborted when a process stops: they and their client connections move to the next process.
 #[test]
-fn jobs_and_connections_go_on_in_the_next_process() {
-    let world = World::new();
-    let mut old = world.replaceable();
-    let mut kept = TcpStream::connect(world.node).expect("a connection");
+fn jobs_and_connections_move_to_the_next_process() {
+    let fixture = Fixture::new();
+    let mut old = fixture.start_replaceable();
+    let mut kept = TcpStream::connect(fixture.node).expect("a connection");
     let ask = |kept: &mut TcpStream, id: &str| {
         let text = format!(
             "POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id}\r\nX-Budget-Ms: 9000\r\nContent-Length: 2\r\n\r\n10"
@@ -368,184 +376,194 @@
         assert_eq!(String::from_utf8_lossy(&body), format!("r-{id}"));
     };
     ask(&mut kept, "first");
-    let long = load(&world, "long", 3, 4500); // Longer than a process that is told to stop may stay.
+    let long_jobs = send_jobs(&fixture, "long", 3, 4500); // Longer than a process may take to stop.
     thread::sleep(Duration::from_millis(200));
-    let _new = world.replaceable();
+    let _new = fixture.start_replaceable();
     old.signal("-TERM");
     let begun = Instant::now();
-    assert!(old.ends() && begun.elapsed() < Duration::from_secs(1), "{:?}: {}", begun.elapsed(), world.log());
-    ask(&mut kept, "second"); // On the connection that the old process had.
-    answered(long);
-    assert_eq!(world.ran.load(Ordering::Relaxed), 5, "none ran twice");
+    assert!(
+        old.exits_successfully() && begun.elapsed() < Duration::from_secs(1),
+        "{:?}: {}",
+        begun.elapsed(),
+        fixture.log()
+    );
+    ask(&mut kept, "second"); // On the connection that the old process had accepted.
+    check_answers(long_jobs);
+    assert_eq!(fixture.executions.load(Ordering::Relaxed), 5, "number of executions");
 }
 
 #[test]
-fn a_client_that_leaves_after_its_job_has_moved_is_noticed() {
-    let world = World::new();
-    let _old = world.replaceable();
-    let mut client = TcpStream::connect(world.node).expect("a connection");
+fn a_client_that_disconnects_after_its_job_has_moved_is_noticed() {
+    let fixture = Fixture::new();
+    let _old = fixture.start_replaceable();
+    let mut client = TcpStream::connect(fixture.node).expect("a connection");
     let text =
         "POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nX-Budget-Ms: 9000\r\nContent-Length: 4\r\n\r\n8000";
     client.write_all(text.as_bytes()).expect("written");
-    until(|| world.ran.load(Ordering::Relaxed) == 1);
-    let new = world.replaceable();
-    until(|| new.owes(1));
+    until(|| fixture.executions.load(Ordering::Relaxed) == 1);
+    let new = fixture.start_replaceable();
+    until(|| new.has_waiting(1));
     drop(client);
-    until(|| !new.owes(1));
+    until(|| !new.has_waiting(1));
 }
 
 #[derive(Clone, Copy)]
-enum Ends {
-    Closes,
-    HalfCloses,
-    Resets,
+enum Disconnect {
+    Close,
+    HalfClose,
+    Reset,
 }
 
-// Two clients' jobs go to the next process while no executor has room, and wait there. One says more, and leaves: once there is
-// room only the other's is sent. Guards against a close that stands behind bytes, also more than the kernel holds unread.
-#[test_case(0, Ends::Closes; "behind nothing")]
-#[test_case(0, Ends::HalfCloses; "behind nothing, by half")]
-#[test_case(0, Ends::Resets; "behind nothing, by a reset")]
-#[test_case(1, Ends::Closes; "behind a byte")]
-#[test_case(1, Ends::HalfCloses; "behind a byte, by half")]
-#[test_case(20_000, Ends::Resets; "behind some, by a reset")]
-#[test_case(300_000, Ends::Closes; "behind more than the kernel holds")]
-#[test_case(300_000, Ends::HalfCloses; "behind more than the kernel holds, by half")]
-fn nothing_begins_for_a_client_that_leaves_after_its_job_has_moved(behind: usize, ends: Ends) {
+// The jobs of two clients move to the next process while no executor has capacity, and are queued there. One client sends further
+// bytes and disconnects: once there is capacity, only the other client's job may be sent. Guards against a close that goes
+// unnoticed behind unread bytes, also more than the kernel buffers.
+#[test_case(0, Disconnect::Close; "without further bytes")]
+#[test_case(0, Disconnect::HalfClose; "without further bytes, half-closed")]
+#[test_case(0, Disconnect::Reset; "without further bytes, reset")]
+#[test_case(1, Disconnect::Close; "after a byte")]
+#[test_case(1, Disconnect::HalfClose; "after a byte, half-closed")]
+#[test_case(20_000, Disconnect::Reset; "after some bytes, reset")]
+#[test_case(300_000, Disconnect::Close; "after more bytes than the kernel buffers")]
+#[test_case(300_000, Disconnect::HalfClose; "after more bytes than the kernel buffers, half-closed")]
+fn no_job_is_sent_for_a_client_that_disconnects_after_its_job_has_moved(
+    extra_bytes: usize,
+    disconnect: Disconnect,
+) {
     use nix::libc;
-    let world = World::new();
-    let file = world.folder.join("config.json");
+    let fixture = Fixture::new();
+    let file = fixture.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("the file");
-    // Patience: a process has to start meanwhile.
+    // A longer time limit, as a process has to start in the meantime.
     std::fs::write(&file, text.replace("\"onTime\": 1000.0", "\"onTime\": 9000.0")).expect("written");
-    world.full.store(true, Ordering::SeqCst);
-    let old = world.replaceable();
+    fixture.full.store(true, Ordering::SeqCst);
+    let old = fixture.start_replaceable();
     let [mut leaver, twin] = ["leaver", "twin"].map(|id| {
-        let mut client = TcpStream::connect(world.node).expect("a connection");
+        let mut client = TcpStream::connect(fixture.node).expect("a connection");
         let text = format!(
             "POST /look HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id}\r\nX-Budget-Ms: 9000\r\nContent-Length: 2\r\n\r\n10"
         );
         client.write_all(text.as_bytes()).expect("written");
         client
     });
-    until(|| old.owes(2));
-    let new = world.replaceable();
-    until(|| new.owes(2));
+    until(|| old.has_waiting(2));
+    let new = fixture.start_replaceable();
+    until(|| new.has_waiting(2));
     leaver.set_write_timeout(Some(Duration::from_millis(200))).expect("a limit");
-    let _ = leaver.write_all("X".repeat(behind).as_bytes());
+    let _ = leaver.write_all("X".repeat(extra_bytes).as_bytes());
     until(|| {
-        let mut on_its_way = 0;
-        // SAFETY: writes one number.
-        unsafe { libc::ioctl(leaver.as_raw_fd(), libc::TIOCOUTQ, &mut on_its_way) };
-        on_its_way == 0
+        let mut unacknowledged = 0;
+        // SAFETY: writes one integer.
+        unsafe { libc::ioctl(leaver.as_raw_fd(), libc::TIOCOUTQ, &mut unacknowledged) };
+        unacknowledged == 0
     });
-    let kept = match ends {
-        Ends::Closes => {
+    let kept = match disconnect {
+        Disconnect::Close => {
             drop(leaver);
             None
         }
-        Ends::HalfCloses => leaver.shutdown(Shutdown::Write).ok().map(|()| leaver),
-        Ends::Resets => {
+        Disconnect::HalfClose => leaver.shutdown(Shutdown::Write).ok().map(|()| leaver),
+        Disconnect::Reset => {
             socket2::SockRef::from(&leaver).set_linger(Some(Duration::ZERO)).err().map(|_| leaver)
         }
     };
     thread::sleep(Duration::from_millis(100));
-    assert_eq!(world.ran.load(Ordering::Relaxed), 0, "both wait");
-    world.full.store(false, Ordering::SeqCst);
+    assert_eq!(fixture.executions.load(Ordering::Relaxed), 0, "jobs sent while both are queued");
+    fixture.full.store(false, Ordering::SeqCst);
     let (_, body) = read_message(&mut BufReader::new(twin)).expect("an answer");
     assert_eq!(String::from_utf8_lossy(&body), "r-twin");
     thread::sleep(Duration::from_millis(200));
-    assert_eq!(world.ran.load(Ordering::Relaxed), 1, "jobs sent");
+    assert_eq!(fixture.executions.load(Ordering::Relaxed), 1, "jobs sent");
     drop(kept);
 }
 
-// Guards against an answer by a process in the middle, which had the job and has handed it on.
+// Guards against a response from an intermediate process that has already handed the job on.
 #[test]
-fn a_job_goes_on_through_two_processes() {
-    let world = World::new();
-    let mut old = world.replaceable();
-    let long = load(&world, "long", 3, 2500);
+fn a_job_survives_successive_replacements() {
+    let fixture = Fixture::new();
+    let mut old = fixture.start_replaceable();
+    let long_jobs = send_jobs(&fixture, "long", 3, 2500);
     for _ in 0..3 {
         thread::sleep(Duration::from_millis(200));
-        let new = world.replaceable();
+        let new = fixture.start_replaceable();
         old.signal("-TERM");
-        assert!(old.ends(), "{}", world.log());
+        assert!(old.exits_successfully(), "{}", fixture.log());
         old = new;
     }
-    answered(long);
-    assert_eq!(world.ran.load(Ordering::Relaxed), 3, "none ran twice");
+    check_answers(long_jobs);
+    assert_eq!(fixture.executions.load(Ordering::Relaxed), 3, "number of executions");
 }
 
 #[test]
-fn two_processes_do_not_share_an_operators_door() {
-    let world = World::new();
-    let old = world.replaceable();
-    let mut new = world.start_at(Some(&world.folder), old.door);
-    assert!(!new.ends() && world.log().contains("management: "), "{}", world.log());
-    answered(load(&world, "a", 5, 50));
-    assert_eq!(status(old.door, "/v1/readyz").as_deref(), Some("200"));
+fn two_processes_do_not_share_a_management_address() {
+    let fixture = Fixture::new();
+    let old = fixture.start_replaceable();
+    let mut new = fixture.start_at(Some(&fixture.folder), old.management);
+    assert!(!new.exits_successfully() && fixture.log().contains("management: "), "{}", fixture.log());
+    check_answers(send_jobs(&fixture, "a", 5, 50));
+    assert_eq!(status(old.management, "/v1/readyz").as_deref(), Some("200"));
 }
 
-// What the running process has applied is what holds: a file that broke meanwhile costs the new one alone.
+// The running process keeps the configuration that it has applied: a file that has become invalid since then only prevents the
+// new process from starting.
 #[test]
-fn a_broken_file_ends_the_new_process_and_not_the_old_one() {
-    let world = World::new();
-    let old = world.replaceable();
-    let file = world.folder.join("config.json");
+fn an_invalid_file_ends_only_the_new_process() {
+    let fixture = Fixture::new();
+    let old = fixture.start_replaceable();
+    let file = fixture.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("the file");
     std::fs::write(&file, &text[..text.len() / 2]).expect("written");
-    let mut new = world.start(Some(&world.folder));
+    let mut new = fixture.start(Some(&fixture.folder));
     old.signal("-HUP");
-    assert!(!new.ends(), "{}", world.log());
-    until(|| world.log().contains("not reloaded, all stays as it is"));
-    answered(load(&world, "a", 5, 50));
-    assert_eq!(status(old.door, "/v1/readyz").as_deref(), Some("200"));
+    assert!(!new.exits_successfully(), "{}", fixture.log());
+    until(|| fixture.log().contains("not reloaded, all stays as it is"));
+    check_answers(send_jobs(&fixture, "a", 5, 50));
+    assert_eq!(status(old.management, "/v1/readyz").as_deref(), Some("200"));
 }
 
-// SIGHUP and SIGTERM to either process in the middle: each has a defined end, and no job is lost.
+// SIGHUP to both processes and SIGTERM to the old one during a replacement: no job is lost.
 #[test]
-fn signals_in_the_middle_of_a_replacement_lose_nothing() {
-    let world = World::new();
-    let mut old = world.replaceable();
-    let jobs = load(&world, "before", 10, 600);
-    let new = world.start(Some(&world.folder));
+fn signals_during_a_replacement_lose_no_job() {
+    let fixture = Fixture::new();
+    let mut old = fixture.start_replaceable();
+    let jobs = send_jobs(&fixture, "before", 10, 600);
+    let new = fixture.start(Some(&fixture.folder));
     old.signal("-HUP");
-    until(|| status(new.door, "/v1/readyz").as_deref() == Some("200"));
+    until(|| status(new.management, "/v1/readyz").as_deref() == Some("200"));
     old.signal("-HUP");
     new.signal("-HUP");
     old.signal("-TERM");
-    let after = load(&world, "after", 10, 50);
-    assert!(old.ends(), "{}", world.log());
-    answered(jobs);
-    answered(after);
-    assert_eq!(world.ran.load(Ordering::Relaxed), 20, "none ran twice");
+    let after = send_jobs(&fixture, "after", 10, 50);
+    assert!(old.exits_successfully(), "{}", fixture.log());
+    check_answers(jobs);
+    check_answers(after);
+    assert_eq!(fixture.executions.load(Ordering::Relaxed), 20, "number of executions");
 }
 
-// A request that is on its way in when a stopping process begins to close connections: it began while all were open, and
-// its last byte comes after. Guards against a close, and an end, in between: what is taken gets its answer.
+// A request whose first bytes arrive while all connections are open, and whose last byte arrives after the stopping process has
+// begun to close idle ones. Guards against a close of the connection or an exit in between: an accepted request is answered.
 #[test]
-fn a_request_that_comes_in_pieces_outlives_the_close_of_idle_connections() {
-    let world = World::new();
-    let mut process = world.ready(None);
+fn a_partly_received_request_survives_the_close_of_idle_connections() {
+    let fixture = Fixture::new();
+    let mut process = fixture.start_ready(None);
     let request =
         "POST /look HTTP/1.1\r\nHost: b\r\nX-Call-Id: pieces\r\nX-Budget-Ms: 4000\r\nContent-Length: 2\r\n\r\n10";
     let (first, rest) = request.split_at(request.len() / 2);
-    let mut client = TcpStream::connect(world.node).expect("a connection");
-    client.set_read_timeout(Some(SOON)).expect("a limit");
-    let mut idle = TcpStream::connect(world.node).expect("a connection");
-    idle.set_read_timeout(Some(SOON)).expect("a limit");
+    let mut client = TcpStream::connect(fixture.node).expect("a connection");
+    client.set_read_timeout(Some(TIMEOUT)).expect("a limit");
+    let mut idle = TcpStream::connect(fixture.node).expect("a connection");
+    idle.set_read_timeout(Some(TIMEOUT)).expect("a limit");
     process.signal("-TERM");
-    until(|| world.log().contains("Serving -> Leaving"));
-    // Begun as late as can be: whoever takes too long to ask is closed at any time.
+    until(|| fixture.log().contains("Serving -> Leaving"));
+    // Sends the first half as late as possible: a connection that takes too long over a request may be closed at any time.
     let quiet = Instant::now() + Duration::from_millis(1000);
     thread::sleep(quiet - Instant::now());
     client.write_all(first.as_bytes()).expect("half a request");
-    until(|| world.log().contains("Leaving -> Closing"));
-    // Idle connections are closed by now: this one stood beside it, and has ended.
-    assert!(matches!(idle.read(&mut [0]), Ok(0)), "the idle one");
+    until(|| fixture.log().contains("Leaving -> Closing"));
+    // Idle connections have been closed by now, among them this one.
+    assert!(matches!(idle.read(&mut [0]), Ok(0)), "the idle connection is still open");
     client.write_all(rest.as_bytes()).expect("the rest");
     let (head, body) = read_message(&mut BufReader::new(client)).expect("an answer");
     let closes = head.iter().any(|line| line.eq_ignore_ascii_case("connection: close"));
     assert!(head[0].contains(" 200 ") && closes && body == b"r-pieces", "{head:?}");
-    assert!(process.ends(), "{}", world.log());
+    assert!(process.exits_successfully(), "{}", fixture.log());
 }
