--- a/crates/coveroute-node/tests/crowds/checker.rs
+++ b/crates/coveroute-node/tests/crowds/checker.rs
@@ -50,12 +50,12 @@
     /// Records that the client has just written the last byte, the latest moment that its budget can count from.
     pub fn sent(&self, call: &str, budget: Duration) {
         let sent = SentRequest { at: Instant::now(), budget, left: None };
-        self.sent.lock().expect("a lock").insert(call.to_owned(), sent);
+        self.sent.lock().expect("poisoned lock").insert(call.to_owned(), sent);
     }
 
     /// Records that the client has just closed its connection without waiting for the response.
     pub fn left(&self, call: &str) {
-        if let Some(sent) = self.sent.lock().expect("a lock").get_mut(call) {
+        if let Some(sent) = self.sent.lock().expect("poisoned lock").get_mut(call) {
             sent.left = Some(Instant::now());
         }
     }
@@ -63,12 +63,12 @@
     /// Records an attempt whose last byte arrived at `at`.
     pub fn received(&self, call: &str, server: &'static str, at: Instant, budget: Duration) {
         let attempt = ReceivedAttempt { call: call.to_owned(), server, at, budget, may_have_run: false };
-        self.received.lock().expect("a lock").push(attempt);
+        self.received.lock().expect("poisoned lock").push(attempt);
     }
 
     /// Records that the newest attempt of a request at a server may have had an effect.
     pub fn may_have_run(&self, call: &str, server: &str) {
-        let mut received = self.received.lock().expect("a lock");
+        let mut received = self.received.lock().expect("poisoned lock");
         let newest =
             received.iter_mut().rev().find(|attempt| attempt.call == call && attempt.server == server);
         newest.into_iter().for_each(|attempt| attempt.may_have_run = true);
@@ -76,7 +76,7 @@
 
     /// Returns the requests selected by `counts` of which more than one attempt may have had an effect.
     pub fn executed_twice(&self, counts: impl Fn(&str) -> bool) -> Vec<String> {
-        let received = self.received.lock().expect("a lock");
+        let received = self.received.lock().expect("poisoned lock");
         let mut ran: HashMap<&str, usize> = HashMap::new();
         let may_have_run = received.iter().filter(|attempt| attempt.may_have_run && counts(&attempt.call));
         may_have_run.for_each(|received| *ran.entry(&received.call).or_default() += 1);
@@ -85,7 +85,8 @@
 
     /// Returns the attempts that began too long after their client had closed its connection, and how long after.
     pub fn begun_after_close(&self) -> Vec<(String, Duration)> {
-        let (sent, received) = (self.sent.lock().expect("a lock"), self.received.lock().expect("a lock"));
+        let (sent, received) =
+            (self.sent.lock().expect("poisoned lock"), self.received.lock().expect("poisoned lock"));
         let late = |received: &ReceivedAttempt| {
             let left = sent.get(&received.call)?.left?;
             Some((received.call.clone(), received.at.saturating_duration_since(left)))
@@ -95,22 +96,23 @@
 
     /// Number of attempts of a request that have been received.
     pub fn attempts_of(&self, call: &str) -> usize {
-        self.received.lock().expect("a lock").iter().filter(|attempt| attempt.call == call).count()
+        self.received.lock().expect("poisoned lock").iter().filter(|attempt| attempt.call == call).count()
     }
 
     pub fn attempts(&self) -> usize {
-        self.received.lock().expect("a lock").len()
+        self.received.lock().expect("poisoned lock").len()
     }
 
     /// Number of attempts that a server has received since `from`.
     pub fn attempts_at(&self, server: &str, from: Instant) -> usize {
-        let received = self.received.lock().expect("a lock");
+        let received = self.received.lock().expect("poisoned lock");
         received.iter().filter(|attempt| attempt.server == server && attempt.at >= from).count()
     }
 
     /// Returns the attempts whose budget was too large, the largest excess first.
     pub fn overstated_budgets(&self) -> Vec<OverstatedBudget> {
-        let (sent, received) = (self.sent.lock().expect("a lock"), self.received.lock().expect("a lock"));
+        let (sent, received) =
+            (self.sent.lock().expect("poisoned lock"), self.received.lock().expect("poisoned lock"));
         let mut numbers: HashMap<&str, usize> = HashMap::new();
         let mut overstated = Vec::new();
         for received in received.iter() {
--- a/crates/coveroute-node/tests/crowds/deadline_propagation.rs
+++ b/crates/coveroute-node/tests/crowds/deadline_propagation.rs
@@ -12,7 +12,7 @@
 
 use crate::checker::Checker;
 use crate::fault_table::Call;
-use crate::harness::{free, until, NodeOptions, Process, Setup};
+use crate::harness::{unused_addr, wait_until, NodeOptions, Process, Setup};
 use crate::recording_servers::{answer, Behaviour, ListService, Server};
 use crate::system_calls::{Fault, Faults};
 
@@ -29,7 +29,7 @@
 /// Returns the node named by the first part of a call's id. The host identifies a node, as all nodes use the same port.
 pub fn node_of(call: &str) -> SocketAddr {
     let host = call.split('-').next().unwrap_or_default();
-    SocketAddr::new(host.parse().expect("a host"), 9000)
+    SocketAddr::new(host.parse().expect("not a host address"), 9000)
 }
 
 fn request(call: &str, budget: Duration) -> String {
@@ -88,10 +88,16 @@
         let faults = Faults::new(9000);
         let setup = Setup { settings: settings.to_vec(), environment: faults.environment(), log };
         let start = |_| {
-            Process::start_with(free(), list_service.addr, NodeOptions::with_descriptors(256), &[], &setup)
+            Process::start_with(
+                unused_addr(),
+                list_service.addr,
+                NodeOptions::with_descriptors(256),
+                &[],
+                &setup,
+            )
         };
         let nodes: Vec<Process> = (0..NODES).map(start).collect();
-        let ready = nodes.iter().all(|node| until(READY, || node.is_ready()));
+        let ready = nodes.iter().all(|node| wait_until(READY, || node.is_ready()));
         assert!(ready, "{}", nodes[0].log());
         Fixture { checker, faults, nodes, list_service }
     }
@@ -161,8 +167,8 @@
             thread::sleep(PACE);
         }
         faults.iter().for_each(|(call, _)| self.faults.end(*call));
-        kept.into_iter().for_each(|client| client.join().expect("a client"));
-        let answers = fresh.into_iter().map(|client| client.join().expect("a client"));
+        kept.into_iter().for_each(|client| client.join().expect("the client thread panicked"));
+        let answers = fresh.into_iter().map(|client| client.join().expect("the client thread panicked"));
         let statuses: Vec<Option<u16>> = answers.map(|answered| Some(answered?.status)).collect();
         let of = |status| statuses.iter().filter(|answered| **answered == status).count();
         let hits: u64 = faults.iter().map(|(call, _)| self.faults.hits(*call)).sum();
@@ -235,11 +241,12 @@
 
 /// Returns a listener whose accept queue is full: a further connection is established up to about a second after the queue was
 /// emptied.
-fn full(addr: SocketAddr) -> (TcpListener, Vec<TcpStream>) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.set_reuse_address(true).expect("an option");
-    socket.bind(&addr.into()).expect("its address");
-    socket.listen(1).expect("a short queue");
+fn listener_with_full_queue(addr: SocketAddr) -> (TcpListener, Vec<TcpStream>) {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("failed to create a socket");
+    socket.set_reuse_address(true).expect("failed to set SO_REUSEADDR");
+    socket.bind(&addr.into()).expect("failed to bind the address");
+    socket.listen(1).expect("failed to listen");
     let connect = |_| TcpStream::connect_timeout(&addr, Duration::from_millis(50)).ok();
     let filling = (0..8).map_while(connect).collect();
     (TcpListener::from(socket), filling)
@@ -252,7 +259,7 @@
     let quick = Server::new("s-0", &checker, node_of, Arc::new(|_, _| Behaviour::Reject));
     let late = Server::new("s-1", &checker, node_of, Arc::new(|_, _| Behaviour::Accept(20)));
     quick.listen();
-    let (listener, filling) = full(late.addr);
+    let (listener, filling) = listener_with_full_queue(late.addr);
     let settings =
         [("\"dialTimeout\": 250.0", "\"dialTimeout\": 3000.0"), ("\"probing\": true", "\"probing\": false")];
     let fixture = Fixture::start(checker, &[quick, late.clone()], &settings, "debug");
@@ -261,10 +268,11 @@
     thread::sleep(Duration::from_millis(300));
     // From here on the queue has room for all: a handshake that still met a full queue would lose its first bytes to a
     // retransmission.
-    socket2::SockRef::from(&listener).listen(128).expect("a long queue");
+    socket2::SockRef::from(&listener).listen(128).expect("failed to listen");
     drop(filling);
     late.serve_all(listener);
-    let answers: Vec<_> = clients.into_iter().map(|client| client.join().expect("a client")).collect();
+    let answers: Vec<_> =
+        clients.into_iter().map(|client| client.join().expect("the client thread panicked")).collect();
     println!("{answers:?}, {} attempts", fixture.checker.attempts());
     assert!(fixture.checker.attempts() > 0, "no connection was established");
     fixture.check_budgets();
@@ -281,9 +289,9 @@
     for node in &fixture.nodes {
         let calls = ["first", "second"].map(|which| format!("{}-{which}", node.node.ip()));
         let both = calls.clone().map(|call| request(&call, BUDGET)).concat();
-        let mut stream = TcpStream::connect_timeout(&node.node, BUDGET).expect("a node");
-        stream.set_read_timeout(Some(2 * BUDGET)).expect("a limit");
-        stream.write_all(both.as_bytes()).expect("written");
+        let mut stream = TcpStream::connect_timeout(&node.node, BUDGET).expect("failed to connect");
+        stream.set_read_timeout(Some(2 * BUDGET)).expect("failed to set the timeout");
+        stream.write_all(both.as_bytes()).expect("failed to write");
         calls.iter().for_each(|call| fixture.checker.sent(call, BUDGET));
         let mut answers = BufReader::new(stream);
         println!("{:?}", [answer(&mut answers), answer(&mut answers)]);
@@ -308,21 +316,22 @@
     let list_service = ListService::start(servers.iter().map(|server| server.entry("up")).collect());
     let faults = Faults::new(9000);
     let folder = std::env::temp_dir().join(format!("coveroute-step-{}-{step}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("failed to create the folder");
     let mut environment = faults.environment();
     environment.push(("TMPDIR".to_owned(), folder.display().to_string()));
     let setup = Setup { environment, ..Setup::default() };
-    let addr = free();
+    let addr = unused_addr();
     let before =
         Process::start_with(addr, list_service.addr, NodeOptions::with_descriptors(256), &[], &setup);
-    assert!(until(READY, || before.is_ready()), "{}", before.log());
+    assert!(wait_until(READY, || before.is_ready()), "{}", before.log());
     let calls = [0; HANDED].map(|_| call_at(addr));
     let clients: Vec<_> = calls.iter().map(|call| send_request(&checker, addr, call.clone(), SLOW)).collect();
     let is_taken = |call: &String| checker.attempts_of(call) == 1;
-    assert!(until(READY, || calls.iter().all(is_taken)), "{}", before.log());
+    assert!(wait_until(READY, || calls.iter().all(is_taken)), "{}", before.log());
     faults.step_clock(step);
     let after = Process::start_with(addr, list_service.addr, NodeOptions::with_descriptors(256), &[], &setup);
-    let answers: Vec<_> = clients.into_iter().map(|client| client.join().expect("a client")).collect();
+    let answers: Vec<_> =
+        clients.into_iter().map(|client| client.join().expect("the client thread panicked")).collect();
     let _ = std::fs::remove_dir_all(&folder);
     let retried = calls.iter().filter(|call| checker.attempts_of(call) > 1).count();
     println!("{answers:?}, {retried} retried");
--- a/crates/coveroute-node/tests/crowds/descriptors.rs
+++ b/crates/coveroute-node/tests/crowds/descriptors.rs
@@ -10,7 +10,7 @@
 use test_case::test_case;
 
 use crate::harness::{
-    executor, free, get, job, status, until, Discovery, DiscoveryLimits, NodeOptions, Process,
+    executor, get, job, status, unused_addr, wait_until, Discovery, DiscoveryLimits, NodeOptions, Process,
 };
 
 const DESCRIPTORS: usize = 300;
@@ -22,7 +22,7 @@
 
 /// Opens idle connections. Every second one sends a request, whose response keeps the connection open for two minutes; the others
 /// send nothing. None waits for a response: where the node can't accept, they stay in its backlog.
-fn idle(node: SocketAddr, many: usize) -> Vec<TcpStream> {
+fn open_idle_connections(node: SocketAddr, many: usize) -> Vec<TcpStream> {
     let one = |at| {
         let mut stream = TcpStream::connect_timeout(&node, SOON).ok()?;
         if at % 2 == 0 {
@@ -52,7 +52,7 @@
         thread::spawn(move || {
             let mut held = std::collections::VecDeque::new();
             while !ends.load(Ordering::Relaxed) {
-                held.extend(idle(node, 1));
+                held.extend(open_idle_connections(node, 1));
                 opened.fetch_add(1, Ordering::Relaxed);
                 held.drain(..held.len().saturating_sub(holds));
                 thread::sleep(Duration::from_millis(1));
@@ -69,22 +69,26 @@
 
 impl Fixture {
     fn new(options: NodeOptions) -> Self {
-        let node = free();
+        let node = unused_addr();
         let discovery = Discovery::stopped(executor(node), DiscoveryLimits::NONE);
         let process = Process::start(node, discovery.addr, options);
-        assert!(until(READY, || status(node, "/up") == Some(503)), "{}", process.log());
+        assert!(wait_until(READY, || status(node, "/up") == Some(503)), "{}", process.log());
         Fixture { discovery, process }
     }
 
-    fn held(&self) -> usize {
+    fn open_descriptors(&self) -> usize {
         taken_by(self.process.id()).most_descriptors
     }
 
     /// Waits until the node is ready, and checks that it serves calls through its executor.
     fn check_serves(&self) {
         let begun = Instant::now();
-        assert!(until(READY, || self.process.is_ready()), "not ready: {}", self.process.log());
-        println!("ready after {:.2} s, {} descriptors", begun.elapsed().as_secs_f64(), self.held());
+        assert!(wait_until(READY, || self.process.is_ready()), "not ready: {}", self.process.log());
+        println!(
+            "ready after {:.2} s, {} descriptors",
+            begun.elapsed().as_secs_f64(),
+            self.open_descriptors()
+        );
         answered(jobs(self.process.node, 50), &self.process);
     }
 }
@@ -100,7 +104,7 @@
 
 fn answered(jobs: Vec<JoinHandle<Option<(u16, String)>>>, process: &Process) {
     for (at, job) in jobs.into_iter().enumerate() {
-        let answer = job.join().expect("a client");
+        let answer = job.join().expect("the client thread panicked");
         let is_its =
             |(status, body): &(u16, String)| *status == 200 && body.starts_with(&format!("r-c{at}-"));
         assert!(answer.as_ref().is_some_and(is_its), "call {at}: {answer:?} {}", process.log());
@@ -112,12 +116,16 @@
 #[test_case(true; "one client keeps opening connections")]
 fn node_serves_after_idle_clients_held_all_connections_while_discovery_was_down(refills: bool) {
     let fixture = Fixture::new(NodeOptions::with_descriptors(DESCRIPTORS));
-    let _idle = idle(fixture.process.node, 2 * DESCRIPTORS);
+    let _idle = open_idle_connections(fixture.process.node, 2 * DESCRIPTORS);
     let filler = refills.then(|| Filler::new(fixture.process.node, 2 * DESCRIPTORS));
-    assert!(until(READY, || fixture.held() >= CLIENTS * 3 / 4), "{} of {CLIENTS}", fixture.held());
+    assert!(
+        wait_until(READY, || fixture.open_descriptors() >= CLIENTS * 3 / 4),
+        "{} of {CLIENTS}",
+        fixture.open_descriptors()
+    );
     fixture.discovery.start();
     fixture.check_serves();
-    assert!(fixture.held() < DESCRIPTORS);
+    assert!(fixture.open_descriptors() < DESCRIPTORS);
     filler.iter().for_each(|filler| println!("{} opened", filler.opened.load(Ordering::Relaxed)));
 }
 
@@ -127,8 +135,8 @@
 fn shutdown_with_all_connections_held_answers_accepted_jobs() {
     let mut fixture = Fixture::new(NodeOptions::with_descriptors(DESCRIPTORS));
     fixture.discovery.start();
-    assert!(until(READY, || fixture.process.is_ready()), "{}", fixture.process.log());
-    let _idle = idle(fixture.process.node, 2 * DESCRIPTORS);
+    assert!(wait_until(READY, || fixture.process.is_ready()), "{}", fixture.process.log());
+    let _idle = open_idle_connections(fixture.process.node, 2 * DESCRIPTORS);
     let _filler = Filler::new(fixture.process.node, 2 * DESCRIPTORS);
     let jobs = jobs(fixture.process.node, 900);
     fixture.process.stop();
@@ -147,12 +155,12 @@
 #[test_case(NodeOptions { preopened_files: 200, ..NodeOptions::with_descriptors(DESCRIPTORS) }; "other files hold most")]
 fn descriptors_run_out_below_the_configured_number(options: NodeOptions) {
     let fixture = Fixture::new(options);
-    let _idle = idle(fixture.process.node, 2 * DESCRIPTORS);
+    let _idle = open_idle_connections(fixture.process.node, 2 * DESCRIPTORS);
     thread::sleep(Duration::from_millis(500));
     let (cpu, begun) = (taken_by(fixture.process.id()).cpu_seconds, Instant::now());
     thread::sleep(Duration::from_secs(2));
     let spent = (taken_by(fixture.process.id()).cpu_seconds - cpu) / begun.elapsed().as_secs_f64();
-    println!("{spent:.3} of a core, {} descriptors", fixture.held());
+    println!("{spent:.3} of a core, {} descriptors", fixture.open_descriptors());
     assert!(spent < MAX_CPU, "{spent} of a core: {}", fixture.process.log());
     fixture.discovery.start();
     fixture.check_serves();
--- a/crates/coveroute-node/tests/crowds/harness.rs
+++ b/crates/coveroute-node/tests/crowds/harness.rs
@@ -17,7 +17,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Returns a loopback host that no other test uses.
-pub fn host() -> IpAddr {
+pub fn unused_host() -> IpAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     const PER_OCTET: usize = 250;
     let (at, own) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id() as usize);
@@ -27,8 +27,8 @@
 
 /// Returns an address with a fixed port outside the ephemeral range on an unused host. With an ephemeral port, a client that
 /// connects before the node listens could be assigned that same port as its source and block it.
-pub fn free() -> SocketAddr {
-    (host(), 9000).into()
+pub fn unused_addr() -> SocketAddr {
+    (unused_host(), 9000).into()
 }
 
 /// Writes a request on the connection and returns the response's status and body.
@@ -93,8 +93,8 @@
 impl Executor {
     /// Starts an executor that reports each job on a new connection to the node that `node` returns for the job's id.
     pub fn start(id: &'static str, node: impl Fn(&str) -> SocketAddr + Clone + Send + 'static) -> Self {
-        let listener = TcpListener::bind((host(), 0)).expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind((unused_host(), 0)).expect("failed to bind a port");
+        let addr = listener.local_addr().expect("no local address");
         let executor = Executor { id, addr, jobs: Arc::default() };
         let serving = executor.clone();
         thread::spawn(move || {
@@ -196,11 +196,11 @@
 
 impl Discovery {
     pub fn stopped(executor: SocketAddr, limits: DiscoveryLimits) -> Self {
-        Discovery { addr: free(), calls: Arc::default(), refused: Arc::default(), limits, executor }
+        Discovery { addr: unused_addr(), calls: Arc::default(), refused: Arc::default(), limits, executor }
     }
 
     pub fn start(&self) {
-        let listener = TcpListener::bind(self.addr).expect("its address");
+        let listener = TcpListener::bind(self.addr).expect("failed to bind the address");
         let (limits, executor) = (self.limits, self.executor);
         let (calls, refused) = (self.calls.clone(), self.refused.clone());
         let busy = Arc::new(Mutex::new(Instant::now()));
@@ -214,7 +214,7 @@
                     }
                     calls.fetch_add(1, Ordering::Relaxed);
                     let turn = {
-                        let mut busy = busy.lock().expect("a lock");
+                        let mut busy = busy.lock().expect("poisoned lock");
                         *busy = (*busy).max(Instant::now())
                             + Duration::from_secs_f64(1.0 / limits.calls_per_second);
                         *busy - Instant::now()
@@ -340,7 +340,7 @@
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let at = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("coveroute-crowds-{}-{at}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("failed to create the folder");
         let config = include_str!("../../../../examples/config.json");
         let config = config.replace("127.0.0.1:9000", &node.to_string());
         let config = config.replace("127.0.0.1:8500", &discovery.to_string());
@@ -356,8 +356,8 @@
             assert!(config.contains(was), "{was}");
             config.replace(was, is)
         });
-        std::fs::write(folder.join("config.json"), config).expect("a file");
-        let log = std::fs::File::create(folder.join("log")).expect("a log");
+        std::fs::write(folder.join("config.json"), config).expect("failed to write the file");
+        let log = std::fs::File::create(folder.join("log")).expect("failed to open the log file");
         // The limit applies from the start; files opened here stay open in the program.
         let mut command = Command::new("bash");
         command.arg("-c").arg(
@@ -369,7 +369,7 @@
             .arg(options.preopened_files.to_string());
         command.arg(folder.join("config.json")).arg(setup.log).env_remove("TMPDIR");
         command.envs(setup.environment.iter().cloned());
-        let child = command.stdin(Stdio::null()).stderr(log).spawn().expect("a process");
+        let child = command.stdin(Stdio::null()).stderr(log).spawn().expect("failed to start the node");
         Process { node, folder, child }
     }
 
@@ -411,13 +411,13 @@
     /// Waits up to `most` for a successful end of the process and returns how long that took.
     pub fn wait_for_exit(&mut self, most: Duration) -> Option<Duration> {
         let begun = Instant::now();
-        until(most, || matches!(self.child.try_wait(), Ok(Some(status)) if status.success()))
+        wait_until(most, || matches!(self.child.try_wait(), Ok(Some(status)) if status.success()))
             .then(|| begun.elapsed())
     }
 }
 
 /// Polls a condition for at most the given time and returns whether it held.
-pub fn until(most: Duration, mut holds: impl FnMut() -> bool) -> bool {
+pub fn wait_until(most: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
     while !holds() {
         if begun.elapsed() > most {
--- a/crates/coveroute-node/tests/crowds/local_failures.rs
+++ b/crates/coveroute-node/tests/crowds/local_failures.rs
@@ -8,7 +8,7 @@
 use crate::checker::Checker;
 use crate::deadline_propagation::{node_of, Fixture, FAULT_DURATION, READY};
 use crate::fault_table::Call;
-use crate::harness::{free, until, NodeOptions, Process, Setup};
+use crate::harness::{unused_addr, wait_until, NodeOptions, Process, Setup};
 use crate::recording_servers::{Behaviour, ListService, Server};
 use crate::system_calls::{Fault, Faults};
 
@@ -37,7 +37,7 @@
     fixture.faults.begin(Call::Socket, Fault::errno(libc::EMFILE));
     fixture.list_service.change_and_close_watches(vec![servers[1].entry("up")]);
     let known = Instant::now() + KNOWN_AFTER;
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    clients.into_iter().for_each(|client| client.join().expect("the client thread panicked"));
     let (late, log) = (fixture.checker.attempts_at("s-0", known), fixture.nodes[0].log());
     println!("{} attempts, {late} at the removed executor; {log}", fixture.checker.attempts());
     assert_eq!(late, 0, "attempts at a removed executor: {log}");
@@ -54,10 +54,15 @@
     let faults = Faults::new(9000);
     faults.begin(Call::Socket, fault);
     let setup = Setup { environment: faults.environment(), ..Setup::default() };
-    let process =
-        Process::start_with(free(), list_service.addr, NodeOptions::with_descriptors(256), &[], &setup);
+    let process = Process::start_with(
+        unused_addr(),
+        list_service.addr,
+        NodeOptions::with_descriptors(256),
+        &[],
+        &setup,
+    );
     thread::sleep(FAULT_DURATION);
     assert!(faults.hits(Call::Socket) > 0, "the node opened no socket while the fault lasted");
     faults.end(Call::Socket);
-    assert!(until(READY, || process.is_ready()), "{}", process.log());
+    assert!(wait_until(READY, || process.is_ready()), "{}", process.log());
 }
--- a/crates/coveroute-node/tests/crowds/recording_servers.rs
+++ b/crates/coveroute-node/tests/crowds/recording_servers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::checker::{newest_byte, Checker};
-use crate::harness::{free, host, read_message, report_later};
+use crate::harness::{read_message, report_later, unused_addr, unused_host};
 
 /// How an executor responds to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -53,11 +53,11 @@
         node: fn(&str) -> SocketAddr,
         script: Script,
     ) -> Self {
-        Server { id, addr: (host(), 7000).into(), checker: checker.clone(), node, script }
+        Server { id, addr: (unused_host(), 7000).into(), checker: checker.clone(), node, script }
     }
 
     pub fn listen(&self) {
-        let listener = TcpListener::bind(self.addr).expect("its address");
+        let listener = TcpListener::bind(self.addr).expect("failed to bind the address");
         self.serve_all(listener);
     }
 
@@ -89,7 +89,7 @@
                 let _ = answers.write_all(probe_answer().as_bytes());
                 continue;
             };
-            let budget = Duration::from_millis(budget.parse().expect("a figure"));
+            let budget = Duration::from_millis(budget.parse().expect("not a number"));
             self.checker.received(&call, self.id, at, budget);
             let behaviour = (self.script)(&call, self.checker.attempts_of(&call));
             if !matches!(behaviour, Behaviour::Reject | Behaviour::Return(_)) {
@@ -135,12 +135,12 @@
 impl ListService {
     pub fn start(entries: Vec<String>) -> Self {
         let list_service = ListService {
-            addr: free(),
+            addr: unused_addr(),
             entries: Arc::new(Mutex::new(entries)),
             version: Arc::new(AtomicUsize::new(7)),
             closed: Arc::default(),
         };
-        let listener = TcpListener::bind(list_service.addr).expect("its address");
+        let listener = TcpListener::bind(list_service.addr).expect("failed to bind the address");
         let (entries, version, closed) =
             (list_service.entries.clone(), list_service.version.clone(), list_service.closed.clone());
         thread::spawn(move || {
@@ -154,7 +154,7 @@
 
     /// Replaces the list; each open watch gets the new one.
     pub fn change(&self, entries: Vec<String>) {
-        *self.entries.lock().expect("a lock") = entries;
+        *self.entries.lock().expect("poisoned lock") = entries;
         self.version.fetch_add(1, Ordering::SeqCst);
     }
 
@@ -187,7 +187,7 @@
             true if polls < POLLS_PER_SECOND => String::new(),
             true => "\n".to_owned(),
             false => {
-                let entries = entries.lock().expect("a lock").join(",");
+                let entries = entries.lock().expect("poisoned lock").join(",");
                 format!("{{\"version\":{current},\"full\":true,\"servers\":[{entries}]}}\n")
             }
         };
--- a/crates/coveroute-node/tests/crowds/soak/client.rs
+++ b/crates/coveroute-node/tests/crowds/soak/client.rs
@@ -19,7 +19,7 @@
     pub kept: Option<(TcpStream, usize)>,
     pub chance: Chance,
     pub name: String,
-    pub asked: usize,
+    pub requests_sent: usize,
 }
 
 /// How a request ended.
@@ -65,10 +65,10 @@
     fn send_request(&mut self, is_new: bool) -> bool {
         let Some((mut stream, kills)) = self.kept.take() else { return false };
         let node = &self.run.nodes[self.at];
-        self.asked += 1;
+        self.requests_sent += 1;
         let class = if self.chance.draw() < 0.25 { "pay" } else { "look" };
         let budget = Duration::from_millis(uniform(&mut self.chance, 700.0, 2000.0) as u64);
-        let call = format!("{}-{class}-{}-{}", node.addr.ip(), self.name, self.asked);
+        let call = format!("{}-{class}-{}-{}", node.addr.ip(), self.name, self.requests_sent);
         let length = if self.chance.draw() < 0.1 { 20_000 } else { 40 };
         let head = format!(
             "POST /{class} HTTP/1.1\r\nHost: b\r\nX-Call-Id: {call}\r\nX-Budget-Ms: {}\r\nContent-Length: {length}\r\n\r\n",
--- a/crates/coveroute-node/tests/crowds/soak/mod.rs
+++ b/crates/coveroute-node/tests/crowds/soak/mod.rs
@@ -11,7 +11,7 @@
 use coveroute::chance::Chance;
 
 use crate::checker::Checker;
-use crate::harness::{free, until, NodeOptions, Process, Setup};
+use crate::harness::{unused_addr, wait_until, NodeOptions, Process, Setup};
 use crate::recording_servers::{Behaviour, ListService, Server};
 use crate::system_calls::Faults;
 
@@ -60,11 +60,11 @@
 
 impl Node {
     fn state(&self) -> State {
-        self.state.lock().expect("a lock").0
+        self.state.lock().expect("poisoned lock").0
     }
 
     fn kills(&self) -> usize {
-        self.state.lock().expect("a lock").1
+        self.state.lock().expect("poisoned lock").1
     }
 
     /// Whether clients open new connections to it.
@@ -91,13 +91,13 @@
 
 impl Run {
     fn record_violation(&self, what: String) {
-        self.violations.lock().expect("a lock").push(what);
+        self.violations.lock().expect("poisoned lock").push(what);
     }
 }
 
 fn node_of(call: &str) -> SocketAddr {
     let host = call.split('-').next().unwrap_or_default();
-    SocketAddr::new(host.parse().expect("a host"), 9000)
+    SocketAddr::new(host.parse().expect("not a host address"), 9000)
 }
 
 fn chance(seed: u64, part: usize) -> Chance {
@@ -151,8 +151,9 @@
     servers.iter().for_each(Server::listen);
     let list = ListService::start(servers.iter().map(|server| server.entry("up")).collect());
     let faults: Vec<Faults> = (0..NODES).map(|_| Faults::new(9000)).collect();
-    let processes: Vec<Process> = faults.iter().map(|faults| start(free(), list.addr, faults)).collect();
-    let ready = processes.iter().all(|process| until(3 * READY, || process.is_ready()));
+    let processes: Vec<Process> =
+        faults.iter().map(|faults| start(unused_addr(), list.addr, faults)).collect();
+    let ready = processes.iter().all(|process| wait_until(3 * READY, || process.is_ready()));
     assert!(ready, "not ready: {}", processes[0].log());
     let node = |process: &Process| Node { addr: process.node, state: Mutex::new((State::Serving, 0)) };
     let begun = Instant::now();
@@ -184,7 +185,7 @@
         for at in 0..NODES * CLIENTS_PER_NODE {
             let chance = self::chance(seed, NODES + 1 + at);
             let mut client =
-                Client { run: &run, at: 0, kept: None, chance, name: format!("c{at}"), asked: 0 };
+                Client { run: &run, at: 0, kept: None, chance, name: format!("c{at}"), requests_sent: 0 };
             scope.spawn(move || client.run());
         }
         let crowds: Vec<_> =
@@ -219,7 +220,7 @@
         of(&run.left),
         run.checker.attempts()
     );
-    let mut violations = std::mem::take(&mut *run.violations.lock().expect("a lock"));
+    let mut violations = std::mem::take(&mut *run.violations.lock().expect("poisoned lock"));
     violations.extend(
         run.checker
             .overstated_budgets()
@@ -251,7 +252,7 @@
 fn seeds() -> RangeInclusive<u64> {
     let Ok(text) = std::env::var(SEEDS_VARIABLE) else { return SEEDS };
     let (first, last) = text.split_once('-').unwrap_or((&text, &text));
-    first.parse().expect("a seed")..=last.parse().expect("a seed")
+    first.parse().expect("not a seed")..=last.parse().expect("not a seed")
 }
 
 #[test]
--- a/crates/coveroute-node/tests/crowds/soak/supervisor.rs
+++ b/crates/coveroute-node/tests/crowds/soak/supervisor.rs
@@ -6,7 +6,7 @@
 use coveroute::chance::Chance;
 
 use super::{start, uniform, Run, State, KILL_AFTER, LOST_AFTER, MAX_BUDGET, READY};
-use crate::harness::{until, Process};
+use crate::harness::{wait_until, Process};
 use crate::system_calls::Faults;
 
 /// An action on a node's process.
@@ -56,7 +56,7 @@
     }
 
     fn set(&self, state: State) {
-        self.run.nodes[self.at].state.lock().expect("a lock").0 = state;
+        self.run.nodes[self.at].state.lock().expect("poisoned lock").0 = state;
     }
 
     /// Tells the process to stop, kills it as early as the platform would, and starts it again.
@@ -64,14 +64,14 @@
         let since = Instant::now();
         self.set(State::Stopping(since));
         self.process.signal(libc::SIGTERM);
-        until(KILL_AFTER, || self.process.has_exited());
+        wait_until(KILL_AFTER, || self.process.has_exited());
         self.set(State::Starting);
         self.restart();
     }
 
     fn kill_and_restart(&mut self) {
         {
-            let mut state = self.run.nodes[self.at].state.lock().expect("a lock");
+            let mut state = self.run.nodes[self.at].state.lock().expect("poisoned lock");
             *state = (State::Killed, state.1 + 1);
         }
         self.process.signal(libc::SIGKILL);
@@ -81,7 +81,7 @@
 
     fn restart(&mut self) {
         self.process = start(self.process.node, self.list, self.faults);
-        if !until(READY, || self.process.is_ready()) {
+        if !wait_until(READY, || self.process.is_ready()) {
             self.run.record_violation(format!(
                 "{} not ready after a restart: {}",
                 self.process.node,
--- a/crates/coveroute-node/tests/crowds/stale_list.rs
+++ b/crates/coveroute-node/tests/crowds/stale_list.rs
@@ -9,7 +9,7 @@
 
 use test_case::test_case;
 
-use crate::harness::{ask, free, read_message, until, Executor, NodeOptions, Process};
+use crate::harness::{ask, read_message, unused_addr, wait_until, Executor, NodeOptions, Process};
 
 /// Processes started at a time, with indexes spread evenly over the fleet.
 const PROCESSES: usize = 6;
@@ -57,8 +57,8 @@
 
 impl ListService {
     fn start(script: &[Call], executors: [Executor; 2]) -> Arc<Self> {
-        let addr = free();
-        let listener = TcpListener::bind(addr).expect("its address");
+        let addr = unused_addr();
+        let listener = TcpListener::bind(addr).expect("failed to bind the address");
         let (script, change, calls) = (script.to_vec(), Mutex::default(), AtomicUsize::new(0));
         let service = Arc::new(ListService { script, addr, executors, change, calls });
         let serving = service.clone();
@@ -72,11 +72,11 @@
     }
 
     fn change(&self, change: Change) {
-        *self.change.lock().expect("a lock") = Some(change);
+        *self.change.lock().expect("poisoned lock") = Some(change);
     }
 
     fn next_call(&self) -> Call {
-        if self.change.lock().expect("a lock").is_none() {
+        if self.change.lock().expect("poisoned lock").is_none() {
             return Late(0);
         }
         let at = self.calls.fetch_add(1, Ordering::Relaxed);
@@ -124,7 +124,7 @@
     /// Returns the whole current list.
     fn list(&self) -> String {
         let [old, other] = &self.executors;
-        let entries = match *self.change.lock().expect("a lock") {
+        let entries = match *self.change.lock().expect("poisoned lock") {
             None => vec![old.entry("up"), other.entry("up")],
             Some(Change::Removed) => vec![other.entry("up")],
             Some(Change::Draining) => vec![old.entry("draining"), other.entry("up")],
@@ -165,7 +165,7 @@
                     match ask(&mut stream, &format!("{head}\r\nContent-Length: 2\r\n\r\n20")) {
                         Some((200, _)) => drop(served.fetch_add(1, Ordering::Relaxed)),
                         Some(_) => {}
-                        None => lost.lock().expect("a lock").push(id),
+                        None => lost.lock().expect("poisoned lock").push(id),
                     }
                 });
                 thread::sleep(PACE);
@@ -187,7 +187,7 @@
 }
 
 fn restart(change: Change, script: &[Call], runs: Duration) -> Restart {
-    let nodes: Vec<SocketAddr> = (0..PROCESSES).map(|_| free()).collect();
+    let nodes: Vec<SocketAddr> = (0..PROCESSES).map(|_| unused_addr()).collect();
     let all = nodes.clone();
     let node = move |job: &str| {
         let nth = job[1..].split('-').next().and_then(|nth| nth.parse().ok());
@@ -206,7 +206,7 @@
     };
     // Each node watches the list, becomes ready and is killed.
     let before: Vec<Process> = (0..PROCESSES).map(|nth| start(nth, false)).collect();
-    let ready = before.iter().all(|process| until(3 * READY, || process.is_ready()));
+    let ready = before.iter().all(|process| wait_until(3 * READY, || process.is_ready()));
     assert!(ready, "not ready: {}", before[0].log());
     drop(before);
     services.iter().for_each(|service| service.change(change));
@@ -236,7 +236,10 @@
         other: jobs[1],
         ready,
         served: clients.iter().map(|clients| clients.served.load(Ordering::Relaxed)).collect(),
-        lost: clients.iter().flat_map(|clients| clients.lost.lock().expect("a lock").clone()).collect(),
+        lost: clients
+            .iter()
+            .flat_map(|clients| clients.lost.lock().expect("poisoned lock").clone())
+            .collect(),
     }
 }
 
--- a/crates/coveroute-node/tests/crowds/system_calls.rs
+++ b/crates/coveroute-node/tests/crowds/system_calls.rs
@@ -59,18 +59,18 @@
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let at = NEXT.fetch_add(1, Relaxed);
         let file = std::env::temp_dir().join(format!("coveroute-faults-{}-{at}", std::process::id()));
-        let table = Table::map(&file).expect("a table");
+        let table = Table::map(&file).expect("failed to map the table");
         table.clients_port.store(u32::from(clients_port), Relaxed);
         Faults { table, file }
     }
 
     /// Environment variables that load the library and name the table in a process.
     pub fn environment(&self) -> Vec<(String, String)> {
-        let test = std::env::current_exe().expect("this program's path");
-        let folder = test.parent().and_then(|deps| deps.parent()).expect("the build directory");
+        let test = std::env::current_exe().expect("no path of the test program");
+        let folder = test.parent().and_then(|deps| deps.parent()).expect("no build directory");
         let library = folder.join("examples/libsystem_call_faults.so");
         assert!(library.exists(), "{} is missing: run cargo build --examples", library.display());
-        let text = |path: &PathBuf| path.to_str().expect("a UTF-8 path").to_owned();
+        let text = |path: &PathBuf| path.to_str().expect("path is not UTF-8").to_owned();
         vec![("LD_PRELOAD".to_owned(), text(&library)), (TABLE_FILE.to_owned(), text(&self.file))]
     }
 
--- a/crates/coveroute-node/tests/fleet.rs
+++ b/crates/coveroute-node/tests/fleet.rs
@@ -11,7 +11,7 @@
 /// Starts this many processes and waits until all hold each other to be alive.
 fn start_connected(nodes: usize, part: FleetPart) -> Processes {
     let program = Path::new(env!("CARGO_BIN_EXE_coveroute"));
-    let processes = Processes::start(program, nodes, part).expect("processes");
+    let processes = Processes::start(program, nodes, part).expect("failed to start the processes");
     let all: Vec<usize> = (0..nodes).collect();
     let known = processes.until(20.0, |p| p.hold(&all, &all, &ALIVE) && p.agree(&all));
     assert!(known.is_some(), "{:?} {}", processes.fleet(0), processes.log(0));
@@ -33,7 +33,7 @@
     fleet.kill(2);
     let known = fleet.until(2.0 * TIME_LIMIT_FACTOR, |p| p.hold(&rest, &[2], &["dead"]));
     assert!(known.is_some(), "{}", fleet.log(0));
-    fleet.begin(2).expect("a process");
+    fleet.begin(2).expect("failed to start the process");
     let all: Vec<usize> = (0..5).collect();
     let back = fleet.until(2.0 * TIME_LIMIT_FACTOR, |p| p.hold(&all, &all, &ALIVE) && p.agree(&all));
     assert!(back.is_some(), "{:?}", fleet.fleet(2));
@@ -44,14 +44,14 @@
 #[test]
 fn a_restart_within_the_detectors_timeout_is_noticed() {
     let mut fleet = start_connected(4, FleetPart::default());
-    let before = fleet.fleet(1).expect("figures")["incarnation"].as_u64();
+    let before = fleet.fleet(1).expect("no metrics")["incarnation"].as_u64();
     fleet.kill(1);
-    fleet.begin(1).expect("a process");
+    fleet.begin(1).expect("failed to start the process");
     let rest = others(4, 1);
     let seen = fleet
         .until(2.0 * TIME_LIMIT_FACTOR, |p| p.hold(&rest, &[1], &["returned"]) && p.agree(&[0, 1, 2, 3]));
     assert!(seen.is_some(), "{:?}", fleet.fleet(0));
-    assert!(fleet.fleet(1).expect("figures")["incarnation"].as_u64() > before);
+    assert!(fleet.fleet(1).expect("no metrics")["incarnation"].as_u64() > before);
 }
 
 #[test_case(Direction::Both, &["dead"]; "both ways")]
@@ -80,7 +80,7 @@
     fleet.wake(3);
     let back = fleet.until(1.0 * TIME_LIMIT_FACTOR, |p| p.hold(&all, &all, &ALIVE));
     assert!(back.is_some(), "{:?}", fleet.fleet(3));
-    let own = fleet.fleet(3).expect("figures");
+    let own = fleet.fleet(3).expect("no metrics");
     assert_eq!((own["buried"].as_u64(), own["stalls"].as_u64() >= Some(1)), (Some(0), true), "{own}");
 }
 
@@ -103,7 +103,7 @@
 fn a_replacement_is_one_member() {
     let mut fleet = start_connected(4, FleetPart::default());
     let (rest, all) = (others(4, 0), [0, 1, 2, 3]);
-    fleet.replace(0).expect("a process");
+    fleet.replace(0).expect("failed to start the process");
     // The new process never becomes ready, as there is no discovery here: the old one serves until it is stopped.
     std::thread::sleep(std::time::Duration::from_secs(2));
     assert!(fleet.hold(&rest, &[0], &ALIVE), "{:?}", fleet.fleet(1));
@@ -127,14 +127,14 @@
 fn a_member_that_never_starts_is_not_declared_dead() {
     let fleet = start_connected(3, FleetPart { absent: Count(1), ..FleetPart::default() });
     std::thread::sleep(std::time::Duration::from_secs(3));
-    assert_eq!(fleet.fleet(0).expect("figures")["states"]["n3"], "unseen");
+    assert_eq!(fleet.fleet(0).expect("no metrics")["states"]["n3"], "unseen");
 }
 
 /// SIGHUP with a file that lacks a live member, and then with an invalid one.
 #[test]
 fn a_reload_removes_a_live_member_or_changes_nothing() {
     let fleet = start_connected(4, FleetPart::default());
-    (0..3).for_each(|node| fleet.write_plan(node, |other| other != 3).expect("a file"));
+    (0..3).for_each(|node| fleet.write_plan(node, |other| other != 3).expect("failed to write the file"));
     (0..3).for_each(|node| fleet.reread(node));
     let unknown =
         |p: &Processes| (0..3).all(|node| p.fleet(node).is_some_and(|own| own["states"]["n3"].is_null()));
@@ -142,7 +142,7 @@
     let has_dropped_stranger =
         |p: &Processes| p.fleet(0).is_some_and(|own| own["dropped"]["stranger"].as_u64() > Some(0));
     assert!(fleet.until(2.0 * TIME_LIMIT_FACTOR, has_dropped_stranger).is_some(), "{:?}", fleet.fleet(0));
-    fleet.write_plan(1, |other| other != 1).expect("a file");
+    fleet.write_plan(1, |other| other != 1).expect("failed to write the file");
     fleet.reread(1);
     assert!(fleet.until(2.0 * TIME_LIMIT_FACTOR, |p| p.log(1).contains("not reloaded")).is_some());
     assert!(fleet.hold(&[1], &[0, 2], &ALIVE));
--- a/crates/coveroute-node/tests/limits.rs
+++ b/crates/coveroute-node/tests/limits.rs
@@ -19,7 +19,8 @@
 fn start_connected(nodes: usize) -> (Processes, Vec<Caller>) {
     let program = Path::new(env!("CARGO_BIN_EXE_coveroute"));
     let tenant = Some((TENANT, SHARE));
-    let fleet = Processes::limited(program, nodes, FleetPart::default(), tenant).expect("processes");
+    let fleet = Processes::limited(program, nodes, FleetPart::default(), tenant)
+        .expect("failed to start the processes");
     let mints = |p: &Processes| (0..nodes).all(|node| mints(p, node) == Some(1));
     assert!(fleet.until(20.0, mints).is_some(), "{:?} {}", fleet.fleet(0), fleet.log(0));
     let callers = (0..nodes).map(|node| Caller::new(fleet.listens(node), TENANT)).collect();
@@ -39,7 +40,7 @@
 /// admitted fraction of all demand, or of the share if demand exceeds it.
 fn admitted_fraction(fleet: &Processes, nodes: &[usize], seconds: f64) -> f64 {
     let sample = || {
-        let figures = nodes.iter().map(|node| fleet.within(*node, TENANT).expect("figures"));
+        let figures = nodes.iter().map(|node| fleet.within(*node, TENANT).expect("no metrics"));
         (Instant::now(), figures.fold((0.0, 0.0), |sum, node| (sum.0 + node.0, sum.1 + node.1)))
     };
     let (mut before, mut demand, mut admitted) = (sample(), 0.0, 0.0);
@@ -80,7 +81,7 @@
     let fraction = admitted_fraction(&fleet, &[0], 4.0);
     assert!(fraction > MIN_ADMITTED, "{fraction} {:?}", fleet.fleet(0));
     // The node gets its part back after a restart.
-    fleet.begin(2).expect("a process");
+    fleet.begin(2).expect("failed to start the process");
     assert!(fleet.until(20.0, |p| mints(p, 2) == Some(1)).is_some(), "{:?}", fleet.fleet(2));
 }
 
@@ -128,7 +129,7 @@
                     let own = fleet.within(1, TENANT).map_or(last[1], |within| within.1);
                     fleet.kill(1);
                     (ended, last[1]) = (ended + own.max(last[1]), 0.0);
-                    fleet.begin(1).expect("a process");
+                    fleet.begin(1).expect("failed to start the process");
                 }
                 6 => fleet.strike(What::LinkDoubles, 0.5, &[], Direction::Both),
                 _ => fleet.strike(What::LinkLoss, 0.3, &[], Direction::Both),
@@ -149,7 +150,7 @@
     callers.iter().for_each(|caller| caller.calls(SHARE / 2.0));
     std::thread::sleep(Duration::from_secs(2));
     fleet.strike(What::LinkCut, 0.0, &[3], Direction::Both);
-    fleet.share(&all, SHARE / 4.0).expect("files");
+    fleet.share(&all, SHARE / 4.0).expect("failed to write the files");
     all.iter().for_each(|node| fleet.reread(*node));
     let lower = |p: &Processes| all.iter().all(|node| share_in_force(p, *node) == Some(SHARE / 4.0));
     assert!(fleet.until(5.0, lower).is_some(), "{}", fleet.log(0));
@@ -161,7 +162,7 @@
     let limit = SHARE / 4.0 * (span * 1.02 + 2.0 * 0.5) + 1.0;
     assert!(after - before <= limit, "{} of {limit} in {span} s", after - before);
     fleet.heal();
-    fleet.share(&all, SHARE).expect("files");
+    fleet.share(&all, SHARE).expect("failed to write the files");
     all.iter().for_each(|node| fleet.reread(*node));
     let minted = |p: &Processes| all.iter().all(|node| mints(p, *node) == Some(1));
     std::thread::sleep(Duration::from_secs(1));
--- a/crates/coveroute-node/tests/replace.rs
+++ b/crates/coveroute-node/tests/replace.rs
@@ -19,11 +19,13 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Returns a free address on a loopback host that no other test uses.
-fn free() -> SocketAddr {
+fn unused_addr() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let (at, own) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
     let host = [127, 1 + (own % 120) as u8, 1 + (own / 120 % 250) as u8, 1 + (at % 250) as u8];
-    TcpListener::bind(SocketAddr::from((host, 0))).and_then(|l| l.local_addr()).expect("a free port")
+    TcpListener::bind(SocketAddr::from((host, 0)))
+        .and_then(|l| l.local_addr())
+        .expect("failed to bind a port")
 }
 
 fn call(addr: SocketAddr, request: &str) -> Option<(Vec<String>, Vec<u8>)> {
@@ -40,10 +42,10 @@
 
 /// Starts an executor that runs each job for the milliseconds in its body and reports to `node` on a new connection.
 fn executor(node: SocketAddr, executions: Arc<AtomicU64>, full: Arc<AtomicBool>) -> SocketAddr {
-    let listener = TcpListener::bind((free().ip(), 0)).expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind((unused_addr().ip(), 0)).expect("failed to bind a port");
+    let addr = listener.local_addr().expect("no local address");
     let serve = move |stream: TcpStream, executions: Arc<AtomicU64>, full: Arc<AtomicBool>| {
-        let mut answers = stream.try_clone().expect("a stream");
+        let mut answers = stream.try_clone().expect("failed to clone the stream");
         let mut requests = BufReader::new(stream);
         while let Some((head, body)) = read_message(&mut requests) {
             let (full, job) = (full.load(Ordering::SeqCst), head[0].starts_with("POST"));
@@ -61,7 +63,7 @@
                 let id = head
                     .iter()
                     .find_map(|line| line.to_lowercase().strip_prefix("x-call-id:").map(str::to_owned));
-                let id = id.expect("an id").trim().to_owned();
+                let id = id.expect("no X-Call-Id header").trim().to_owned();
                 let millis = String::from_utf8_lossy(&body).parse().unwrap_or(0);
                 thread::spawn(move || {
                     thread::sleep(Duration::from_millis(millis));
@@ -94,12 +96,12 @@
 
 /// Starts a discovery service that lists only this executor.
 fn discovery(executor: SocketAddr) -> SocketAddr {
-    let listener = TcpListener::bind((free().ip(), 0)).expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind((unused_addr().ip(), 0)).expect("failed to bind a port");
+    let addr = listener.local_addr().expect("no local address");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             thread::spawn(move || {
-                let mut answers = stream.try_clone().expect("a stream");
+                let mut answers = stream.try_clone().expect("failed to clone the stream");
                 if read_message(&mut BufReader::new(stream)).is_none() {
                     return;
                 }
@@ -151,14 +153,14 @@
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let at = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("coveroute-replace-{}-{at}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("failed to create the folder");
         let (node, executions, full) =
-            (free(), Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(false)));
+            (unused_addr(), Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(false)));
         let discovery = discovery(executor(node, executions.clone(), full.clone()));
         let config = include_str!("../../../examples/config.json");
         let config = config.replace("127.0.0.1:9000", &node.to_string());
         let config = config.replace("127.0.0.1:8500", &discovery.to_string());
-        std::fs::write(folder.join("config.json"), config).expect("a file");
+        std::fs::write(folder.join("config.json"), config).expect("failed to write the file");
         Fixture { folder, node, executions, full }
     }
 
@@ -168,7 +170,7 @@
     }
 
     fn start(&self, folder: Option<&Path>) -> Process {
-        self.start_at(folder, free())
+        self.start_at(folder, unused_addr())
     }
 
     fn start_at(&self, folder: Option<&Path>, management: SocketAddr) -> Process {
@@ -179,13 +181,17 @@
         if let Some(folder) = folder {
             command.env("TMPDIR", folder);
         }
-        let child = command.stdin(Stdio::null()).stderr(log.expect("a log")).spawn().expect("a process");
+        let child = command
+            .stdin(Stdio::null())
+            .stderr(log.expect("failed to open the log file"))
+            .spawn()
+            .expect("failed to start the node");
         Process { child, management }
     }
 
     fn start_ready(&self, folder: Option<&Path>) -> Process {
         let process = self.start(folder);
-        until(|| status(process.management, "/v1/readyz").as_deref() == Some("200"));
+        wait_until(|| status(process.management, "/v1/readyz").as_deref() == Some("200"));
         process
     }
 
@@ -211,7 +217,7 @@
     }
 }
 
-fn until(what: impl Fn() -> bool) {
+fn wait_until(what: impl Fn() -> bool) {
     let begun = Instant::now();
     while !what() {
         assert!(begun.elapsed() < TIMEOUT, "the condition did not hold in time");
@@ -223,7 +229,7 @@
     /// Whether it has this many jobs whose clients wait for a response.
     fn has_waiting(&self, count: usize) -> bool {
         let (_, body) =
-            call(self.management, "GET /v1/metrics HTTP/1.1\r\nHost: n\r\n\r\n").expect("figures");
+            call(self.management, "GET /v1/metrics HTTP/1.1\r\nHost: n\r\n\r\n").expect("no metrics");
         String::from_utf8_lossy(&body).contains(&format!("\"outstanding\":{count}"))
     }
 
@@ -246,7 +252,7 @@
 
 fn check_answers(jobs: Vec<(String, thread::JoinHandle<String>)>) {
     for (id, job) in jobs {
-        assert_eq!(job.join().expect("a client"), format!("r-{id}"));
+        assert_eq!(job.join().expect("the client thread panicked"), format!("r-{id}"));
     }
 }
 
@@ -290,7 +296,7 @@
     let old = fixture.start_replaceable();
     let new = fixture.start_replaceable();
     drop(new); // Killed.
-    until(|| fixture.log().contains("the link to the process after has ended"));
+    wait_until(|| fixture.log().contains("the link to the process after has ended"));
     check_answers(send_jobs(&fixture, "a", 10, 50));
     assert_eq!(status(old.management, "/v1/readyz").as_deref(), Some("200"));
     drop(fixture.start_replaceable()); // A further replacement is still possible.
@@ -301,7 +307,7 @@
     let fixture = Fixture::new();
     let (old, new) = (fixture.start_replaceable(), fixture.start_replaceable());
     drop(old);
-    until(|| fixture.log().contains("the link to the process before has ended"));
+    wait_until(|| fixture.log().contains("the link to the process before has ended"));
     check_answers(send_jobs(&fixture, "a", 10, 50));
     assert_eq!(status(new.management, "/v1/readyz").as_deref(), Some("200"));
 }
@@ -323,11 +329,11 @@
 fn a_process_starts_without_state_of_an_earlier_one(obstacle: Obstacle) {
     use std::os::unix::net::UnixListener;
     let fixture = Fixture::new();
-    let bound = || UnixListener::bind(fixture.socket_path()).expect("a socket");
+    let bound = || UnixListener::bind(fixture.socket_path()).expect("failed to bind the socket");
     let (mut held, mut folder) = (None, Some(&*fixture.folder));
     match obstacle {
         Obstacle::StaleSocket => drop(bound()),
-        Obstacle::File => std::fs::write(fixture.socket_path(), "x").expect("a file"),
+        Obstacle::File => std::fs::write(fixture.socket_path(), "x").expect("failed to write the file"),
         Obstacle::Silent => held = Some(bound()),
         Obstacle::Unreadable => {
             let listener = bound();
@@ -352,8 +358,8 @@
     let messages =
         ["", "nonsense\n", "{\"Hello\":99}\n", "\"Serves\"\n", "{\"Hello\":1}\n{\"News\":[1,\"x\"]}\n"];
     for message in messages {
-        let mut stream = UnixStream::connect(fixture.socket_path()).expect("a link");
-        stream.write_all(message.as_bytes()).expect("written");
+        let mut stream = UnixStream::connect(fixture.socket_path()).expect("failed to connect");
+        stream.write_all(message.as_bytes()).expect("failed to write");
         thread::sleep(Duration::from_millis(50));
     }
     check_answers(send_jobs(&fixture, "a", 5, 50));
@@ -365,14 +371,15 @@
 fn jobs_and_connections_move_to_the_next_process() {
     let fixture = Fixture::new();
     let mut old = fixture.start_replaceable();
-    let mut kept = TcpStream::connect(fixture.node).expect("a connection");
+    let mut kept = TcpStream::connect(fixture.node).expect("failed to connect");
     let ask = |kept: &mut TcpStream, id: &str| {
         let text = format!(
             "POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id}\r\nX-Budget-Ms: 9000\r\nContent-Length: 2\r\n\r\n10"
         );
-        kept.write_all(text.as_bytes()).expect("written");
+        kept.write_all(text.as_bytes()).expect("failed to write");
         let (_, body) =
-            read_message(&mut BufReader::new(kept.try_clone().expect("a stream"))).expect("an answer");
+            read_message(&mut BufReader::new(kept.try_clone().expect("failed to clone the stream")))
+                .expect("no response");
         assert_eq!(String::from_utf8_lossy(&body), format!("r-{id}"));
     };
     ask(&mut kept, "first");
@@ -396,15 +403,15 @@
 fn a_client_that_disconnects_after_its_job_has_moved_is_noticed() {
     let fixture = Fixture::new();
     let _old = fixture.start_replaceable();
-    let mut client = TcpStream::connect(fixture.node).expect("a connection");
+    let mut client = TcpStream::connect(fixture.node).expect("failed to connect");
     let text =
         "POST /pay HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nX-Budget-Ms: 9000\r\nContent-Length: 4\r\n\r\n8000";
-    client.write_all(text.as_bytes()).expect("written");
-    until(|| fixture.executions.load(Ordering::Relaxed) == 1);
+    client.write_all(text.as_bytes()).expect("failed to write");
+    wait_until(|| fixture.executions.load(Ordering::Relaxed) == 1);
     let new = fixture.start_replaceable();
-    until(|| new.has_waiting(1));
+    wait_until(|| new.has_waiting(1));
     drop(client);
-    until(|| !new.has_waiting(1));
+    wait_until(|| !new.has_waiting(1));
 }
 
 #[derive(Clone, Copy)]
@@ -432,25 +439,25 @@
     use nix::libc;
     let fixture = Fixture::new();
     let file = fixture.folder.join("config.json");
-    let text = std::fs::read_to_string(&file).expect("the file");
+    let text = std::fs::read_to_string(&file).expect("failed to read the file");
     // A longer time limit, as a process has to start in the meantime.
-    std::fs::write(&file, text.replace("\"onTime\": 1000.0", "\"onTime\": 9000.0")).expect("written");
+    std::fs::write(&file, text.replace("\"onTime\": 1000.0", "\"onTime\": 9000.0")).expect("failed to write");
     fixture.full.store(true, Ordering::SeqCst);
     let old = fixture.start_replaceable();
     let [mut leaver, twin] = ["leaver", "twin"].map(|id| {
-        let mut client = TcpStream::connect(fixture.node).expect("a connection");
+        let mut client = TcpStream::connect(fixture.node).expect("failed to connect");
         let text = format!(
             "POST /look HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id}\r\nX-Budget-Ms: 9000\r\nContent-Length: 2\r\n\r\n10"
         );
-        client.write_all(text.as_bytes()).expect("written");
+        client.write_all(text.as_bytes()).expect("failed to write");
         client
     });
-    until(|| old.has_waiting(2));
+    wait_until(|| old.has_waiting(2));
     let new = fixture.start_replaceable();
-    until(|| new.has_waiting(2));
-    leaver.set_write_timeout(Some(Duration::from_millis(200))).expect("a limit");
+    wait_until(|| new.has_waiting(2));
+    leaver.set_write_timeout(Some(Duration::from_millis(200))).expect("failed to set the timeout");
     let _ = leaver.write_all("X".repeat(extra_bytes).as_bytes());
-    until(|| {
+    wait_until(|| {
         let mut unacknowledged = 0;
         // SAFETY: writes one integer.
         unsafe { libc::ioctl(leaver.as_raw_fd(), libc::TIOCOUTQ, &mut unacknowledged) };
@@ -469,7 +476,7 @@
     thread::sleep(Duration::from_millis(100));
     assert_eq!(fixture.executions.load(Ordering::Relaxed), 0, "jobs sent while both are queued");
     fixture.full.store(false, Ordering::SeqCst);
-    let (_, body) = read_message(&mut BufReader::new(twin)).expect("an answer");
+    let (_, body) = read_message(&mut BufReader::new(twin)).expect("no response");
     assert_eq!(String::from_utf8_lossy(&body), "r-twin");
     thread::sleep(Duration::from_millis(200));
     assert_eq!(fixture.executions.load(Ordering::Relaxed), 1, "jobs sent");
@@ -510,12 +517,12 @@
     let fixture = Fixture::new();
     let old = fixture.start_replaceable();
     let file = fixture.folder.join("config.json");
-    let text = std::fs::read_to_string(&file).expect("the file");
-    std::fs::write(&file, &text[..text.len() / 2]).expect("written");
+    let text = std::fs::read_to_string(&file).expect("failed to read the file");
+    std::fs::write(&file, &text[..text.len() / 2]).expect("failed to write");
     let mut new = fixture.start(Some(&fixture.folder));
     old.signal("-HUP");
     assert!(!new.exits_successfully(), "{}", fixture.log());
-    until(|| fixture.log().contains("not reloaded, all stays as it is"));
+    wait_until(|| fixture.log().contains("not reloaded, all stays as it is"));
     check_answers(send_jobs(&fixture, "a", 5, 50));
     assert_eq!(status(old.management, "/v1/readyz").as_deref(), Some("200"));
 }
@@ -528,7 +535,7 @@
     let jobs = send_jobs(&fixture, "before", 10, 600);
     let new = fixture.start(Some(&fixture.folder));
     old.signal("-HUP");
-    until(|| status(new.management, "/v1/readyz").as_deref() == Some("200"));
+    wait_until(|| status(new.management, "/v1/readyz").as_deref() == Some("200"));
     old.signal("-HUP");
     new.signal("-HUP");
     old.signal("-TERM");
@@ -548,21 +555,21 @@
     let request =
         "POST /look HTTP/1.1\r\nHost: b\r\nX-Call-Id: pieces\r\nX-Budget-Ms: 4000\r\nContent-Length: 2\r\n\r\n10";
     let (first, rest) = request.split_at(request.len() / 2);
-    let mut client = TcpStream::connect(fixture.node).expect("a connection");
-    client.set_read_timeout(Some(TIMEOUT)).expect("a limit");
-    let mut idle = TcpStream::connect(fixture.node).expect("a connection");
-    idle.set_read_timeout(Some(TIMEOUT)).expect("a limit");
+    let mut client = TcpStream::connect(fixture.node).expect("failed to connect");
+    client.set_read_timeout(Some(TIMEOUT)).expect("failed to set the timeout");
+    let mut idle = TcpStream::connect(fixture.node).expect("failed to connect");
+    idle.set_read_timeout(Some(TIMEOUT)).expect("failed to set the timeout");
     process.signal("-TERM");
-    until(|| fixture.log().contains("Serving -> Leaving"));
+    wait_until(|| fixture.log().contains("Serving -> Leaving"));
     // Sends the first half as late as possible: a connection that takes too long over a request may be closed at any time.
     let quiet = Instant::now() + Duration::from_millis(1000);
     thread::sleep(quiet - Instant::now());
-    client.write_all(first.as_bytes()).expect("half a request");
-    until(|| fixture.log().contains("Leaving -> Closing"));
+    client.write_all(first.as_bytes()).expect("failed to write the first half");
+    wait_until(|| fixture.log().contains("Leaving -> Closing"));
     // Idle connections have been closed by now, among them this one.
     assert!(matches!(idle.read(&mut [0]), Ok(0)), "the idle connection is still open");
-    client.write_all(rest.as_bytes()).expect("the rest");
-    let (head, body) = read_message(&mut BufReader::new(client)).expect("an answer");
+    client.write_all(rest.as_bytes()).expect("failed to write the second half");
+    let (head, body) = read_message(&mut BufReader::new(client)).expect("no response");
     let closes = head.iter().any(|line| line.eq_ignore_ascii_case("connection: close"));
     assert!(head[0].contains(" 200 ") && closes && body == b"r-pieces", "{head:?}");
     assert!(process.exits_successfully(), "{}", fixture.log());
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -54,7 +54,7 @@
 
 /// Serves each connection in its own thread.
 fn listen(addr: &str, serve: impl Fn(TcpStream) + Clone + Send + 'static) {
-    let listener = TcpListener::bind(addr).expect("a free port");
+    let listener = TcpListener::bind(addr).expect("failed to bind a port");
     println!("listening on {addr}");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
