--- a/crates/coveroute-node/src/at_size.rs
+++ b/crates/coveroute-node/src/at_size.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::seconds;
 use crate::config::{self, Config};
-use crate::discovery::{Discovery, Lists, Told, LIST_MOST};
+use crate::discovery::{Discovery, ListParser, WatchItem, LIST_MOST};
 use crate::happening::Happening;
 use crate::hosts::Hosts;
 use crate::tests::{block, driver, CONFIG};
@@ -41,29 +41,29 @@
     let mut entries = entries(WORKERS);
     unfit.iter().enumerate().for_each(|(at, unfit)| entries[1_000 + at] = (*unfit).to_owned());
     let hosts: Hosts = serde_json::from_str(&whole(9, &entries)).expect("a list");
-    let (listing, line) = hosts.read();
+    let (listing, line) = hosts.into_listing();
     let line = line.expect("a line");
     assert!(
-        line.starts_with(&format!("list 9: left out {many} of {WORKERS} entries, the first: ")),
+        line.starts_with(&format!("list 9: skipped {many} invalid of {WORKERS} entries, the first: ")),
         "{line}"
     );
     assert!(!line.contains('\n') && line.len() < 500, "{line}");
     assert_eq!((listing.hosts.len(), listing.version, listing.full), (WORKERS - many, 9, true));
     let hosts: Hosts = serde_json::from_str(&whole(9, &self::entries(3))).expect("a list");
-    assert_eq!(hosts.read().1, None, "nothing is said of what is well");
+    assert_eq!(hosts.into_listing().1, None, "nothing is said of what is well");
 }
 
 /// The list that comes out of a text in pieces, and how many bytes were read for it.
 fn in_pieces(text: &str, piece: usize) -> (Listing, usize) {
-    let (mut lists, mut came) = (Lists::default(), None);
+    let (mut lists, mut came) = (ListParser::default(), None);
     for piece in text.as_bytes().chunks(piece) {
-        lists.add(piece);
+        lists.push(piece);
         match lists.next().expect("no fault") {
-            Some(Told::List(listing)) => assert!(came.replace(listing).is_none(), "once"),
-            Some(Told::Lives) | None => {}
+            Some(WatchItem::List(listing)) => assert!(came.replace(listing).is_none(), "once"),
+            Some(WatchItem::KeepAlive) | None => {}
         }
     }
-    (came.expect("a list"), lists.worked)
+    (came.expect("a list"), lists.parsed_bytes)
 }
 
 // Guards against a list that is read from its beginning with each piece: what it takes grows with its length squared.
@@ -73,26 +73,26 @@
 #[test_case(20, 100; "a short one in small pieces")]
 fn a_long_list_is_read_a_few_times_at_most(many: usize, piece: usize) {
     let text = whole(3, &entries(many));
-    let (listing, worked) = in_pieces(&text, piece);
+    let (listing, parsed_bytes) = in_pieces(&text, piece);
     assert_eq!((listing.hosts.len(), listing.version), (many, 3));
     if many >= WORKERS {
         // What may be read anew with each piece, then each time twice as much; at last the whole.
         let first = 16_384 * 16_384_usize.div_ceil(piece);
-        assert!(worked <= first + 3 * text.len(), "{worked} bytes were read of {}", text.len());
+        assert!(parsed_bytes <= first + 3 * text.len(), "{parsed_bytes} bytes were read of {}", text.len());
     }
 }
 
 // Guards against one that is noticed by its silence alone, seconds later.
 #[test]
 fn a_list_that_was_broken_off_is_none_as_soon_as_another_begins() {
-    let (text, mut lists) = (whole(5, &entries(WORKERS)), Lists::default());
+    let (text, mut lists) = (whole(5, &entries(WORKERS)), ListParser::default());
     for piece in text.as_bytes()[..500_000].chunks(16_384) {
-        lists.add(piece);
+        lists.push(piece);
         assert!(matches!(lists.next(), Ok(None)));
     }
-    lists.add(format!("\n{}\n", whole(6, &entries(1))).as_bytes());
+    lists.push(format!("\n{}\n", whole(6, &entries(1))).as_bytes());
     let told = lists.next().expect_err("a fault");
-    assert!(told.starts_with("a list can't be read: ") && !told.contains('\n'), "{told}");
+    assert!(told.starts_with("invalid list: ") && !told.contains('\n'), "{told}");
 }
 
 // Brackets in texts are none; nor is a quoted quote an end.
@@ -182,19 +182,23 @@
 #[test]
 fn a_team_without_a_share_is_told_in_a_line() {
     let line = |without| {
-        let config = Config::parse(&teams(without), config::Told::default()).expect("fit");
-        config::shares(&config.names.tenants, &config.settings.quotas)
+        let config = Config::parse(&teams(without), config::Environment::default()).expect("fit");
+        config::check_quotas(&config.names.tenants, &config.settings.quotas)
     };
     let told = line(Some(77)).expect("fit").expect("a line");
-    assert_eq!(told, "settings.orgs: 1 of 130 have no share, the first: t77: all it sends is beyond it");
+    assert_eq!(
+        told,
+        "settings.orgs: 1 of 130 have no quota, the first: t77: all its invocations exceed its share"
+    );
     assert_eq!(line(None), Ok(None));
     let none = vec!["a".to_owned(), "b".to_owned()];
-    assert_eq!(config::shares(&none, &[0.0, 0.0]), Ok(None), "where nobody has one none is missed");
+    assert_eq!(config::check_quotas(&none, &[0.0, 0.0]), Ok(None), "where nobody has one none is missed");
+    assert!(config::check_quotas(&none, &[1.0, -1.0])
+        .is_err_and(|e| e == "settings.orgs: b: quotaRps: -1 is negative"));
+    let twice = vec!["a".to_owned(), "a".to_owned()];
     assert!(
-        config::shares(&none, &[1.0, -1.0]).is_err_and(|e| e == "settings.orgs: b: quotaRps: -1 is below 0")
+        config::check_quotas(&twice, &[1.0, 2.0]).is_err_and(|e| e == "settings.orgs: a is defined twice")
     );
-    let twice = vec!["a".to_owned(), "a".to_owned()];
-    assert!(config::shares(&twice, &[1.0, 2.0]).is_err_and(|e| e == "settings.orgs: a is there twice"));
 }
 
 // At SIGHUP a share that the file in force has is missed: all stays as it was.
@@ -202,7 +206,7 @@
 fn a_team_that_loses_its_share_changes_nothing() {
     block(async {
         let (mut driver, _happens, _) = driver(&[]);
-        let again = |text: &str| Config::parse_again(text, config::Told::default()).map(Box::new);
+        let again = |text: &str| Config::parse_reload(text, config::Environment::default()).map(Box::new);
         driver.happened(Happening::Reload(again(&teams(None)), None));
         let before = driver.settings().quotas.clone();
         assert_eq!((before.len(), before[77]), (TEAMS, 77.5));
--- a/crates/coveroute-node/src/config.rs
+++ b/crates/coveroute-node/src/config.rs
@@ -1,4 +1,4 @@
-//! What the node is told at its start: the platform's variables and the configuration file.
+//! The node's configuration: the platform's environment variables and the configuration file.
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 
 use crate::clock::seconds;
 use crate::hosts::Hosts;
-use crate::needed::{fit, Figure, Keys};
+use crate::needed::{check_all, Check, Keys};
 use crate::transient::{retry, retry_blocking};
 
 pub const PATH: &str = "BALANCER_CONFIG";
@@ -22,7 +22,7 @@
 const MANAGEMENT: &str = "BALANCER_MANAGEMENT";
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -32,7 +32,7 @@
     #[serde(default)]
     limits: Limits,
     known: Option<Hosts>,
-    /// The addresses of all nodes, by their numbers, where they may tell each other.
+    /// The addresses of all nodes, indexed by node number, where nodes exchange hints.
     peers: Option<Vec<SocketAddr>>,
     settings: Box<RawValue>,
 }
@@ -50,21 +50,21 @@
     }
 }
 
-/// What only a node on sockets reads of the settings, in milliseconds.
+/// The settings that only this program reads, beyond those decoded by the shared crate. Times are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Sockets {
-    limits: SocketLimits,
-    rules: SocketRules,
+struct NodeSettings {
+    limits: NodeLimits,
+    rules: NodeRules,
     categories: Vec<Category>,
     registry_mode: String,
     #[serde(default)]
     weights: Option<String>,
-    report: Report,
+    report: ReportSettings,
 }
 
 #[derive(Deserialize)]
-struct Report {
+struct ReportSettings {
     source: String,
 }
 
@@ -81,7 +81,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct SocketLimits {
+struct NodeLimits {
     conn_idle: f64,
     dial_timeout: f64,
     max_attempts: f64,
@@ -91,35 +91,35 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct SocketRules {
+struct NodeRules {
     start_capacity: f64,
     warm_up: f64,
     overload_factor: f64,
     fall: f64,
 }
 
-/// What the platform's variables say.
+/// Values from the platform's environment variables.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct Environment {
     pub listen: Option<String>,
     pub discovery: Option<String>,
     pub management: Option<String>,
 }
 
-impl Told {
-    fn by_environment() -> Self {
-        let told = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
-        Told { listen: told(LISTEN), discovery: told(DISCOVERY), management: told(MANAGEMENT) }
+impl Environment {
+    fn read() -> Self {
+        let value = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
+        Environment { listen: value(LISTEN), discovery: value(DISCOVERY), management: value(MANAGEMENT) }
     }
 }
 
 #[derive(Debug)]
 pub struct Config {
-    /// The node's own, under which it stands in the fleet's file unless told otherwise.
+    /// The node's name, which is also its name in the fleet file unless overridden.
     pub name: Option<String>,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// The operators' door, if there is one.
+    /// The address for operators, if there is one.
     pub management: Option<SocketAddr>,
     pub seed: u64,
     pub sockets: usize,
@@ -128,41 +128,42 @@
     pub peers: Option<Vec<SocketAddr>>,
     pub settings: Settings,
     pub names: Names,
-    /// Executors close a connection that has stood idle for so long.
+    /// Executors close connections that have been idle for this long.
     pub idle: Duration,
-    /// A connection that takes longer to come up counts as failed.
+    /// Timeout for establishing a connection.
     pub dial: Duration,
     /// Each operation's client timeout.
     pub timeouts: Vec<f64>,
-    /// The keys of the file that a later one must have too.
+    /// The file's keys. A reloaded file must have them too.
     pub keys: Keys,
 }
 
 impl Config {
-    /// Reads the file that is named, else the one that the environment names. At the start what the platform's
-    /// variables say goes before it.
+    /// Reads the file at `path`, or else the one that the environment names. At the start the platform's environment
+    /// variables take precedence over the file.
     pub fn read(path: Option<PathBuf>) -> Result<Self, String> {
         let path = Self::path(path)?;
         let text = retry_blocking(|| std::fs::read_to_string(&path));
-        Self::load(&path, text, |text| Self::parse(text, Told::by_environment()))
+        Self::load(&path, text, |text| Self::parse(text, Environment::read()))
     }
 
-    /// Reads it anew: the variables of a process that runs stay as they were, so the file goes before them. A disk that fails for a
-    /// moment is waited for, as the operators' word comes once.
+    /// Reads the file again for a reload. The environment of a running process can't change, so the file's discovery
+    /// address takes precedence over the environment's. Transient read errors are retried, because operators request a
+    /// reload only once.
     pub async fn reread(path: Option<PathBuf>) -> Result<Self, String> {
         let path = Self::path(path)?;
         let text = retry(|| std::fs::read_to_string(&path)).await;
-        Self::load(&path, text, |text| Self::parse_again(text, Told::by_environment()))
+        Self::load(&path, text, |text| Self::parse_reload(text, Environment::read()))
     }
 
-    /// Whose lists are taken unasked.
+    /// The host whose pushed lists are accepted, if lists are pushed.
     pub fn pushed_by(&self) -> Option<IpAddr> {
         (!self.settings.must_ask).then_some(self.discovery.ip())
     }
 
     fn path(named: Option<PathBuf>) -> Result<PathBuf, String> {
         let path = named.or_else(|| std::env::var_os(PATH).map(PathBuf::from));
-        path.ok_or(format!("no configuration: name a file or set {PATH}"))
+        path.ok_or(format!("no configuration: pass --config or set {PATH}"))
     }
 
     fn load(
@@ -174,59 +175,59 @@
         text.and_then(|text| parse(&text)).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    pub fn parse(text: &str, told: Told) -> Result<Self, String> {
-        Self::parsed(text, told, |file, told| told.or(file))
+    pub fn parse(text: &str, environment: Environment) -> Result<Self, String> {
+        Self::parse_with(text, environment, |file, environment| environment.or(file))
     }
 
-    pub fn parse_again(text: &str, told: Told) -> Result<Self, String> {
-        Self::parsed(text, told, Option::or)
+    pub fn parse_reload(text: &str, environment: Environment) -> Result<Self, String> {
+        Self::parse_with(text, environment, Option::or)
     }
 
-    /// `discovery` chooses between what the file says of it and what the platform does.
-    fn parsed(
+    /// `discovery` chooses between the discovery addresses of the file and of the environment.
+    fn parse_with(
         text: &str,
-        told: Told,
+        environment: Environment,
         discovery: impl Fn(Option<String>, Option<String>) -> Option<String>,
     ) -> Result<Self, String> {
-        let mut file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        file.listen = told.listen.or(file.listen);
-        file.discovery = discovery(file.discovery, told.discovery);
-        file.management = told.management.or(file.management);
+        let mut file: ConfigFile = serde_json::from_str(text).map_err(|e| e.to_string())?;
+        file.listen = environment.listen.or(file.listen);
+        file.discovery = discovery(file.discovery, environment.discovery);
+        file.management = environment.management.or(file.management);
         Ok(Config { keys: Keys::of(text), ..file.config()? })
     }
 
-    /// Tenants' shares: invocations a second over all nodes.
+    /// Tenants' quotas, in invocations per second over all nodes.
     pub fn shares(&self) -> Vec<(String, f64)> {
         self.names.tenants.iter().cloned().zip(self.settings.quotas.iter().copied()).collect()
     }
 
-    /// What of it counts for decisions.
+    /// The part that the engine uses for its decisions.
     pub fn tuning(&self) -> Tuning {
         let (settings, names, timeouts) = (self.settings.clone(), self.names.clone(), self.timeouts.clone());
         Tuning { settings, names, timeouts }
     }
 }
 
-impl File {
+impl ConfigFile {
     fn config(self) -> Result<Config, String> {
         let file = self;
         let (settings, names) = decode(&file.settings)?;
-        shares(&names.tenants, &settings.quotas)?.iter().for_each(|line| warn!("{line}"));
-        let sockets: Sockets =
+        check_quotas(&names.tenants, &settings.quotas)?.iter().for_each(|warning| warn!("{warning}"));
+        let node: NodeSettings =
             serde_json::from_str(file.settings.get()).map_err(|e| format!("settings: {e}"))?;
-        shape(&sockets, &settings, file.peers.as_deref())?;
-        figures(&sockets)?;
+        check_consistency(&node, &settings, file.peers.as_deref())?;
+        check_values(&node)?;
         let seed = if file.seed.is_empty() { "0" } else { &file.seed };
-        let listen = address("listen", file.listen)?;
-        let management = file.management.map(|told| address("management", Some(told))).transpose()?;
+        let listen = parse_address("listen", file.listen)?;
+        let management = file.management.map(|value| parse_address("management", Some(value))).transpose()?;
         if management == Some(listen) {
-            return Err(format!("management: {listen} is where clients come"));
+            return Err(format!("management: {listen} is also the address for clients"));
         }
         Ok(Config {
             name: file.name,
             listen,
             management,
-            discovery: address("discovery", file.discovery)?,
+            discovery: parse_address("discovery", file.discovery)?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed {seed} is not hexadecimal"))?,
             sockets: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
@@ -234,55 +235,56 @@
             peers: file.peers,
             settings,
             names,
-            idle: seconds(sockets.limits.conn_idle / 1e3),
-            dial: seconds(sockets.limits.dial_timeout / 1e3),
-            timeouts: sockets.categories.iter().map(|category| category.deadline / 1e3).collect(),
+            idle: seconds(node.limits.conn_idle / 1e3),
+            dial: seconds(node.limits.dial_timeout / 1e3),
+            timeouts: node.categories.iter().map(|category| category.deadline / 1e3).collect(),
             keys: Keys::default(),
         })
     }
 }
 
-/// Refuses figures that nothing could be served by, and an operation that is told of twice.
-fn figures(sockets: &Sockets) -> Result<(), String> {
-    let (limits, rules) = (&sockets.limits, &sockets.rules);
+/// Rejects values with which no job could be served, and operations that are defined twice.
+fn check_values(node: &NodeSettings) -> Result<(), String> {
+    let (limits, rules) = (&node.limits, &node.rules);
     let whole = [
-        Figure::Over("settings.limits.maxAttempts", limits.max_attempts),
-        Figure::Over("settings.limits.connIdle", limits.conn_idle),
-        Figure::Over("settings.limits.dialTimeout", limits.dial_timeout),
-        Figure::Least("settings.limits.maxRetryAfter", limits.max_retry_after),
-        Figure::Least("settings.rules.startCapacity", rules.start_capacity),
-        Figure::Least("settings.rules.warmUp", rules.warm_up),
-        Figure::Over("settings.rules.overloadFactor", rules.overload_factor),
-        Figure::Least("settings.rules.fall", rules.fall),
+        Check::Positive("settings.limits.maxAttempts", limits.max_attempts),
+        Check::Positive("settings.limits.connIdle", limits.conn_idle),
+        Check::Positive("settings.limits.dialTimeout", limits.dial_timeout),
+        Check::NonNegative("settings.limits.maxRetryAfter", limits.max_retry_after),
+        Check::NonNegative("settings.rules.startCapacity", rules.start_capacity),
+        Check::NonNegative("settings.rules.warmUp", rules.warm_up),
+        Check::Positive("settings.rules.overloadFactor", rules.overload_factor),
+        Check::NonNegative("settings.rules.fall", rules.fall),
     ];
-    fit(&whole)?;
-    if sockets.categories.is_empty() {
-        return Err("settings.categories: there is none".into());
+    check_all(&whole)?;
+    if node.categories.is_empty() {
+        return Err("settings.categories: must not be empty".into());
     }
-    for (at, category) in sockets.categories.iter().enumerate() {
+    for (at, category) in node.categories.iter().enumerate() {
         let of = |key| format!("settings.categories: {}: {key}", category.name);
         let [deadline, on_time, credit, window] = ["deadline", "onTime", "credit", "window"].map(of);
         let own = [
-            Figure::Over(&deadline, category.deadline),
-            Figure::Least(&on_time, category.on_time),
-            Figure::Least(&credit, category.credit),
-            Figure::Least(&window, category.window),
+            Check::Positive(&deadline, category.deadline),
+            Check::NonNegative(&on_time, category.on_time),
+            Check::NonNegative(&credit, category.credit),
+            Check::NonNegative(&window, category.window),
         ];
-        fit(&own)?;
-        if sockets.categories[..at].iter().any(|other| other.name == category.name) {
-            return Err(format!("settings.categories: {} is there twice", category.name));
+        check_all(&own)?;
+        if node.categories[..at].iter().any(|other| other.name == category.name) {
+            return Err(format!("settings.categories: {} is defined twice", category.name));
         }
     }
     Ok(())
 }
 
-/// Refuses shares that are no figure, or of a tenant that is told of twice; a line where some have a share and others none.
-pub fn shares(tenants: &[String], quotas: &[f64]) -> Result<Option<String>, String> {
-    let mut told = BTreeSet::new();
+/// Rejects invalid quotas and tenants that are defined twice. Returns a warning if some tenants have a quota and others
+/// have none.
+pub fn check_quotas(tenants: &[String], quotas: &[f64]) -> Result<Option<String>, String> {
+    let mut seen = BTreeSet::new();
     for (tenant, quota) in tenants.iter().zip(quotas) {
-        fit(&[Figure::Least(&format!("settings.orgs: {tenant}: quotaRps"), *quota)])?;
-        if !told.insert(tenant) {
-            return Err(format!("settings.orgs: {tenant} is there twice"));
+        check_all(&[Check::NonNegative(&format!("settings.orgs: {tenant}: quotaRps"), *quota)])?;
+        if !seen.insert(tenant) {
+            return Err(format!("settings.orgs: {tenant} is defined twice"));
         }
     }
     let without: Vec<&str> =
@@ -290,43 +292,50 @@
     let line = || {
         let (many, all) = (without.len(), tenants.len());
         format!(
-            "settings.orgs: {many} of {all} have no share, the first: {}: all it sends is beyond it",
+            "settings.orgs: {many} of {all} have no quota, the first: {}: all its invocations exceed its share",
             without[0]
         )
     };
     Ok((1..tenants.len()).contains(&without.len()).then(line))
 }
 
-/// Refuses what mixes shapes of deployment, or would leave a node without a word of its executors, by the key.
-fn shape(sockets: &Sockets, settings: &Settings, peers: Option<&[SocketAddr]>) -> Result<(), String> {
-    let one_of = |key, told: &str, words: &[&str]| match words.contains(&told) {
+/// Rejects settings that don't fit together, or that would leave a node without information on its executors. The error
+/// names the key.
+fn check_consistency(
+    node: &NodeSettings,
+    settings: &Settings,
+    peers: Option<&[SocketAddr]>,
+) -> Result<(), String> {
+    let one_of = |key, value: &str, allowed: &[&str]| match allowed.contains(&value) {
         true => Ok(()),
-        false => Err(format!("settings.{key}: {told} is none of {}", words.join(", "))),
+        false => Err(format!("settings.{key}: {value} is not one of {}", allowed.join(", "))),
     };
-    one_of("registryMode", &sockets.registry_mode, &["on_request", "pushed"])?;
-    one_of("report.source", &sockets.report.source, &["answers", "probe", "none"])?;
-    one_of("weights", sockets.weights.as_deref().unwrap_or("none"), &["none", "nominal", "rough", "live"])?;
-    let (told, nodes) = (settings.reports != Reports::Never, settings.nodes);
-    let mixed = [
+    one_of("registryMode", &node.registry_mode, &["on_request", "pushed"])?;
+    one_of("report.source", &node.report.source, &["answers", "probe", "none"])?;
+    one_of("weights", node.weights.as_deref().unwrap_or("none"), &["none", "nominal", "rough", "live"])?;
+    let (reports, nodes) = (settings.reports != Reports::Never, settings.nodes);
+    let conflicts = [
         (settings.me >= nodes, format!("settings.me: {} is not one of {nodes} nodes", settings.me)),
         (
-            settings.peers && !(told && settings.probing),
-            "settings.limits.peers: who counts must also ask executors, see settings.limits.probing and report"
-                .into(),
+            settings.peers && !(reports && settings.probing),
+            "settings.limits.peers: requires settings.limits.probing and settings.report".into(),
         ),
         (
             settings.peers != peers.is_some(),
-            format!("peers: all nodes' addresses go with settings.limits.peers, which is {}", settings.peers),
+            format!(
+                "peers: must be set if and only if settings.limits.peers is, which is {}",
+                settings.peers
+            ),
         ),
         (
             peers.is_some_and(|peers| peers.len() != nodes),
             format!("peers: {} addresses for {nodes} nodes", peers.map_or(0, <[_]>::len)),
         ),
     ];
-    mixed.into_iter().find(|mixed| mixed.0).map_or(Ok(()), |mixed| Err(mixed.1))
+    conflicts.into_iter().find(|conflict| conflict.0).map_or(Ok(()), |conflict| Err(conflict.1))
 }
 
-fn address(what: &str, told: Option<String>) -> Result<SocketAddr, String> {
-    let told = told.ok_or(format!("no address for {what}"))?;
-    told.parse().map_err(|_| format!("{what}: {told} is not an address and a port"))
+fn parse_address(what: &str, value: Option<String>) -> Result<SocketAddr, String> {
+    let value = value.ok_or(format!("{what}: no address"))?;
+    value.parse().map_err(|_| format!("{what}: {value} is not an address with a port"))
 }
--- a/crates/coveroute-node/src/discovery.rs
+++ b/crates/coveroute-node/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: follows the list of executors, list by list.
+//! Discovery: watches the list of executors on a streaming HTTP connection.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -17,27 +17,30 @@
 use crate::hosts::Hosts;
 use crate::wire;
 
-/// Calls wait in turn there, for up to 3 s wherever that is known; one that is not begun by then is as good as failed.
-/// What is told meanwhile counts as told six seconds after the call: docs/design/told.md has the sum.
-const ANSWER_WITHIN: Duration = Duration::from_millis(3250);
-/// A line is due each two seconds, and what a silent watch does not bring counts as told after six.
-const LINE_WITHIN: Duration = Duration::from_millis(2500);
-/// After so many empty lines there is no list before them: the first line is one, also where nothing has changed, but for services
-/// that leave it out.
-const EMPTY_LINES: u32 = 2;
-/// For a connection to come up, which on the platform's network takes milliseconds.
-const DIAL_WITHIN: Duration = Duration::from_millis(500);
-/// A call that fails sooner has not waited for its turn: nobody is there, or there are too many who ask.
-const AT_ONCE: Duration = Duration::from_millis(150);
-/// The longest list: twice the executors that are designed for (`docs/CAPACITY.md`), also where it is indented.
+/// How long a watch request may wait for its response. Discovery queues requests, for up to 3 s wherever that is known;
+/// one that has no response by then counts as failed. A change published meanwhile counts as known to this node six
+/// seconds after the request: docs/design/told.md has the calculation.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3250);
+/// The longest gap between two lines of a watch. A line is due every two seconds, and a change that a silent watch
+/// fails to deliver counts as known after six.
+const LINE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// After so many empty lines without a list, no initial list is coming. The first line is a list even if nothing has
+/// changed, except with services that leave it out.
+const EMPTY_LINES_WITHOUT_LIST: u32 = 2;
+/// Connecting takes milliseconds on the platform's network.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A request that fails sooner than this was not queued: the service is down, or it has too many requests.
+const IMMEDIATE_FAILURE: Duration = Duration::from_millis(150);
+/// The largest accepted list: enough for twice the design capacity of executors (`docs/CAPACITY.md`), even if indented.
 pub const LIST_MOST: usize = 4 * 1024 * 1024;
-/// What has come of a list is read anew with each piece up to here. Beyond, only where it may be whole or there is twice
-/// as much of it as at the last time: each byte is then read a few times at most, however small the pieces are.
-const READ_EACH: usize = 16 * 1024;
-/// And where a line ends, after so many at most: of an indented list each entry has some.
-const BREAKS: usize = 4;
-
-/// The watch on changes; one runs at a time.
+/// Up to this size an incomplete list is parsed again with each chunk. Beyond, it is parsed only if it may be
+/// complete or has doubled since the last attempt, so each byte is parsed a few times at most, however small the
+/// chunks are.
+const REPARSE_ALWAYS_BYTES: usize = 16 * 1024;
+/// A large list is also parsed at a line break, but only for its first few: in an indented list each entry has some.
+const MAX_PARSED_LINE_BREAKS: usize = 4;
+
+/// Client of the discovery service; it runs one watch at a time.
 pub struct Discovery {
     client: Client,
     addr: SocketAddr,
@@ -47,15 +50,15 @@
 
 impl Discovery {
     pub fn new(addr: SocketAddr, happenings: Happenings) -> Self {
-        // Each call has a connection of its own: one that was kept and is closed by then would read as a call that was
-        // turned away as it came, and so as a service that is down.
-        let connector = Connector::new().connector(Dialer::new(DIAL_WITHIN));
-        let connector = connector.timeout(DIAL_WITHIN).conn_keep_alive(Duration::ZERO);
+        // Each request uses a new connection. A kept-alive connection that the service has closed would fail
+        // immediately, which would look like a service that is down.
+        let connector = Connector::new().connector(Dialer::new(CONNECT_TIMEOUT));
+        let connector = connector.timeout(CONNECT_TIMEOUT).conn_keep_alive(Duration::ZERO);
         let builder = Client::builder().connector(connector).disable_redirects().disable_timeout();
         Discovery { client: builder.no_default_headers().finish(), addr, happenings, watch: None }
     }
 
-    /// Starts a watch of this number from after `version`; one that still ran is dropped.
+    /// Starts watch `number` for changes after `version`, and cancels a watch that is still running.
     pub fn follow(&mut self, number: u64, version: u64) {
         let (client, happenings) = (self.client.clone(), self.happenings.clone());
         let uri = format!("http://{}{}?stream=1&index={version}", self.addr, wire::HOSTS);
@@ -70,178 +73,180 @@
         }
     }
 
-    /// From the next watch on another service is followed.
-    pub fn move_to(&mut self, addr: SocketAddr) {
+    /// Sets the address of the service for the next watch.
+    pub fn set_addr(&mut self, addr: SocketAddr) {
         self.addr = addr;
     }
 }
 
-/// Passes lists on until the watch ends; answers why, and what that tells of the list that is held.
-async fn watch(client: &Client, uri: &str, tell: impl Fn(Watched)) -> (String, Loss) {
+/// Reports lists until the watch ends. Returns why it ended, and what that implies for the list that the node holds.
+async fn watch(client: &Client, uri: &str, report: impl Fn(Watched)) -> (String, Loss) {
     let called = Instant::now();
     let missed = |since: Instant| Loss::Missed(since.elapsed().as_secs_f64());
-    let waited = || called.elapsed() >= AT_ONCE;
-    let mut answer = match timeout(ANSWER_WITHIN, client.get(uri).send()).await {
-        Err(_) => return ("no answer in time".into(), missed(called)),
-        // Whether it is there is unknown.
+    let was_queued = || called.elapsed() >= IMMEDIATE_FAILURE;
+    let mut answer = match timeout(RESPONSE_TIMEOUT, client.get(uri).send()).await {
+        Err(_) => return ("no response in time".into(), missed(called)),
+        // The connection failed: whether the service is running is unknown.
         Ok(Err(e)) if could_not_connect(&e) => return (e.to_string(), missed(called)),
-        Ok(Err(e)) => return (e.to_string(), if waited() { Loss::Waited } else { Loss::Closed }),
+        Ok(Err(e)) => return (e.to_string(), if was_queued() { Loss::Waited } else { Loss::Closed }),
         Ok(Ok(answer)) if answer.status() != 200 => {
-            let loss = if waited() { Loss::Waited } else { Loss::Refused };
-            return (format!("answered {}", answer.status()), loss);
+            let loss = if was_queued() { Loss::Waited } else { Loss::Refused };
+            return (format!("response status {}", answer.status()), loss);
         }
         Ok(Ok(answer)) => answer,
     };
-    let (mut lists, mut begun, mut heard) = (Lists::default(), false, called);
+    let (mut lists, mut begun, mut heard) = (ListParser::default(), false, called);
     let mut empty_lines = 0;
     loop {
-        // An answer that ends before its first list: discovery is there, and nothing was heard of it.
+        // A response that ends before its first list shows that discovery is running, but brought no changes.
         let lost = || if begun { Loss::Closed } else { missed(called) };
-        let within = if begun { LINE_WITHIN } else { ANSWER_WITHIN };
-        // Guards against a watch that trickles and never says anything whole: only a list, or an empty line, counts.
+        let within = if begun { LINE_TIMEOUT } else { RESPONSE_TIMEOUT };
+        // Only a complete list or an empty line resets the timeout, so a watch that trickles bytes without ever
+        // completing a list still times out.
         match timeout_at(heard + within, answer.next()).await {
-            Err(_) => return ("silent".into(), missed(heard)),
-            Ok(None) => return ("closed".into(), lost()),
+            Err(_) => return ("no list or empty line in time".into(), missed(heard)),
+            Ok(None) => return ("the response ended".into(), lost()),
             Ok(Some(Err(e))) => return (e.to_string(), lost()),
-            Ok(Some(Ok(chunk))) => lists.add(&chunk),
+            Ok(Some(Ok(chunk))) => lists.push(&chunk),
         }
         loop {
-            let told = match lists.next() {
+            let item = match lists.next() {
                 Ok(None) => break,
-                Ok(Some(told)) => told,
-                // What it held is unknown: asking anew brings it again.
+                Ok(Some(item)) => item,
+                // The content of the broken list is unknown. A new request brings it again.
                 Err(e) => return (e, missed(heard)),
             };
-            // Guards against an empty line before the first list, which may still be on its way: it tells nothing of what
-            // changed before the call. After the second, a beat later, none can be.
-            match told {
-                Told::List(listing) => {
-                    tell(Watched::Listed(listing));
-                    empty_lines = EMPTY_LINES;
+            // A single empty line may precede the first list, which may still be in transit, so it says nothing about
+            // changes before the request. After the second empty line, one interval later, no list can be pending.
+            match item {
+                WatchItem::List(listing) => {
+                    report(Watched::Listed(listing));
+                    empty_lines = EMPTY_LINES_WITHOUT_LIST;
                 }
-                Told::Lives => empty_lines += 1,
+                WatchItem::KeepAlive => empty_lines += 1,
             }
-            if empty_lines >= EMPTY_LINES && !std::mem::replace(&mut begun, true) {
-                tell(Watched::Begun);
+            if empty_lines >= EMPTY_LINES_WITHOUT_LIST && !std::mem::replace(&mut begun, true) {
+                report(Watched::Begun);
             }
             heard = if begun { Instant::now() } else { heard };
         }
     }
 }
 
-/// What has come on a watch since it was last looked at.
+/// A complete item received on a watch.
 #[derive(Debug)]
-pub enum Told {
+pub enum WatchItem {
     List(Listing),
-    /// An empty line: no news, and it lives.
-    Lives,
+    /// An empty line: no changes, and the watch is alive.
+    KeepAlive,
 }
 
-/// Lists out of chunks that may end anywhere; one may stand on one line or on many.
+/// Extracts lists from chunks that may end anywhere. A list may span one line or several.
 #[derive(Default)]
-pub struct Lists {
+pub struct ListParser {
     buffer: BytesMut,
-    scan: Scan,
-    /// So much there was when it was last read.
-    read: usize,
-    /// Bytes that were read, each time anew.
+    scan: BracketScan,
+    /// Length of the buffer at the last parse.
+    parsed_len: usize,
+    /// Total bytes parsed, counting each repeated parse.
     #[cfg(test)]
-    pub worked: usize,
+    pub parsed_bytes: usize,
 }
 
-/// Where in a list the bytes end that have been looked through: each is looked at once.
+/// Bracket-matching state over the buffered bytes. Each byte is scanned once.
 #[derive(Default)]
-struct Scan {
-    seen: usize,
+struct BracketScan {
+    scanned: usize,
     depth: usize,
-    text: Text,
-    /// Line breaks, wherever they stand.
+    string: StringState,
+    /// Line breaks seen, inside strings or outside.
     breaks: usize,
 }
 
 #[derive(Clone, Copy, Default)]
-enum Text {
+enum StringState {
     #[default]
     Outside,
     Inside,
     Escaped,
 }
 
-impl Scan {
-    /// Whether a value may be whole: as many brackets have been closed as opened, or it is none that has any.
-    fn whole(&mut self, buffer: &[u8]) -> bool {
-        while let Some(&byte) = buffer.get(self.seen) {
-            self.seen += 1;
+impl BracketScan {
+    /// Whether the buffer may hold a complete value: all brackets are closed, or the value has none.
+    fn may_be_complete(&mut self, buffer: &[u8]) -> bool {
+        while let Some(&byte) = buffer.get(self.scanned) {
+            self.scanned += 1;
             self.breaks += usize::from(byte == b'\n');
-            (self.depth, self.text) = match (self.text, byte) {
-                (Text::Outside, b'"') => (self.depth, Text::Inside),
-                (Text::Outside, b'{' | b'[') => (self.depth + 1, Text::Outside),
-                (Text::Outside, b'}' | b']') => (self.depth.saturating_sub(1), Text::Outside),
-                (Text::Inside, b'"') | (Text::Outside, _) => (self.depth, Text::Outside),
-                (Text::Inside, b'\\') => (self.depth, Text::Escaped),
-                (Text::Inside | Text::Escaped, _) => (self.depth, Text::Inside),
+            (self.depth, self.string) = match (self.string, byte) {
+                (StringState::Outside, b'"') => (self.depth, StringState::Inside),
+                (StringState::Outside, b'{' | b'[') => (self.depth + 1, StringState::Outside),
+                (StringState::Outside, b'}' | b']') => (self.depth.saturating_sub(1), StringState::Outside),
+                (StringState::Inside, b'"') | (StringState::Outside, _) => (self.depth, StringState::Outside),
+                (StringState::Inside, b'\\') => (self.depth, StringState::Escaped),
+                (StringState::Inside | StringState::Escaped, _) => (self.depth, StringState::Inside),
             };
-            if self.depth == 0 && matches!(self.text, Text::Outside) {
-                // The rest belongs to what comes behind.
-                self.seen = buffer.len();
+            if self.depth == 0 && matches!(self.string, StringState::Outside) {
+                // The remaining bytes belong to the next value.
+                self.scanned = buffer.len();
             }
         }
-        self.depth == 0 && matches!(self.text, Text::Outside)
+        self.depth == 0 && matches!(self.string, StringState::Outside)
     }
 }
 
-impl Lists {
-    pub fn add(&mut self, chunk: &[u8]) {
+impl ListParser {
+    pub fn push(&mut self, chunk: &[u8]) {
         self.buffer.extend_from_slice(chunk);
     }
 
-    /// Guards against a chunk that ends within a number, as `1.`: that is told as a fault, and may only not be whole.
-    fn at_end(&self, e: &serde_json::Error) -> bool {
+    /// Whether a syntax error is at the end of the buffer. A chunk that ends within a number, as in `1.`, is reported
+    /// as a syntax error, but may only be incomplete.
+    fn is_at_end(&self, e: &serde_json::Error) -> bool {
         let last = self.buffer.rsplit(|&b| b == b'\n').next().unwrap_or_default();
         e.line() > self.buffer.iter().filter(|&&b| b == b'\n').count() && e.column() >= last.len()
     }
 
-    /// Whether it is worth while to read what there is. Guards against a long list in small pieces that is read from its
-    /// beginning with each: one of thousands of executors took a tenth of a second for itself.
-    fn is_worth_reading(&mut self) -> bool {
-        let (held, breaks) = (self.buffer.len(), self.scan.breaks);
-        let whole = self.scan.whole(&self.buffer);
-        // A list on one line that was broken off is told to be none as soon as another begins.
-        let broken = self.scan.breaks > breaks && breaks < BREAKS;
-        whole || broken || held <= READ_EACH || held >= 2 * self.read
+    /// Whether parsing the buffer now is worthwhile. Parsing a long list from its beginning with each small chunk
+    /// took a tenth of a second for a list of thousands of executors.
+    fn should_parse(&mut self) -> bool {
+        let (len, breaks) = (self.buffer.len(), self.scan.breaks);
+        let complete = self.scan.may_be_complete(&self.buffer);
+        // A truncated single-line list is detected as soon as the next list begins.
+        let truncated = self.scan.breaks > breaks && breaks < MAX_PARSED_LINE_BREAKS;
+        complete || truncated || len <= REPARSE_ALWAYS_BYTES || len >= 2 * self.parsed_len
     }
 
-    /// The next list that has come whole, or what else there is; none while nothing is whole.
-    pub fn next(&mut self) -> Result<Option<Told>, String> {
+    /// The next complete item, or none while the buffer holds no complete one.
+    pub fn next(&mut self) -> Result<Option<WatchItem>, String> {
         let blank = self.buffer.iter().take_while(|b| b.is_ascii_whitespace()).count();
-        let lives = self.buffer.split_to(blank).contains(&b'\n');
-        if !self.is_worth_reading() {
-            return self.unread(lives);
+        let keep_alive = self.buffer.split_to(blank).contains(&b'\n');
+        if !self.should_parse() {
+            return self.incomplete(keep_alive);
         }
-        self.read = self.buffer.len();
+        self.parsed_len = self.buffer.len();
         #[cfg(test)]
         {
-            self.worked += self.read;
+            self.parsed_bytes += self.parsed_len;
         }
         let mut lists = serde_json::Deserializer::from_slice(&self.buffer).into_iter::<Hosts>();
         match lists.next() {
             Some(Ok(hosts)) => {
                 let end = lists.byte_offset();
                 self.buffer.advance(end);
-                (self.scan, self.read) = (Scan::default(), 0);
-                Ok(Some(Told::List(hosts.into())))
+                (self.scan, self.parsed_len) = (BracketScan::default(), 0);
+                Ok(Some(WatchItem::List(hosts.into())))
             }
-            Some(Err(e)) if !e.is_eof() && !self.at_end(&e) => Err(format!("a list can't be read: {e}")),
-            Some(Err(_)) | None => self.unread(lives),
+            Some(Err(e)) if !e.is_eof() && !self.is_at_end(&e) => Err(format!("invalid list: {e}")),
+            Some(Err(_)) | None => self.incomplete(keep_alive),
         }
     }
 
-    /// What is told while nothing is whole.
-    fn unread(&self, lives: bool) -> Result<Option<Told>, String> {
+    /// The result while the buffer holds no complete list.
+    fn incomplete(&self, keep_alive: bool) -> Result<Option<WatchItem>, String> {
         if self.buffer.len() > LIST_MOST {
-            return Err("a list is too long".into());
+            return Err(format!("list exceeds {LIST_MOST} bytes"));
         }
-        // The end of a list's own line is none that was left empty, but tells as much.
-        Ok(lives.then_some(Told::Lives))
+        // The line break that ends a list is not an empty line, but shows equally that the watch is alive.
+        Ok(keep_alive.then_some(WatchItem::KeepAlive))
     }
 }
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver: owns the engine and the clock, gives it everything that happens, and carries out its actions.
+//! The driver: owns the engine and the clock, feeds every event to the engine, and executes the actions it returns.
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::os::fd::{AsRawFd, OwnedFd};
@@ -23,49 +23,49 @@
 use crate::executors::Links;
 use crate::fleet::Carrier;
 use crate::guest::{Client, Guest, Guests, Leaves};
-use crate::handed::{Handed, HandedJob};
+use crate::handed::{Handed, TransferredJob};
 use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::link::{Link, Said, Side};
 use crate::needed::Keys;
 use crate::peers::Peers;
 use crate::phase::Life;
 use crate::probe::{give_up, probe};
-use crate::replace::{self, Waits};
+use crate::replace::{self, BoundSocket};
 use crate::send;
 use crate::server::Comes;
 use crate::take_in::Job;
 
-/// Of what cold executors can stand, the part of the process that takes connections while there are two: the other
-/// one only sends again what it has.
-const COLD_PART: f64 = 0.75;
-/// How often a node that closes looks whether it may end.
-const LOOK_EVERY: f64 = 0.02;
+/// Share of the load limit for cold executors that goes to the process that accepts connections, while two processes of
+/// the node run. The other process only retries the jobs that it already has.
+const COLD_SHARE: f64 = 0.75;
+/// How often a closing node checks whether it may exit.
+const CLOSING_POLL_INTERVAL: f64 = 0.02;
 
-/// What is kept of a job until its client has the final answer.
-struct Held {
+/// A job, kept until its client has the final answer.
+struct PendingJob {
     job: Rc<Job>,
     client: Client,
 }
 
-/// What sends a forward, and how far it is.
-struct Sending {
+/// The task that sends a forward, and its progress.
+struct ForwardTask {
     task: JoinHandle<()>,
     attempt: Rc<Attempt>,
 }
 
-/// What of the configuration in force a new one is held against.
-struct Running {
+/// The parts of the configuration in force that a reload is compared with.
+struct AppliedConfig {
     keys: Keys,
-    /// These count from the next start on.
+    /// Changes to these take effect at the next start.
     fixed: (SocketAddr, Option<SocketAddr>, usize, usize),
-    /// With another of these the node would be another one.
+    /// The node's identity: a reload can't change it.
     identity: (usize, Option<Vec<SocketAddr>>),
     discovery: SocketAddr,
 }
 
-impl Running {
+impl AppliedConfig {
     fn of(config: &Config) -> Self {
-        Running {
+        AppliedConfig {
             keys: config.keys.clone(),
             fixed: (config.listen, config.management, config.sockets, config.memory_mb),
             identity: (config.settings.me, config.peers.clone()),
@@ -73,40 +73,38 @@
         }
     }
 
-    /// Why the new one can't take this one's place while the node runs.
-    fn refuses(&self, new: &Running, pushed: (bool, bool)) -> Option<String> {
-        let lacks = new.keys.lacks(&self.keys);
-        match lacks {
-            Some(key) => Some(format!("{key}: missing, and the configuration in force has it")),
-            None if pushed.0 != pushed.1 => {
-                Some("settings.registryMode counts from the next start on".into())
-            }
+    /// Why the new configuration can't replace this one while the node runs, if it can't.
+    fn reject_reason(&self, new: &AppliedConfig, pushed: (bool, bool)) -> Option<String> {
+        let missing = new.keys.first_missing(&self.keys);
+        match missing {
+            Some(key) => Some(format!("{key}: missing, but present in the configuration in force")),
+            None if pushed.0 != pushed.1 => Some("settings.registryMode can only change at a restart".into()),
             None if self.identity != new.identity => {
-                Some("settings.me and peers count from the next start on".into())
+                Some("settings.me and peers can only change at a restart".into())
             }
             None => None,
         }
     }
 }
 
-/// What leads to other nodes, and to other processes of this one.
+/// Sockets and connections to other nodes, to other processes of this node and to clients.
 #[derive(Default)]
-pub struct Others {
-    /// For other nodes' messages, where nodes tell each other.
+pub struct Endpoints {
+    /// For hints from other nodes, where nodes exchange them.
     pub datagrams: Option<UdpSocket>,
-    /// This node's part in the fleet, where nodes know each other.
+    /// This node's fleet membership, where the deployment has a fleet.
     pub carrier: Option<Rc<Carrier>>,
-    /// The process before, and what it has handed over.
-    pub before: Option<(Rc<Link>, Handed)>,
-    pub successors: Option<Successors>,
-    /// The clients' connections, and where those of the process before go.
+    /// The link to the predecessor process, and the state that it handed over.
+    pub predecessor: Option<(Rc<Link>, Handed)>,
+    pub successor_socket: Option<SuccessorSocket>,
+    /// The clients' connections, and the queue for connections that the predecessor hands over.
     pub guests: Guests,
-    pub comes: Option<mpsc::UnboundedSender<Comes>>,
+    pub adopted: Option<mpsc::UnboundedSender<Comes>>,
 }
 
-/// Where successors come, and the sockets that they get.
-pub struct Successors {
-    pub place: PathBuf,
+/// The Unix socket at which successors connect, and the sockets that are passed to them.
+pub struct SuccessorSocket {
+    pub path: PathBuf,
     pub sockets: Vec<OwnedFd>,
 }
 
@@ -116,27 +114,27 @@
     life: Rc<Life>,
     links: Links,
     discovery: Discovery,
-    held: HashMap<InvId, Held>,
-    /// What sends a forward; stopped when it is given up before an answer, which closes the connection.
-    sending: HashMap<(InvId, usize), Sending>,
+    jobs: HashMap<InvId, PendingJob>,
+    /// The task of each forward. Aborting one before its answer closes the connection.
+    forwards: HashMap<(InvId, usize), ForwardTask>,
     attempts: Rc<AttemptCounts>,
     reports: bool,
-    running: Running,
-    /// Where nodes may tell each other.
+    applied: AppliedConfig,
+    /// Hints to and from other nodes, where enabled.
     peers: Option<Peers>,
     carrier: Option<Rc<Carrier>>,
-    /// The other processes of this node: the one that this one takes the place of, and the one that takes this one's.
-    before: Option<Rc<Link>>,
-    after: Option<Rc<Link>>,
-    /// Where it will wait for its successor, and does.
-    successors: Option<Successors>,
-    waits: Option<Waits>,
+    /// The other processes of this node: the one that this process replaces, and the one that replaces it.
+    predecessor: Option<Rc<Link>>,
+    successor: Option<Rc<Link>>,
+    /// The socket for successors, until it is bound and once it is.
+    successor_socket: Option<SuccessorSocket>,
+    bound_socket: Option<BoundSocket>,
     guests: Guests,
-    comes: Option<mpsc::UnboundedSender<Comes>>,
-    /// It has told the process before that it serves.
+    adopted: Option<mpsc::UnboundedSender<Comes>>,
+    /// Whether the predecessor was told that this process serves.
     announced: bool,
     happenings: Happenings,
-    /// Kept for the next event's actions.
+    /// Reused buffer for the actions of the next event.
     actions: Vec<Action>,
 }
 
@@ -146,20 +144,20 @@
         clock: Clock,
         life: Rc<Life>,
         links: Links,
-        others: Others,
+        endpoints: Endpoints,
         happenings: Happenings,
     ) -> Result<Self, String> {
-        let Others { datagrams, carrier, before, successors, guests, comes } = others;
+        let Endpoints { datagrams, carrier, predecessor, successor_socket, guests, adopted } = endpoints;
         life.take_lists_from(config.pushed_by());
         life.take_max_pause(config.settings.max_pause);
-        let running = Running::of(&config);
+        let applied = AppliedConfig::of(&config);
         let Config { settings, names, seed, timeouts, known, discovery, peers, .. } = config;
         let listen = |socket: UdpSocket| {
             Peers::new(settings.me, peers.unwrap_or_default(), socket, happenings.clone(), carrier.clone())
-                .map_err(|e| format!("nodes' messages: {e}"))
+                .map_err(|e| format!("peer socket: {e}"))
         };
         let peers = datagrams.map(listen).transpose()?;
-        let (before, handed) = before.unzip();
+        let (predecessor, handed) = predecessor.unzip();
         let memory = handed.map(|handed| handed.memory(discovery));
         let reports = settings.reports != Reports::Never;
         let setup = Setup { settings, names, seed, timeouts, known, memory };
@@ -170,54 +168,54 @@
             life,
             links,
             discovery: Discovery::new(discovery, happenings.clone()),
-            held: HashMap::new(),
-            sending: HashMap::new(),
+            jobs: HashMap::new(),
+            forwards: HashMap::new(),
             attempts: Rc::default(),
             reports,
-            running,
+            applied,
             peers,
             carrier,
-            before,
-            after: None,
-            successors,
+            predecessor,
+            successor: None,
+            successor_socket,
             guests,
-            comes,
-            waits: None,
+            adopted,
+            bound_socket: None,
             announced: false,
             happenings,
             actions,
         };
-        driver.life.follow(driver.before.is_some());
-        driver.pair();
-        driver.carry_out();
-        if driver.before.is_none() {
-            driver.hear(true);
-            driver.await_successors();
+        driver.life.follow(driver.predecessor.is_some());
+        driver.split_limits();
+        driver.execute_actions();
+        if driver.predecessor.is_none() {
+            driver.receive_peer_messages(true);
+            driver.listen_for_successors();
         }
         Ok(driver)
     }
 
-    /// Runs until the node's life has ended.
+    /// Runs until the node has reached its final phase.
     pub async fn run(mut self, mut happenings: mpsc::UnboundedReceiver<Happening>) {
         while self.life.phase() != Phase::Ended {
-            let look = Instant::now() + seconds(LOOK_EVERY);
-            let handing = !self.life.takes();
-            let closing = (self.life.phase() == Phase::Closing || handing).then_some(look);
+            let next_poll = Instant::now() + seconds(CLOSING_POLL_INTERVAL);
+            let handing_over = !self.life.takes();
+            let closing = (self.life.phase() == Phase::Closing || handing_over).then_some(next_poll);
             let due = self.engine.next_due().map(|due| self.clock.instant(due));
             let next = due.into_iter().chain(closing).min();
             tokio::select! {
                 biased;
                 happening = happenings.recv() => happening.into_iter().for_each(|what| self.happened(what)),
-                () = tokio::time::sleep_until(next.unwrap_or(look).into()) => {}
+                () = tokio::time::sleep_until(next.unwrap_or(next_poll).into()) => {}
             }
             self.advance();
-            if handing {
+            if handing_over {
                 self.hand_over();
             }
-            // An answer has left once its request is no longer in hand.
+            // A connection stays busy until its answer has been written.
             let busy = || self.guests.borrow().values().any(|guest| guest.is_busy());
             if closing.is_some() && self.life.idle() && !busy() {
-                self.tell(Event::Idle);
+                self.dispatch(Event::Idle);
             }
         }
     }
@@ -229,277 +227,287 @@
 
     fn advance(&mut self) {
         self.engine.advance(self.clock.now(), &mut self.actions);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    fn tell(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         self.engine.handle(self.clock.now(), event, &mut self.actions);
-        self.carry_out();
+        self.execute_actions();
     }
 
     pub fn happened(&mut self, happening: Happening) {
         match happening {
             Happening::Taken(id, job, client) => {
-                self.carrier.iter().for_each(|carrier| carrier.wanted(job.call.caller.as_deref()));
+                self.carrier.iter().for_each(|carrier| carrier.record_invocation(job.call.caller.as_deref()));
                 let job: Rc<Job> = job.into();
-                self.held.insert(id, Held { job: job.clone(), client });
-                self.tell(Event::Taken(id, &job.call));
+                self.jobs.insert(id, PendingJob { job: job.clone(), client });
+                self.dispatch(Event::Taken(id, &job.call));
             }
             Happening::Left(id) => {
-                self.held.remove(&id);
-                self.tell(Event::Left(id));
+                self.jobs.remove(&id);
+                self.dispatch(Event::Left(id));
             }
             Happening::Replied(id, forward, reply) => {
                 if !matches!(reply, Reply::Unheard | Reply::Written) {
-                    self.sending.remove(&(id, forward));
+                    self.forwards.remove(&(id, forward));
                 }
-                self.tell(Event::Replied(id, forward, reply));
+                self.dispatch(Event::Replied(id, forward, reply));
             }
-            Happening::News(news, body, tell) => self.news(news, body, tell, None),
+            Happening::News(news, body, tell) => self.handle_news(news, body, tell, None),
             Happening::Returned(news, tell, told) => {
                 let told = told || self.engine.knows(&news.call);
-                self.tell(Event::News(news));
+                self.dispatch(Event::News(news));
                 tell.map(|tell| tell.send(told));
             }
             Happening::Handing(tell) => {
                 let _ =
-                    tell.send(Handed::of(self.running.discovery, self.engine.memory(), self.clock.reading()));
+                    tell.send(Handed::of(self.applied.discovery, self.engine.memory(), self.clock.reading()));
             }
-            Happening::Linked(link) => self.linked(link),
-            Happening::Said(side, number, said) => self.said(side, number, said),
-            Happening::Probed(tgt, outcome, report) => self.tell(Event::Probed(tgt, outcome, report)),
-            Happening::Watch(watch, watched) => self.tell(Event::Watch(watch, watched)),
+            Happening::Linked(link) => self.successor_connected(link),
+            Happening::Said(side, number, said) => self.handle_link_message(side, number, said),
+            Happening::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
+            Happening::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
             Happening::Heard { from, told, mark, count } => {
-                self.tell(Event::Heard { from, told, mark, count });
+                self.dispatch(Event::Heard { from, told, mark, count });
             }
             Happening::Reload(Ok(config), plan) => self.reload(&config, plan),
-            Happening::Reload(Err(words), _) => self.not_reloaded(&words),
-            Happening::Ended(operation, verdict) => self.tell(Event::Ended(&operation, verdict)),
-            Happening::Quotas(quotas) => self.tell(Event::Quotas(quotas)),
+            Happening::Reload(Err(reason), _) => self.reject_reload(&reason),
+            Happening::Ended(operation, verdict) => self.dispatch(Event::Ended(&operation, verdict)),
+            Happening::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
             Happening::Asked(tell) => {
                 let (engine, attempts) = (self.engine.figures(self.clock.now()), self.attempts.figures());
                 let _ = tell.send(NodeFigures { engine, attempts });
             }
             Happening::Stop => {
-                // Before anything is given back or cut for the stop.
+                // Before the stop gives back jobs or closes connections.
                 self.hand_over();
-                // A successor goes on as the same member.
-                self.carrier.iter().filter(|_| self.after.is_none()).for_each(|carrier| carrier.leave());
-                self.tell(Event::Stop);
+                // A successor continues as the same fleet member, so the fleet is told of a departure only without one.
+                self.carrier.iter().filter(|_| self.successor.is_none()).for_each(|carrier| carrier.leave());
+                self.dispatch(Event::Stop);
             }
         }
     }
 
-    fn not_reloaded(&mut self, words: &str) {
-        error!("not reloaded, all stays as it is: {words}");
-        self.tell(Event::NotReread);
+    fn reject_reload(&mut self, reason: &str) {
+        error!("not reloaded, all stays as it is: {reason}");
+        self.dispatch(Event::NotReread);
     }
 
-    /// Takes a configuration over, whole or not at all.
+    /// Applies a new configuration entirely or not at all.
     fn reload(&mut self, config: &Config, plan: Option<Plan>) {
         if !self.engine.phase().takes_settings() {
-            return self.not_reloaded("the node is about to stop");
+            return self.reject_reload("the node is stopping");
         }
-        let new = Running::of(config);
+        let new = AppliedConfig::of(config);
         let pushed = (self.life.lists_from().is_some(), config.pushed_by().is_some());
-        if let Some(why) = self.running.refuses(&new, pushed) {
-            return self.not_reloaded(&why);
+        if let Some(why) = self.applied.reject_reason(&new, pushed) {
+            return self.reject_reload(&why);
         }
         if let Some((carrier, plan)) = self.carrier.as_ref().zip(plan) {
             if let Err(why) = carrier.reread(plan, config.shares()) {
-                return self.not_reloaded(&format!("the fleet's file: {why}"));
+                return self.reject_reload(&format!("fleet file: {why}"));
             }
         }
-        if self.running.fixed != new.fixed {
-            warn!("addresses and limits of the process count from the next start on");
+        if self.applied.fixed != new.fixed {
+            warn!("changed addresses and process limits take effect at the next start");
         }
-        let moved = self.running.discovery != new.discovery;
+        let moved = self.applied.discovery != new.discovery;
         if moved {
-            info!("follows the list at {}", new.discovery);
-            self.discovery.move_to(new.discovery);
+            info!("now following the executor list at {}", new.discovery);
+            self.discovery.set_addr(new.discovery);
         }
-        self.running = Running { fixed: self.running.fixed, ..new };
+        self.applied = AppliedConfig { fixed: self.applied.fixed, ..new };
         self.life.take_lists_from(config.pushed_by());
         self.life.take_max_pause(config.settings.max_pause);
         self.links.retune(config.dial, config.idle);
         self.reports = config.settings.reports != Reports::Never;
-        self.tell(Event::Reread { tuning: Some(Box::new(config.tuning())), moved });
+        self.dispatch(Event::Reread { tuning: Some(Box::new(config.tuning())), moved });
     }
 
-    /// What can't be carried out is told to the engine, which may give more to do.
-    fn carry_out(&mut self) {
+    /// Executes pending actions. A failed action is reported to the engine, which may return further actions.
+    fn execute_actions(&mut self) {
         while !self.actions.is_empty() {
             let mut actions = std::mem::take(&mut self.actions);
             for action in actions.drain(..) {
-                if let Some(failed) = self.act(action) {
+                if let Some(failed) = self.execute(action) {
                     self.engine.handle(self.clock.now(), failed, &mut self.actions);
                 }
             }
             if self.actions.is_empty() {
-                self.actions = actions; // Its room is used again.
+                self.actions = actions; // Keeps the allocation.
                 break;
             }
         }
         self.life.set(self.engine.phase());
-        if let Some(before) = self.before.as_ref().filter(|_| self.life.is_up() && !self.announced) {
-            before.serves();
+        if let Some(predecessor) = self.predecessor.as_ref().filter(|_| self.life.is_up() && !self.announced)
+        {
+            predecessor.send_serving();
             self.announced = true;
-            self.hear(true);
+            self.receive_peer_messages(true);
         }
     }
 
-    /// Limits, and what cold executors can stand, are for all processes of this node together. The one that takes
+    /// Splits the node's limits, and the load limit for cold executors, between its processes. The process that accepts
     /// connections gets most of the latter.
-    fn pair(&mut self) {
-        let paired = self.before.is_some() || self.after.is_some();
+    fn split_limits(&mut self) {
+        let paired = self.predecessor.is_some() || self.successor.is_some();
         self.life.pair(paired);
         self.links.share(paired);
         let part = match (paired, self.life.takes()) {
             (false, _) => 1.0,
-            (true, true) => COLD_PART,
-            (true, false) => 1.0 - COLD_PART,
+            (true, true) => COLD_SHARE,
+            (true, false) => 1.0 - COLD_SHARE,
         };
-        self.tell(Event::Part(part));
+        self.dispatch(Event::Part(part));
     }
 
-    fn await_successors(&mut self) {
-        if let Some(Successors { place, sockets }) = self.successors.take() {
-            self.waits = replace::wait(&place, sockets, self.happenings.clone());
+    fn listen_for_successors(&mut self) {
+        if let Some(SuccessorSocket { path, sockets }) = self.successor_socket.take() {
+            self.bound_socket = replace::listen_for_successors(&path, sockets, self.happenings.clone());
         }
     }
 
-    /// Another one that came before and did not get so far is no successor any more.
-    fn linked(&mut self, link: Rc<Link>) {
-        info!("another process of this node has begun");
-        self.after = Some(link);
-        self.takes(true);
+    /// Replaces an earlier successor that connected but never got as far as serving.
+    fn successor_connected(&mut self, link: Rc<Link>) {
+        info!("a successor process of this node has connected");
+        self.successor = Some(link);
+        self.set_accepting(true);
     }
 
-    /// Whether connections, and other nodes' messages, come here from now on.
-    fn takes(&mut self, takes: bool) {
-        self.life.take_connections(takes);
-        self.hear(takes);
-        self.pair();
+    /// Sets whether this process accepts connections and receives other nodes' messages.
+    fn set_accepting(&mut self, accepting: bool) {
+        self.life.take_connections(accepting);
+        self.receive_peer_messages(accepting);
+        self.split_limits();
     }
 
-    /// Of a node's processes one hears what other nodes say: the one that serves.
-    fn hear(&mut self, hears: bool) {
-        self.peers.iter_mut().for_each(|peers| peers.hear(hears));
+    /// Only one of a node's processes receives messages from other nodes: the one that serves.
+    fn receive_peer_messages(&mut self, enabled: bool) {
+        self.peers.iter_mut().for_each(|peers| peers.set_receiving(enabled));
     }
 
-    fn said(&mut self, side: Side, number: u64, said: Said) {
+    fn handle_link_message(&mut self, side: Side, number: u64, said: Said) {
         let link = match side {
-            Side::Before => &mut self.before,
-            Side::After => &mut self.after,
+            Side::Predecessor => &mut self.predecessor,
+            Side::Successor => &mut self.successor,
         };
         let Some(own) = link.as_ref().filter(|link| link.number == number).cloned() else { return };
         match (side, said) {
-            (Side::After, Said::Serves) => {
-                info!("the process after this one serves: no connections are taken here any more");
-                self.takes(false);
-                own.stopped();
+            (Side::Successor, Said::Serves) => {
+                info!("the successor process serves: this process accepts no more connections");
+                self.set_accepting(false);
+                own.send_stopped();
                 self.hand_over();
             }
-            (Side::Before, Said::Stopped) => self.taken_over(),
-            (Side::Before, Said::Guest(socket)) => {
-                self.come(socket, Comes::Idle);
+            (Side::Predecessor, Said::Stopped) => self.takeover_complete(),
+            (Side::Predecessor, Said::Guest(socket)) => {
+                self.adopt_connection(socket, Comes::Idle);
+            }
+            (Side::Predecessor, Said::Job(job, socket)) => self.adopt_job(*job, socket),
+            (Side::Successor, Said::Guest(_) | Said::Job(..)) => {
+                warn!("unexpected handover of a connection from the successor")
             }
-            (Side::Before, Said::Job(job, socket)) => self.take_in(*job, socket),
-            (Side::After, Said::Guest(_) | Said::Job(..)) => warn!("a successor hands nothing over"),
             (side, Said::News(body, tell)) => match callbacks::parse(&body) {
-                Ok(news) => self.news(news, body, Some(tell), Some(side)),
-                Err(e) => warn!("a link's news that can't be read: {e}"),
+                Ok(news) => self.handle_news(news, body, Some(tell), Some(side)),
+                Err(e) => warn!("invalid executor report on the process link: {e}"),
             },
-            (Side::Before, Said::Ended) => {
-                self.before = None;
-                self.hear(true);
-                self.taken_over();
-                self.pair();
+            (Side::Predecessor, Said::Ended) => {
+                self.predecessor = None;
+                self.receive_peer_messages(true);
+                self.takeover_complete();
+                self.split_limits();
             }
-            (Side::After, Said::Ended) => {
-                // Guards against a successor that died: whoever is left serves on.
-                self.after = None;
-                self.takes(true);
+            (Side::Successor, Said::Ended) => {
+                // If the successor dies, this process resumes serving.
+                self.successor = None;
+                self.set_accepting(true);
             }
-            (Side::Before, Said::Serves) | (Side::After, Said::Stopped) => {
-                warn!("the link says what it can't know")
+            (Side::Predecessor, Said::Serves) | (Side::Successor, Said::Stopped) => {
+                warn!("unexpected message on the process link")
             }
         }
     }
 
-    /// Whether somebody serves it from now on.
-    fn come(&mut self, socket: OwnedFd, how: impl FnOnce(TcpStream) -> Comes) -> bool {
+    /// Passes a connection from the predecessor to the server; returns whether the server took it.
+    fn adopt_connection(&mut self, socket: OwnedFd, wrap: impl FnOnce(TcpStream) -> Comes) -> bool {
         let stream = TcpStream::from_std(std::net::TcpStream::from(socket));
-        match (stream, &self.comes) {
-            (Ok(stream), Some(comes)) => return comes.send(how(stream)).is_ok(),
+        match (stream, &self.adopted) {
+            (Ok(stream), Some(adopted)) => return adopted.send(wrap(stream)).is_ok(),
             (Ok(_), None) => {}
-            (Err(e), _) => warn!("a connection of the process before is lost: {e}"),
+            (Err(e), _) => warn!("lost a connection handed over by the predecessor: {e}"),
         }
         false
     }
 
-    /// Goes on with a job of the process before.
-    fn take_in(&mut self, handed: HandedJob, socket: OwnedFd) {
+    /// Continues a job that the predecessor handed over.
+    fn adopt_job(&mut self, handed: TransferredJob, socket: OwnedFd) {
         let job = handed.job().filter(|_| handed.parcel.is_sound());
-        let Some(job) = job else { return error!("a job of the process before can't be read") };
+        let Some(job) = job else { return error!("invalid job handed over by the predecessor") };
         let (id, (answer, answered)) = (self.life.next_id(), oneshot::channel());
-        // It may have left on its way here: that is looked at before anything is sent.
+        // The client may have disconnected during the handover, so the socket is checked before anything is sent.
         let guest = Rc::new(Guest::new(socket.as_raw_fd()));
         let client = Client { answer, guest: Some(guest.clone()) };
-        self.held.insert(id, Held { job: Rc::new(job), client });
+        self.jobs.insert(id, PendingJob { job: Rc::new(job), client });
         let mine = guest.clone();
-        if !self.come(socket, |stream| Comes::Waiting(stream, mine, id, answered)) {
+        if !self.adopt_connection(socket, |stream| Comes::Waiting(stream, mine, id, answered)) {
             guest.closed();
         }
         self.engine.take_in(self.clock.now(), id, handed.parcel, &mut self.actions);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// Hands over what can go now: idle connections, and jobs with their clients' connections. Once told to stop, this
-    /// process ends when nothing is left.
+    /// Hands over to the successor what can be moved now: idle connections, and jobs with their clients' connections.
+    /// After a stop request this process exits once nothing is left.
     fn hand_over(&mut self) {
-        let Some(after) = self.after.clone().filter(|_| !self.life.takes()) else { return };
+        let Some(successor) = self.successor.clone().filter(|_| !self.life.takes()) else { return };
         let guests: Vec<_> = self.guests.borrow().values().cloned().collect();
         for guest in &guests {
             let Some(leaves) = guest.leaves() else { continue };
             let Ok(socket) = guest.socket() else { continue };
             match leaves {
-                Leaves::Idle => after.guest(socket),
+                Leaves::Idle => successor.send_connection(socket),
                 Leaves::Waiting(id) => {
-                    let Some(held) = self.held.get(&id).map(|held| held.job.clone()) else { continue };
+                    let Some(job) = self.jobs.get(&id).map(|pending| pending.job.clone()) else { continue };
                     let Some(parcel) = self.engine.part_with(id) else { continue };
-                    self.held.remove(&id);
-                    after.job(HandedJob::of(parcel, &held), socket);
+                    self.jobs.remove(&id);
+                    successor.send_job(TransferredJob::of(parcel, &job), socket);
                 }
             }
             guest.goes();
         }
-        if guests.is_empty() && after.is_written() && self.life.phase() == Phase::Leaving {
-            self.tell(Event::Relieved);
+        if guests.is_empty() && successor.is_flushed() && self.life.phase() == Phase::Leaving {
+            self.dispatch(Event::Relieved);
         }
     }
 
-    /// This is the process that serves.
-    fn taken_over(&mut self) {
+    /// The predecessor has stopped accepting: this process now serves alone.
+    fn takeover_complete(&mut self) {
         self.life.follow(false);
-        self.await_successors();
+        self.listen_for_successors();
     }
 
-    /// Executors tell whichever process their connection leads to. What is of no job here goes to the others, and
-    /// is acknowledged once one of them has it, or none does.
-    fn news(&mut self, news: News, body: Bytes, tell: Option<oneshot::Sender<bool>>, from: Option<Side>) {
-        let others: Vec<Rc<Link>> = self.before.iter().chain(&self.after).cloned().collect();
+    /// Handles an executor's report, which arrives at whichever process the executor's connection leads to. A report on
+    /// a job that is unknown here is relayed to the other processes, and acknowledged once one of them knows the job or
+    /// all of them have denied it.
+    fn handle_news(
+        &mut self,
+        news: News,
+        body: Bytes,
+        tell: Option<oneshot::Sender<bool>>,
+        from: Option<Side>,
+    ) {
+        let others: Vec<Rc<Link>> = self.predecessor.iter().chain(&self.successor).cloned().collect();
         let others: Vec<_> = others.into_iter().filter(|link| Some(link.side) != from).collect();
         let own = self.engine.knows(&news.call);
         if own || others.is_empty() {
             tell.map(|tell| tell.send(own || from.is_none()));
-            return self.tell(Event::News(news));
+            return self.dispatch(Event::News(news));
         }
         let happenings = self.happenings.clone();
         actix_rt::spawn(async move {
             let mut known = true;
             for link in others {
-                match link.pass(&body).await {
+                match link.relay_report(&body).await {
                     Some(true) => {
                         tell.map(|tell| tell.send(true));
                         return;
@@ -508,19 +516,20 @@
                     None => known = false,
                 }
             }
-            // Of nobody's job: there is nothing to wait for, unless one has not said so. It may have come here meanwhile.
+            // No process knows the job, so there is nothing to wait for, unless one did not reply. The job may have
+            // arrived here in the meantime.
             let _ = happenings.send(Happening::Returned(news, tell, known && from.is_none()));
         });
     }
 
-    fn act(&mut self, action: Action) -> Option<Event<'static>> {
+    fn execute(&mut self, action: Action) -> Option<Event<'static>> {
         match action {
             Action::Send { id, forward, tgt, end, write_until } => {
                 let deadline = Deadline::at(self.clock.instant(end), self.clock.instant(write_until));
                 return self.send(id, forward, tgt, deadline);
             }
             Action::Abort { id, forward } => {
-                self.sending.remove(&(id, forward)).into_iter().for_each(|sending| sending.task.abort());
+                self.forwards.remove(&(id, forward)).into_iter().for_each(|forward| forward.task.abort());
             }
             Action::Recall { id, forward } => return self.recall(id, forward),
             Action::GiveUp { tgt, call } => {
@@ -529,8 +538,8 @@
                 lease.map(|lease| actix_rt::spawn(give_up(lease, call, patience)));
             }
             Action::Answer { id, answer } => {
-                let held = self.held.remove(&id);
-                held.map(|held| held.client.answer.send(answer.into()));
+                let pending = self.jobs.remove(&id);
+                pending.map(|pending| pending.client.answer.send(answer.into()));
             }
             Action::Probe(tgt) => return self.probe(tgt),
             Action::Release(tgt) => self.links.release(tgt),
@@ -538,7 +547,7 @@
             Action::Gone(tgt) => self.links.gone(tgt),
             Action::Follow { watch, version } => self.discovery.follow(watch, version),
             Action::Tell { to, told, mark, count } => {
-                self.peers.iter().for_each(|peers| peers.tell(to, told, mark, count));
+                self.peers.iter().for_each(|peers| peers.send(to, told, mark, count));
             }
         }
         None
@@ -546,39 +555,41 @@
 
     fn send(&mut self, id: InvId, forward: usize, tgt: Tgt, deadline: Deadline) -> Option<Event<'static>> {
         let Some((job, client)) =
-            self.held.get(&id).map(|held| (held.job.clone(), held.client.guest.clone()))
+            self.jobs.get(&id).map(|pending| (pending.job.clone(), pending.client.guest.clone()))
         else {
-            debug!("forward {forward} of {id} is not begun: its client has left");
+            debug!("forward {forward} of {id} not started: the client disconnected");
             self.attempts.client_left();
-            return Some(not_begun(id, forward));
+            return Some(not_started(id, forward));
         };
         let Some(lease) = self.links.lease(tgt) else {
-            debug!("forward {forward} of {id} is not begun: no connection is free");
+            debug!("forward {forward} of {id} not started: no free connection");
             self.attempts.no_connection();
-            return Some(not_begun(id, forward));
+            return Some(not_started(id, forward));
         };
-        let (happenings, within) = (self.happenings.clone(), self.links.taken_within());
+        let (happenings, patience) = (self.happenings.clone(), self.links.taken_within());
         let attempt = Rc::new(Attempt::new((id, forward), deadline, client, self.attempts.clone()));
         let mine = attempt.clone();
         let task = actix_rt::spawn(async move {
             let tell = |reply| drop(happenings.send(Happening::Replied(id, forward, reply)));
-            send::forward(lease, &job, mine, within, tell).await;
+            send::forward(lease, &job, mine, patience, tell).await;
         });
-        self.sending.insert((id, forward), Sending { task, attempt });
+        self.forwards.insert((id, forward), ForwardTask { task, attempt });
         None
     }
 
-    /// Takes a forward back whose executor was told to be draining while its connection was still coming up.
+    /// Withdraws a forward whose executor was reported as draining while the connection was still being established.
     fn recall(&mut self, id: InvId, forward: usize) -> Option<Event<'static>> {
-        self.sending.get(&(id, forward)).filter(|sending| sending.attempt.progress() == Progress::Waiting)?;
-        self.sending.remove(&(id, forward))?.task.abort();
-        debug!("forward {forward} of {id} is taken back: its executor drains");
-        Some(not_begun(id, forward))
+        self.forwards
+            .get(&(id, forward))
+            .filter(|forward| forward.attempt.progress() == Progress::Waiting)?;
+        self.forwards.remove(&(id, forward))?.task.abort();
+        debug!("forward {forward} of {id} withdrawn: the executor is draining");
+        Some(not_started(id, forward))
     }
 
     fn probe(&mut self, tgt: Tgt) -> Option<Event<'static>> {
         let Some(lease) = self.links.lease(tgt) else {
-            // It has no room that could be used now.
+            // Without a free connection the executor has no capacity that could be used now.
             return Some(Event::Probed(tgt, Outcome::Full, Report::default()));
         };
         let (happenings, reports, patience) = (self.happenings.clone(), self.reports, self.links.patience());
@@ -590,9 +601,9 @@
     }
 }
 
-/// What was never sent is no fault of the executor's: it must not be doubted for want of descriptors here, nor for a
-/// client that has left.
-fn not_begun(id: InvId, forward: usize) -> Event<'static> {
+/// The reply for a forward that was never sent. It says nothing of the executor, which must not be suspected because
+/// this node ran out of descriptors or because the client disconnected.
+fn not_started(id: InvId, forward: usize) -> Event<'static> {
     Event::Replied(id, forward, Reply::Ended(Outcome::Moot, Report::default()))
 }
 
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -67,7 +67,9 @@
         driver.links.listed(0, CLOSED.into());
         let (answer, _answered) = oneshot::channel();
         let now = driver.clock.now();
-        driver.held.insert(ID, Held { job: Rc::new(job(CALL, "pay", 5.0, now)), client: client(answer) });
+        driver
+            .jobs
+            .insert(ID, PendingJob { job: Rc::new(job(CALL, "pay", 5.0, now)), client: client(answer) });
         let moot = Reply::Ended(Outcome::Moot, Report::default());
         let told = driver.send(ID, 0, 0, soon());
         assert!(matches!(told, Some(Event::Replied(ID, 0, reply)) if reply == moot));
@@ -81,10 +83,10 @@
         let (mut driver, _happens, _) = driver(&[CLOSED.into()]);
         let task = actix_rt::spawn(std::future::pending());
         let watch = task.abort_handle();
-        driver.sending.insert((ID, 0), Sending { task, attempt: attempt() });
-        driver.act(Action::Abort { id: ID, forward: 0 });
+        driver.forwards.insert((ID, 0), ForwardTask { task, attempt: attempt() });
+        driver.execute(Action::Abort { id: ID, forward: 0 });
         actix_rt::task::yield_now().await;
-        assert!(watch.is_finished() && driver.sending.is_empty());
+        assert!(watch.is_finished() && driver.forwards.is_empty());
         let told = driver.send(ID, 1, 0, soon());
         assert!(matches!(told, Some(Event::Replied(ID, 1, Reply::Ended(Outcome::Moot, _)))));
     });
@@ -155,12 +157,12 @@
         let (answer, _answered) = oneshot::channel();
         // It tells of room, and so the job goes there.
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
-        driver.tell(Event::Probed(0, Outcome::Succeeded, room));
+        driver.dispatch(Event::Probed(0, Outcome::Succeeded, room));
         let now = driver.clock.now();
         driver.happened(Happening::Taken(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
-        assert!(driver.sending.contains_key(&(ID, 0)), "it is on its way");
+        assert!(driver.forwards.contains_key(&(ID, 0)), "it is on its way");
         if !late {
-            while driver.sending[&(ID, 0)].attempt.progress() == Progress::Waiting {
+            while driver.forwards[&(ID, 0)].attempt.progress() == Progress::Waiting {
                 actix_rt::task::yield_now().await;
             }
         }
@@ -169,7 +171,7 @@
         );
         let hosts: crate::hosts::Hosts = serde_json::from_str(&drains).expect("a list");
         driver.happened(Happening::Watch(0, coveroute_engine::Watched::Listed(hosts.into())));
-        assert_eq!(driver.sending.contains_key(&(ID, 0)), !late, "taken back if nothing of it was written");
+        assert_eq!(driver.forwards.contains_key(&(ID, 0)), !late, "taken back if nothing of it was written");
         // Now there is room: whatever still wants to comes up, and tells what it writes.
         let heard = actix_rt::task::spawn_blocking(move || {
             let many = filling.len();
@@ -210,7 +212,7 @@
         let now = before.clock.now();
         before.happened(Happening::Taken(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
         let parcel = before.engine.part_with(ID).expect("a job that waits");
-        let handed = HandedJob::of(parcel, &job(CALL, "look", 9.0, now));
+        let handed = TransferredJob::of(parcel, &job(CALL, "look", 9.0, now));
         let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let client = std::net::TcpStream::connect(door.local_addr().expect("an address")).expect("a door");
         let socket = door.accept().expect("a client").0;
@@ -220,12 +222,12 @@
         listener.set_nonblocking(true).expect("a way to look");
         let (mut driver, _happens, _) = driver(&[listener.local_addr().expect("an address")]);
         let (comes, _coming) = mpsc::unbounded_channel();
-        (driver.before, driver.comes) =
-            (Some(Rc::new(Link::new(Side::Before, 0, mpsc::unbounded_channel().0))), Some(comes));
+        (driver.predecessor, driver.adopted) =
+            (Some(Rc::new(Link::new(Side::Predecessor, 0, mpsc::unbounded_channel().0))), Some(comes));
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
-        driver.tell(Event::Probed(0, Outcome::Succeeded, room));
-        driver.happened(Happening::Said(Side::Before, 0, Said::Job(Box::new(handed), socket.into())));
-        assert_eq!(driver.sending.len(), 1, "it is about to be sent");
+        driver.dispatch(Event::Probed(0, Outcome::Succeeded, room));
+        driver.happened(Happening::Said(Side::Predecessor, 0, Said::Job(Box::new(handed), socket.into())));
+        assert_eq!(driver.forwards.len(), 1, "it is about to be sent");
         let mut heard = 0;
         for _ in 0..100 {
             actix_rt::time::sleep(seconds(0.003)).await;
@@ -251,7 +253,7 @@
         let (mut driver, happens, _) = driver(&executors);
         let happenings = driver.happenings.clone();
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
-        (0..executors.len()).for_each(|tgt| driver.tell(Event::Probed(tgt, Outcome::Succeeded, room)));
+        (0..executors.len()).for_each(|tgt| driver.dispatch(Event::Probed(tgt, Outcome::Succeeded, room)));
         let now = driver.clock.now();
         let ask = |id| {
             let (answer, answered) = oneshot::channel();
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The carrier of this node's part in the fleet: gives it what the nodes' datagrams bring and what its clock says, and
-//! sends what it wants sent. One task beside the calls, with a budget of its own, so that nobody who floods it delays them.
+//! Runs this node's fleet membership: feeds datagrams and the clock to the protocol, and sends its messages. It is a
+//! task of its own with its own rate limit, so that a flood of datagrams does not delay calls.
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -21,39 +21,38 @@
 use crate::happening::{Happening, Happenings};
 use crate::phase::Life;
 
-/// Datagrams a second that are looked at; a member that is asked by each of 1,000 others every 0.2 s has ten.
-const HEARD_MOST: u32 = 2000;
-/// How often the node looks whether it stands otherwise than it told.
-const LOOKS_EVERY: f64 = 0.2;
-/// Incarnations are guessed by the system's clock, so often a second: a start later than the last by more is above it.
-const COUNTS: f64 = 16.0;
+/// The most datagrams handled per second. A member that each of 1,000 others asks every 0.2 s has ten.
+const MAX_DATAGRAMS_PER_SECOND: u32 = 2000;
+/// How often the node checks whether its stage differs from the published one.
+const STAGE_CHECK_INTERVAL: f64 = 0.2;
+/// Incarnation numbers are taken from the system clock, at this rate per second, so that a start more than one step
+/// after the previous one gets a higher number.
+const INCARNATIONS_PER_SECOND: f64 = 16.0;
 
-/// The operators' file, and under which name this node stands in it.
+/// The operators' fleet file, and this node's name in it.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Membership {
     pub path: PathBuf,
     pub name: String,
 }
 
-impl Place {
+impl Membership {
     pub fn read(&self) -> Result<Plan, String> {
-        let plan = read(&self.path)?;
+        let plan = read_plan(&self.path)?;
         match plan.members.contains_key(&self.name) {
             true => Ok(plan),
-            false => Err(format!(
-                "{}: members: {} is not among them; see --member",
-                self.path.display(),
-                self.name
-            )),
+            false => {
+                Err(format!("{}: members: {} is not listed; see --member", self.path.display(), self.name))
+            }
         }
     }
 
-    /// Where this node's datagrams come.
+    /// The address at which this node receives datagrams.
     pub fn address(&self, plan: &Plan, peers: Option<SocketAddr>) -> Result<SocketAddr, String> {
         let own = plan.members[&self.name].address;
         match peers {
             Some(peers) if peers != own => Err(format!(
-                "{}: members.{}.address: {own} is not {peers}, where nodes' messages come by the configuration's peers",
+                "{}: members.{}.address: {own} differs from {peers}, this node's address in the configuration's peers",
                 self.path.display(),
                 self.name
             )),
@@ -62,12 +61,12 @@
     }
 }
 
-pub fn read(path: &Path) -> Result<Plan, String> {
+pub fn read_plan(path: &Path) -> Result<Plan, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
     text.and_then(|text| Plan::parse(&text)).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Seconds of a clock that is never set and goes on while the machine sleeps: ages rest on it.
+/// Seconds of a clock that is never adjusted and includes time in suspend, because ages are computed from it.
 fn now() -> f64 {
     let read = clock_gettime(ClockId::CLOCK_BOOTTIME).or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
     read.map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9)
@@ -75,86 +74,91 @@
 
 pub struct Carrier {
     fleet: RefCell<Fleet>,
-    /// For what is sent; it never blocks.
+    /// For sending; non-blocking.
     socket: UdpSocket,
     life: Rc<Life>,
-    told: Cell<Option<Stage>>,
-    /// Whether this process is the one of its node that takes part.
-    part: Cell<bool>,
-    /// When the own record is written again at the latest.
-    again: Cell<f64>,
-    /// Of this second, what may still be looked at.
-    second: Cell<(Instant, u32)>,
+    published: Cell<Option<Stage>>,
+    /// Whether this process is the one of its node that takes part in the fleet.
+    active: Cell<bool>,
+    /// When the node's own record must be written again.
+    republish_at: Cell<f64>,
+    /// Start of the current second, and how many more datagrams may be handled in it.
+    rate_window: Cell<(Instant, u32)>,
     flooded: Cell<u64>,
-    /// Tenants' shares, and the rights to parts of them where they are the fleet's.
+    /// Tenants' shares, and this node's rights to parts of them where the fleet enforces them.
     shares: RefCell<Vec<(String, f64)>>,
     rights: RefCell<Option<Rights>>,
     happenings: Happenings,
 }
 
-/// As operators see it.
+/// The fleet's figures for operators.
 #[derive(Serialize)]
 pub struct Shown {
     #[serde(flatten)]
     figures: Figures,
-    /// Datagrams that were more than is looked at.
+    /// Datagrams dropped by the rate limit.
     flooded: u64,
-    /// What the others last told of themselves, and how old that is at most.
-    standing: BTreeMap<String, Stands>,
-    /// Tenants' shares, where they are the fleet's, and the mints that this node holds.
+    /// The stage that each member last published, and the greatest possible age of that.
+    standing: BTreeMap<String, MemberStage>,
+    /// Tenants' limits, where the fleet enforces them, and the number of mints that this node holds.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
-    limits: BTreeMap<String, Limited>,
+    limits: BTreeMap<String, LimitFigures>,
     #[serde(skip_serializing_if = "Option::is_none")]
     mints: Option<usize>,
 }
 
 #[derive(Serialize)]
-struct Limited {
-    /// In the window, and the most that all nodes together use in any.
+struct LimitFigures {
+    /// Invocations per window, and the most that all nodes together use in any window.
     share: f64,
     bound: f64,
     window: f64,
-    /// Here, since the start: invocations, and those within the share.
+    /// Invocations at this node since the start, and those of them within the share.
     wanted: f64,
     had: f64,
-    /// Rights that are here now, and what is within the share here a second.
+    /// Rights that this node holds now, and its part of the share per second.
     rights: f64,
     here: f64,
 }
 
 #[derive(Serialize)]
-struct Stands {
+struct MemberStage {
     stage: Stage,
     age: f64,
 }
 
 impl Carrier {
-    /// It takes part once its process is the one of its node that hears.
+    /// Starts inactive: it takes part once this process receives its node's datagrams.
     pub fn new(
-        place: &Place,
+        membership: &Membership,
         plan: Plan,
         shares: Vec<(String, f64)>,
         (socket, life, happenings): (UdpSocket, Rc<Life>, Happenings),
     ) -> Result<Self, String> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let mark = mix(unix.as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
-        let count = (unix.as_secs_f64() * COUNTS) as u64;
-        let mut fleet = Fleet::new(now(), &place.name, plan, count, mark)?;
+        let count = (unix.as_secs_f64() * INCARNATIONS_PER_SECOND) as u64;
+        let mut fleet = Fleet::new(now(), &membership.name, plan, count, mark)?;
         fleet.take_part(now(), false);
-        info!("member {} of fleet {}, of {}", place.name, fleet.plan().fleet, fleet.plan().members.len());
+        info!(
+            "member {} of fleet {}, of {}",
+            membership.name,
+            fleet.plan().fleet,
+            fleet.plan().members.len()
+        );
         socket.set_nonblocking(true).map_err(|e| e.to_string())?;
-        let (told, again, flooded) = (Cell::new(None), Cell::new(0.0), Cell::new(0));
-        let second = Cell::new((Instant::now(), HEARD_MOST));
+        let (published, republish_at, flooded) = (Cell::new(None), Cell::new(0.0), Cell::new(0));
+        let rate_window = Cell::new((Instant::now(), MAX_DATAGRAMS_PER_SECOND));
         let rights = RefCell::new(Self::rights(&fleet, &shares));
         let (fleet, shares) = (RefCell::new(fleet), RefCell::new(shares));
         Ok(Carrier {
             fleet,
             socket,
             life,
-            told,
-            part: Cell::new(false),
-            again,
-            second,
+            published,
+            active: Cell::new(false),
+            republish_at,
+            rate_window,
             flooded,
             shares,
             rights,
@@ -169,24 +173,24 @@
 
     // Limits.
 
-    /// An invocation of that tenant has come: it is within its share if there is a right to it here.
-    pub fn wanted(&self, tenant: Option<&str>) {
+    /// Counts an invocation of a tenant. It is within the tenant's share if this node holds a right to it.
+    pub fn record_invocation(&self, tenant: Option<&str>) {
         let Some((tenant, mut rights)) = tenant.zip(self.rights.try_borrow_mut().ok()) else { return };
         if let Some(rights) = rights.as_mut() {
             rights.take(now(), limit_id(tenant), 1.0);
         }
     }
 
-    /// Renews and asks, and tells the decisions what is within the shares here. Where this node has no mint, as most voters
-    /// are out of reach, it goes by an equal part, as without.
-    fn limits(&self, tells: bool) {
+    /// Renews and requests rights, and reports this node's quotas to the engine if `report_quotas` is set. A node
+    /// that has no mint because most voters are unreachable uses an equal part of each share, as without a fleet.
+    fn update_limits(&self, report_quotas: bool) {
         let (mut posts, now) = (Vec::new(), now());
         {
             let (fleet, mut rights) = (self.fleet.borrow(), self.rights.borrow_mut());
             let Some(rights) = rights.as_mut() else { return };
             let gone = |id| matches!(fleet.state(id), Some(State::Dead | State::Left));
             rights.advance(now, gone, &mut posts);
-            if tells {
+            if report_quotas {
                 let members = fleet.plan().members.len().max(1) as f64;
                 let shares = self.shares.borrow();
                 let here = |(name, share): &(String, f64)| {
@@ -208,49 +212,49 @@
         self.carry_out(actions);
     }
 
-    /// For as long as the process lives.
+    /// Runs until the process exits.
     pub async fn run(self: Rc<Self>) {
-        let mut looks = now();
+        let mut next_check = now();
         loop {
-            let due = self.fleet.borrow().next_due().min(looks);
+            let due = self.fleet.borrow().next_due().min(next_check);
             actix_rt::time::sleep(seconds(due - now())).await;
             let mut actions = Vec::new();
             self.fleet.borrow_mut().advance(now(), &mut actions);
-            let looked = now() >= looks;
-            if looked {
-                looks = now() + LOOKS_EVERY;
-                self.stand(&mut actions);
+            let checked = now() >= next_check;
+            if checked {
+                next_check = now() + STAGE_CHECK_INTERVAL;
+                self.publish_stage(&mut actions);
             }
             self.carry_out(actions);
-            if self.part.get() {
-                self.limits(looked);
+            if self.active.get() {
+                self.update_limits(checked);
             }
         }
     }
 
-    /// Tells the others how this node stands, when that changes or the record would end.
-    fn stand(&self, actions: &mut Vec<Action>) {
+    /// Publishes this node's stage when it changes or its record is about to expire.
+    fn publish_stage(&self, actions: &mut Vec<Action>) {
         let stage = match self.life.phase() {
             Phase::Starting => Stage::Starting,
             Phase::Serving | Phase::Reloading => Stage::Serving,
             Phase::Leaving | Phase::Closing | Phase::Ended => Stage::Leaving,
         };
         let (now, mut fleet) = (now(), self.fleet.borrow_mut());
-        if self.told.get() != Some(stage) || now >= self.again.get() {
+        if self.published.get() != Some(stage) || now >= self.republish_at.get() {
             fleet.write(now, Kind::STANDING, 0, &Standing { stage }.bytes(), actions);
-            self.told.set(Some(stage));
-            self.again.set(now + fleet.plan().records.life / 3.0);
+            self.published.set(Some(stage));
+            self.republish_at.set(now + fleet.plan().records.life / 3.0);
         }
     }
 
-    pub fn heard(&self, from: SocketAddr, bytes: &[u8]) {
-        let (began, left) = self.second.get();
+    pub fn receive(&self, from: SocketAddr, bytes: &[u8]) {
+        let (began, left) = self.rate_window.get();
         let (began, left) = if began.elapsed() >= Duration::from_secs(1) {
-            (Instant::now(), HEARD_MOST)
+            (Instant::now(), MAX_DATAGRAMS_PER_SECOND)
         } else {
             (began, left)
         };
-        self.second.set((began, left.saturating_sub(1)));
+        self.rate_window.set((began, left.saturating_sub(1)));
         if left == 0 {
             return self.flooded.set(self.flooded.get() + 1);
         }
@@ -262,7 +266,7 @@
     fn carry_out(&self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                // What can't be sent counts as lost: all of this may be.
+                // A datagram that can't be sent counts as lost, which the protocol allows for.
                 Action::Send { to, bytes } => drop(self.socket.send_to(&bytes, to)),
                 Action::News(News::Member { id, from, to }) => info!("{}: {from:?} -> {to:?}", self.name(id)),
                 Action::News(News::Record(_)) => {}
@@ -274,10 +278,10 @@
                     self.post(posts);
                 }
                 Action::News(News::Doubled { yields: false }) => {
-                    error!("another process bears this member's name, and falls silent")
+                    error!("another process uses this member's name, and stops sending")
                 }
                 Action::News(News::Doubled { yields: true }) => {
-                    error!("another process bears this member's name: this one falls silent for a while")
+                    error!("another process uses this member's name: this process stops sending for a while")
                 }
             }
         }
@@ -289,14 +293,14 @@
         name.cloned().unwrap_or_default()
     }
 
-    /// Whether this process is the one of its node that takes part.
-    pub fn take_part(&self, part: bool) {
-        self.part.set(part);
-        self.told.set(None); // Another one may have told otherwise meanwhile.
-        self.fleet.borrow_mut().take_part(now(), part);
+    /// Sets whether this process is the one of its node that takes part in the fleet.
+    pub fn take_part(&self, active: bool) {
+        self.active.set(active);
+        self.published.set(None); // The other process may have published another stage in the meantime.
+        self.fleet.borrow_mut().take_part(now(), active);
     }
 
-    /// Says that the node goes.
+    /// Announces that the node leaves the fleet.
     pub fn leave(&self) {
         let mut actions = Vec::new();
         self.fleet.borrow_mut().leave(&mut actions);
@@ -318,27 +322,27 @@
 
     pub fn shown(&self) -> Shown {
         let (fleet, now) = (self.fleet.borrow(), now());
-        let stands = fleet.read(now, Kind::STANDING).filter_map(|reading| {
+        let stages = fleet.read(now, Kind::STANDING).filter_map(|reading| {
             let standing = Standing::read(reading.value)?;
-            Some((self.name(reading.key.owner), Stands { stage: standing.stage, age: reading.age }))
+            Some((self.name(reading.key.owner), MemberStage { stage: standing.stage, age: reading.age }))
         });
         let (mut rights, shares) = (self.rights.borrow_mut(), self.shares.borrow());
-        let limited = |rights: &mut Rights| -> BTreeMap<String, Limited> {
-            let limited = shares.iter().filter_map(|(name, _)| {
+        let limit_figures = |rights: &mut Rights| -> BTreeMap<String, LimitFigures> {
+            let figures = shares.iter().filter_map(|(name, _)| {
                 let id = limit_id(name);
                 let limit = rights.terms().limit(id)?;
                 let ((wanted, had), here) = (rights.totals(id), rights.covered(now, id).unwrap_or(0.0));
                 let (share, bound, window) = (limit.most, limit.bound(), limit.window);
                 let rights = rights.has(now, id);
-                Some((name.clone(), Limited { share, bound, window, wanted, had, rights, here }))
+                Some((name.clone(), LimitFigures { share, bound, window, wanted, had, rights, here }))
             });
-            limited.collect()
+            figures.collect()
         };
         let (limits, mints) = match rights.as_mut() {
-            Some(rights) => (limited(rights), Some(rights.holds(now))),
+            Some(rights) => (limit_figures(rights), Some(rights.holds(now))),
             None => (BTreeMap::new(), None),
         };
-        let (figures, standing, flooded) = (fleet.figures(now), stands.collect(), self.flooded.get());
+        let (figures, standing, flooded) = (fleet.figures(now), stages.collect(), self.flooded.get());
         Shown { figures, flooded, standing, limits, mints }
     }
 }
--- a/crates/coveroute-node/src/handed.rs
+++ b/crates/coveroute-node/src/handed.rs
@@ -1,4 +1,4 @@
-//! Handed: what one process of a node tells the next, in the words of the link between them.
+//! The state that one process of a node hands over to its successor, in the format of the link between them.
 use std::net::SocketAddr;
 
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
@@ -11,10 +11,10 @@
 
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Handed {
-    /// Whom the list is followed at: another service's versions count otherwise.
+    /// The discovery service that the list came from. Another service's list versions are unrelated.
     discovery: SocketAddr,
     memory: Memory,
-    /// By which the times in all that is handed over count; an older program does not say.
+    /// The clock that all times in the handed-over state refer to. Older releases don't send it.
     #[serde(default)]
     clock: Option<Reading>,
 }
@@ -24,11 +24,12 @@
         Handed { discovery, memory, clock }
     }
 
-    /// The clock by which this process goes on.
+    /// The clock of this process, which continues the predecessor's if that is known.
     pub fn clock(&self) -> Clock {
         self.clock.map_or_else(Clock::new, Clock::following)
     }
 
+    /// The engine's state. If it came from another discovery service than `discovery`, its list version is reset.
     pub fn memory(mut self, discovery: SocketAddr) -> Memory {
         if self.discovery != discovery {
             self.memory.listing.version = 0;
@@ -37,9 +38,9 @@
     }
 }
 
-/// A job under way: what the engine knows of it, and its bytes.
+/// A job in progress: the engine's state of it, and the client's request.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct HandedJob {
+pub struct TransferredJob {
     pub parcel: Parcel,
     method: String,
     target: String,
@@ -47,10 +48,10 @@
     body: Vec<u8>,
 }
 
-impl HandedJob {
+impl TransferredJob {
     pub fn of(parcel: Parcel, job: &Job) -> Self {
         let headers = job.headers.iter().map(|(name, value)| (name.as_str().into(), value.as_bytes().into()));
-        HandedJob {
+        TransferredJob {
             parcel,
             method: job.method.as_str().into(),
             target: job.target.as_str().into(),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The job's bytes again, if they can be read.
+    /// The client's request, if it is valid.
     pub fn job(&self) -> Option<Job> {
         let mut headers = HeaderMap::with_capacity(self.headers.len());
         for (name, value) in &self.headers {
--- a/crates/coveroute-node/src/hosts.rs
+++ b/crates/coveroute-node/src/hosts.rs
@@ -1,4 +1,4 @@
-//! A list of executors as discovery words it.
+//! The wire format of discovery's list of executors.
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// So much of an entry that can't be read is shown.
-const SHOWN: usize = 200;
+/// Length in characters of the excerpt of an invalid entry in the log.
+const EXCERPT_LENGTH: usize = 200;
 
 #[derive(Debug, Default, Deserialize)]
 pub struct Hosts {
@@ -49,44 +49,46 @@
 }
 
 impl Hosts {
-    /// The list without entries that can't be read, and a line that says of these: they must not cost the others.
-    pub fn read(self) -> (Listing, Option<String>) {
-        let (mut hosts, mut faults, mut first) = (Vec::with_capacity(self.servers.len()), 0, None);
+    /// The list without its invalid entries, and a log line about these. An invalid entry must not make the others
+    /// unusable.
+    pub fn into_listing(self) -> (Listing, Option<String>) {
+        let (mut hosts, mut invalid, mut first) = (Vec::with_capacity(self.servers.len()), 0, None);
         for raw in &self.servers {
             match serde_json::from_str::<Host>(raw.get()) {
-                Ok(host) => hosts.push(host.listed()),
+                Ok(host) => hosts.push(host.into_engine_host()),
                 Err(e) => {
-                    faults += 1;
-                    first.get_or_insert_with(|| format!("{e}: {}", shown(raw.get())));
+                    invalid += 1;
+                    first.get_or_insert_with(|| format!("{e}: {}", excerpt(raw.get())));
                 }
             }
         }
         let (version, full, all) = (self.version, self.full, self.servers.len());
-        let line = first
-            .map(|first| format!("list {version}: left out {faults} of {all} entries, the first: {first}"));
+        let line = first.map(|first| {
+            format!("list {version}: skipped {invalid} invalid of {all} entries, the first: {first}")
+        });
         (Listing { version, full, hosts }, line)
     }
 }
 
-/// On one line, and no longer than one can be.
-fn shown(raw: &str) -> String {
-    raw.chars().map(|c| if c.is_control() { ' ' } else { c }).take(SHOWN).collect()
+/// An excerpt for the log: one line, of limited length.
+fn excerpt(raw: &str) -> String {
+    raw.chars().map(|c| if c.is_control() { ' ' } else { c }).take(EXCERPT_LENGTH).collect()
 }
 
 impl From<Hosts> for Listing {
     fn from(hosts: Hosts) -> Listing {
-        let (listing, line) = hosts.read();
+        let (listing, line) = hosts.into_listing();
         line.iter().for_each(|line| warn!("{line}"));
         listing
     }
 }
 
 impl Host<'_> {
-    fn listed(self) -> engine::Host {
+    fn into_engine_host(self) -> engine::Host {
         let addr: Option<SocketAddr> = self.addr.parse().ok();
         let standing = match (self.state, addr) {
             (State::Up, Some(_)) => Standing::Ready,
-            // Nothing new goes where it is not known to be wanted, or where to.
+            // An executor in an unknown state gets no new jobs, nor does one whose address is missing or invalid.
             (State::Draining | State::Unknown, _) => Standing::Draining,
             (State::Removed, _) | (State::Up, None) => Standing::Gone,
         };
--- a/crates/coveroute-node/src/link.rs
+++ b/crates/coveroute-node/src/link.rs
@@ -1,4 +1,4 @@
-//! Link: what two processes of one node say to each other, and the end of it that each holds.
+//! The link between two processes of one node: its messages, and the handle that each process holds.
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::os::fd::OwnedFd;
@@ -9,52 +9,52 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::handed::{Handed, HandedJob};
+use crate::handed::{Handed, TransferredJob};
 
-/// For the other process to say whether a job is its: many times a busy loop's round, well inside what an executor
-/// waits before it tells again.
-const PASSED_WITHIN: Duration = Duration::from_millis(500);
-/// Words on their way to the other process at a time; who tells more is asked to tell again.
-const ASKED_MOST: usize = 1024;
+/// Time limit for the other process to reply whether it knows a job: many times one iteration of a busy event loop, and
+/// well below the time after which an executor repeats its report.
+const REPORT_REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// The most relayed reports that wait for a reply. Executors must repeat reports beyond that.
+const MAX_PENDING_REPORTS: usize = 1024;
 
 /// Which process of the node the link leads to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Side {
-    Before,
-    After,
+    Predecessor,
+    Successor,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
 pub enum Message {
-    /// The new process, to begin with.
+    /// First message of the new process, with its protocol version.
     Hello(u32),
-    /// The old one, with its sockets: so many.
+    /// Reply of the old process: its state, and how many sockets come with the message.
     Handed(Box<Handed>, usize),
-    /// The new one takes connections, and knows executors.
+    /// The new process accepts connections and knows executors.
     Serves,
-    /// The old one takes none any more.
+    /// The old process has stopped accepting connections.
     Stopped,
-    /// A connection that asks for nothing now, with its socket.
+    /// An idle client connection; its socket comes with the message.
     Guest,
-    /// A job under way, with its client's socket.
-    Job(Box<HandedJob>),
-    /// An executor's words of a job that is not the teller's.
+    /// A job in progress; its client's socket comes with the message.
+    Job(Box<TransferredJob>),
+    /// An executor's report on a job that the sending process does not know.
     News(u64, String),
-    /// Whether it was the other's.
+    /// Reply to `News`: whether the receiving process knows the job.
     Heard(u64, bool),
 }
 
-/// A message, and the sockets that go with it.
-pub type Parted = (Message, Vec<OwnedFd>);
+/// A message, and the sockets that are sent with it.
+pub type OutgoingMessage = (Message, Vec<OwnedFd>);
 
-/// What the other process says, for the driver.
+/// A message from the other process, as an event for the driver.
 #[derive(Debug)]
 pub enum Said {
     Guest(OwnedFd),
-    Job(Box<HandedJob>, OwnedFd),
+    Job(Box<TransferredJob>, OwnedFd),
     Serves,
     Stopped,
-    /// Executors' words, and what is to be told of them.
+    /// An executor's report, and the channel for the reply whether its job is known.
     News(Bytes, oneshot::Sender<bool>),
     Ended,
 }
@@ -63,16 +63,23 @@
 pub struct Link {
     pub side: Side,
     pub number: u64,
-    out: mpsc::UnboundedSender<Parted>,
-    asked: RefCell<BTreeMap<u64, oneshot::Sender<bool>>>,
-    next: Cell<u64>,
-    /// Messages that are not written yet.
+    out: mpsc::UnboundedSender<OutgoingMessage>,
+    pending: RefCell<BTreeMap<u64, oneshot::Sender<bool>>>,
+    next_number: Cell<u64>,
+    /// Number of messages that are queued but not written.
     unwritten: Cell<usize>,
 }
 
 impl Link {
-    pub fn new(side: Side, number: u64, out: mpsc::UnboundedSender<Parted>) -> Self {
-        Link { side, number, out, asked: RefCell::default(), next: Cell::new(0), unwritten: Cell::new(0) }
+    pub fn new(side: Side, number: u64, out: mpsc::UnboundedSender<OutgoingMessage>) -> Self {
+        Link {
+            side,
+            number,
+            out,
+            pending: RefCell::default(),
+            next_number: Cell::new(0),
+            unwritten: Cell::new(0),
+        }
     }
 
     pub fn send(&self, message: Message, sockets: Vec<OwnedFd>) -> bool {
@@ -81,59 +88,60 @@
         sent
     }
 
-    /// One message more is written.
-    pub fn wrote(&self) {
+    /// Notes that one queued message has been written.
+    pub fn mark_written(&self) {
         self.unwritten.set(self.unwritten.get() - 1);
     }
 
-    /// It leads nowhere any more: who waits for a word of it is told so.
-    pub fn end(&self) {
-        self.asked.borrow_mut().clear();
+    /// Closes the link. Pending reports fail at once.
+    pub fn close(&self) {
+        self.pending.borrow_mut().clear();
         self.unwritten.set(0);
     }
 
-    /// Whether the other process has all that was sent, or has ended.
-    pub fn is_written(&self) -> bool {
+    /// Whether all queued messages have been written, or the link has closed.
+    pub fn is_flushed(&self) -> bool {
         self.unwritten.get() == 0
     }
 
-    pub fn serves(&self) {
+    pub fn send_serving(&self) {
         self.send(Message::Serves, Vec::new());
     }
 
-    pub fn stopped(&self) {
+    pub fn send_stopped(&self) {
         self.send(Message::Stopped, Vec::new());
     }
 
-    pub fn guest(&self, socket: OwnedFd) {
+    pub fn send_connection(&self, socket: OwnedFd) {
         self.send(Message::Guest, vec![socket]);
     }
 
-    pub fn job(&self, job: HandedJob, socket: OwnedFd) {
+    pub fn send_job(&self, job: TransferredJob, socket: OwnedFd) {
         self.send(Message::Job(Box::new(job)), vec![socket]);
     }
 
-    /// Passes an executor's words on; whether they were of a job there, or none if that is not known.
-    pub async fn pass(&self, body: &[u8]) -> Option<bool> {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let (tell, told) = oneshot::channel();
-        if self.asked.borrow().len() >= ASKED_MOST {
+    /// Relays an executor's report. Returns whether the other process knows its job, or none if it did not reply.
+    pub async fn relay_report(&self, body: &[u8]) -> Option<bool> {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let (reply, replied) = oneshot::channel();
+        if self.pending.borrow().len() >= MAX_PENDING_REPORTS {
             return None;
         }
-        self.asked.borrow_mut().insert(number, tell);
-        let body = String::from_utf8_lossy(body).into_owned(); // JSON was read out of it: it is text.
+        self.pending.borrow_mut().insert(number, reply);
+        let body = String::from_utf8_lossy(body).into_owned(); // It was parsed as JSON, so it is UTF-8.
         let answer = match self.send(Message::News(number, body), Vec::new()) {
-            true => timeout(PASSED_WITHIN, told).await.ok(),
+            true => timeout(REPORT_REPLY_TIMEOUT, replied).await.ok(),
             false => Some(Ok(false)),
         };
-        self.asked.borrow_mut().remove(&number);
-        // Who has ended holds nothing.
+        self.pending.borrow_mut().remove(&number);
+        // A process that has exited has no jobs.
         answer.map(|answer| answer.unwrap_or(false))
     }
 
-    pub fn heard(&self, number: u64, held: bool) {
-        let asked = self.asked.borrow_mut().remove(&number);
-        asked.map(|tell| tell.send(held));
+    /// Completes a relayed report with the other process's reply.
+    pub fn complete_report(&self, number: u64, known: bool) {
+        let pending = self.pending.borrow_mut().remove(&number);
+        pending.map(|reply| reply.send(known));
     }
 }
--- a/crates/coveroute-node/src/listen.rs
+++ b/crates/coveroute-node/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listen: the sockets that a process begins with.
+//! Creates or takes over the sockets that a process starts with.
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
@@ -8,18 +8,18 @@
 
 use crate::transient::retry;
 
-/// Where operators call: shared with nobody.
-pub async fn operators(addr: SocketAddr) -> std::io::Result<TcpListener> {
+/// The listening socket for operators. Its address can't be shared with another process.
+pub async fn bind_operators(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let listener = retry(|| std::net::TcpListener::bind(addr)).await?;
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// The sockets that the process before handed over, or new ones. The address can be shared: a process that takes this
-/// one's place may come without anything being handed over.
-pub async fn sockets(
+/// The sockets for clients and for other nodes' datagrams: those handed over by the predecessor, or new ones. The
+/// clients' address can be shared, because a process that replaces this one may start without a handover.
+pub async fn open(
     listen: SocketAddr,
-    hears: Option<SocketAddr>,
+    peer_addr: Option<SocketAddr>,
     sockets: Vec<OwnedFd>,
 ) -> Result<(TcpListener, Option<std::net::UdpSocket>), String> {
     let mut sockets = sockets.into_iter();
@@ -27,41 +27,44 @@
         Some(socket) => {
             let handed =
                 TcpListener::from_std(std::net::TcpListener::from(socket)).map_err(|e| e.to_string())?;
-            let there = handed.local_addr().map_err(|e| e.to_string())?;
-            if there != listen {
-                return Err(format!("{listen}: the process before serves at {there}"));
+            let actual = handed.local_addr().map_err(|e| e.to_string())?;
+            if actual != listen {
+                return Err(format!("{listen}: the predecessor process serves at {actual}"));
             }
-            info!("takes over {there}");
+            info!("taking over the listening socket at {actual}");
             handed
         }
         None => {
-            let listener = retry(|| reuse(listen)).await.map_err(|e| format!("{listen}: {e}"))?;
-            info!("listens on {listen}");
+            let listener = retry(|| bind_shared(listen)).await.map_err(|e| format!("{listen}: {e}"))?;
+            info!("listening on {listen}");
             listener
         }
     };
-    let datagrams = match (hears, sockets.next()) {
+    let datagrams = match (peer_addr, sockets.next()) {
         (None, _) => None,
-        (Some(hears), Some(socket)) => {
+        (Some(peer_addr), Some(socket)) => {
             let socket = std::net::UdpSocket::from(socket);
-            let there = socket.local_addr().map_err(|e| e.to_string())?;
-            if there != hears {
-                return Err(format!("{hears}: the process before hears nodes at {there}"));
+            let actual = socket.local_addr().map_err(|e| e.to_string())?;
+            if actual != peer_addr {
+                return Err(format!(
+                    "{peer_addr}: the predecessor process receives nodes' datagrams at {actual}"
+                ));
             }
             Some(socket)
         }
-        (Some(hears), None) => Some(
-            retry(|| std::net::UdpSocket::bind(hears))
+        (Some(peer_addr), None) => Some(
+            retry(|| std::net::UdpSocket::bind(peer_addr))
                 .await
-                .map_err(|e| format!("nodes' messages: {hears}: {e}"))?,
+                .map_err(|e| format!("peer socket: {peer_addr}: {e}"))?,
         ),
     };
     Ok((listener, datagrams))
 }
 
-/// Listens at an address that another process of this user may share.
-fn reuse(addr: SocketAddr) -> std::io::Result<TcpListener> {
-    const BACKLOG: u32 = 1024; // As the standard library's many times over: a burst while both processes start.
+/// Listens at an address that other processes of the same user can share.
+fn bind_shared(addr: SocketAddr) -> std::io::Result<TcpListener> {
+    // Many times the standard library's default, for a burst of connections while both processes start.
+    const BACKLOG: u32 = 1024;
     let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -1,5 +1,5 @@
-//! coveroute, the node on sockets: takes invocations from clients and pushes them to executors. The decisions
-//! stand in the library `coveroute`; this program carries them out.
+//! The coveroute node: accepts invocations from clients and pushes them to executors. The library `coveroute` makes the
+//! decisions; this program carries them out.
 mod arrival;
 #[cfg(test)]
 mod at_size;
@@ -58,7 +58,7 @@
 use config::Config;
 use coveroute_fleet::rights::limit_id;
 use coveroute_fleet::Plan;
-use driver::{Driver, Others, Successors};
+use driver::{Driver, Endpoints, SuccessorSocket};
 use executors::Links;
 use fleet::Carrier;
 use happening::{Happening, Happenings};
@@ -66,17 +66,17 @@
 use server::Door;
 
 const USAGE: &str = "\
-coveroute: takes invocations from clients and pushes them to executors
+coveroute: accepts invocations from clients and pushes them to executors
 
 usage: coveroute serve [--config FILE] [--fleet FILE] [--member NAME] [--log LEVEL]   run a node until it is asked to stop
-       coveroute check [--config FILE] [--fleet FILE] [--member NAME]                 say whether the files are fit
+       coveroute check [--config FILE] [--fleet FILE] [--member NAME]                 validate the files
        coveroute version
        coveroute help
 
---config FILE   default: what BALANCER_CONFIG names; BALANCER_LISTEN, BALANCER_DISCOVERY and BALANCER_MANAGEMENT
-                go before the file
---fleet FILE    who the other nodes are, see deploy/fleet.toml; without it a node knows no other
---member NAME   under which the node stands there; default: the configuration's name
+--config FILE   default: the file that BALANCER_CONFIG names; BALANCER_LISTEN, BALANCER_DISCOVERY and
+                BALANCER_MANAGEMENT take precedence over the file
+--fleet FILE    the members of the fleet, see deploy/fleet.toml; without it a node knows no other nodes
+--member NAME   this node's name in the fleet file; default: the configuration's name
 --log LEVEL     off, error, warn, info (default), debug or trace";
 
 enum Command {
@@ -86,7 +86,7 @@
     Help,
 }
 
-/// What is read at the start and at SIGHUP.
+/// The files that are read at the start and on SIGHUP.
 #[derive(Clone)]
 struct Files {
     config: Option<PathBuf>,
@@ -96,45 +96,45 @@
 
 impl Files {
     fn of(arguments: &mut Arguments) -> Result<Self, String> {
-        let told = |e: pico_args::Error| e.to_string();
-        let config = arguments.opt_value_from_str("--config").map_err(told)?;
-        let fleet: Option<PathBuf> = arguments.opt_value_from_str("--fleet").map_err(told)?;
-        let member: Option<String> = arguments.opt_value_from_str("--member").map_err(told)?;
+        let text = |e: pico_args::Error| e.to_string();
+        let config = arguments.opt_value_from_str("--config").map_err(text)?;
+        let fleet: Option<PathBuf> = arguments.opt_value_from_str("--fleet").map_err(text)?;
+        let member: Option<String> = arguments.opt_value_from_str("--member").map_err(text)?;
         match (&fleet, &member) {
-            (None, Some(_)) => Err("--member: goes with --fleet".into()),
+            (None, Some(_)) => Err("--member: requires --fleet".into()),
             _ => Ok(Files { config, fleet, member }),
         }
     }
 
-    /// Where the node stands in the fleet's file, if there is one.
-    fn place(&self, config: &Config) -> Result<Option<fleet::Place>, String> {
+    /// The node's entry in the fleet file, if there is a fleet file.
+    fn membership(&self, config: &Config) -> Result<Option<fleet::Membership>, String> {
         let Some(path) = self.fleet.clone() else { return Ok(None) };
         let name = self.member.clone().or(config.name.clone());
-        let name = name.ok_or("--member: under which name does the node stand in the fleet's file?")?;
-        Ok(Some(fleet::Place { path, name }))
+        let name = name.ok_or("--member: required with --fleet, because the configuration has no name")?;
+        Ok(Some(fleet::Membership { path, name }))
     }
 
     fn own_peer(config: &Config) -> Option<SocketAddr> {
         config.peers.as_ref().map(|peers| peers[config.settings.me])
     }
 
-    /// The fleet's file, and where its datagrams come.
-    fn plan(&self, config: &Config) -> Result<Option<(fleet::Place, Plan, SocketAddr)>, String> {
-        let Some(place) = self.place(config)? else { return Ok(None) };
-        let plan = place.read()?;
-        let address = place.address(&plan, Self::own_peer(config))?;
-        Ok(Some((place, plan, address)))
+    /// The fleet file's content, and the address for the fleet's datagrams.
+    fn plan(&self, config: &Config) -> Result<Option<(fleet::Membership, Plan, SocketAddr)>, String> {
+        let Some(membership) = self.membership(config)? else { return Ok(None) };
+        let plan = membership.read()?;
+        let address = membership.address(&plan, Self::own_peer(config))?;
+        Ok(Some((membership, plan, address)))
     }
 
-    /// Both anew, or why one of them is not fit.
+    /// Reads both files again; reports them, or why one of them is invalid.
     async fn reread(&self) -> Happening {
-        match self.read_again().await {
+        match self.read_reload().await {
             Ok((config, plan)) => Happening::Reload(Ok(config), plan),
-            Err(words) => Happening::Reload(Err(words), None),
+            Err(reason) => Happening::Reload(Err(reason), None),
         }
     }
 
-    async fn read_again(&self) -> Result<(Box<Config>, Option<Plan>), String> {
+    async fn read_reload(&self) -> Result<(Box<Config>, Option<Plan>), String> {
         let config = Config::reread(self.config.clone()).await?;
         let plan = self.plan(&config)?.map(|(_, plan, _)| plan);
         Ok((Box::new(config), plan))
@@ -142,24 +142,24 @@
 }
 
 fn command(mut arguments: Arguments) -> Result<Command, String> {
-    let told = |e: pico_args::Error| e.to_string();
-    let name = arguments.subcommand().map_err(told)?;
+    let text = |e: pico_args::Error| e.to_string();
+    let name = arguments.subcommand().map_err(text)?;
     let help = arguments.contains(["-h", "--help"]);
     let command = match name.as_deref() {
         _ if help => Command::Help,
         Some("serve") => {
-            let level = arguments.opt_value_from_str("--log").map_err(told)?;
+            let level = arguments.opt_value_from_str("--log").map_err(text)?;
             Command::Serve(Files::of(&mut arguments)?, level.unwrap_or(LevelFilter::Info))
         }
         Some("check") => Command::Check(Files::of(&mut arguments)?),
         Some("version") => Command::Version,
         Some("help") => Command::Help,
-        Some(other) => return Err(format!("no command {other}; see coveroute help")),
+        Some(other) => return Err(format!("unknown command {other}; see coveroute help")),
         None => return Err("no command; see coveroute help".into()),
     };
     let rest = arguments.finish();
     match rest.first().filter(|_| !help) {
-        Some(rest) => Err(format!("{} is not understood; see coveroute help", rest.to_string_lossy())),
+        Some(rest) => Err(format!("unexpected argument {}; see coveroute help", rest.to_string_lossy())),
         None => Ok(command),
     }
 }
@@ -168,11 +168,11 @@
     match command {
         Command::Help => println!("{USAGE}"),
         Command::Version => println!("coveroute {}", env!("CARGO_PKG_VERSION")),
-        // The fleet's file is the same for all nodes: it can be looked at without any node's configuration.
+        // The fleet file is the same for all nodes, so it can be checked without a node's configuration.
         Command::Check(Files { config: None, fleet: Some(path), member: None })
             if std::env::var_os(config::PATH).is_none() =>
         {
-            let plan = fleet::read(&path)?;
+            let plan = fleet::read_plan(&path)?;
             println!("fit: fleet {}, {} members", plan.fleet, plan.members.len());
         }
         Command::Check(files) => {
@@ -180,11 +180,11 @@
             let fleet = files.plan(&config)?;
             let (operations, nodes) = (config.settings.operations.len(), config.settings.nodes);
             println!("fit: {operations} operations, {nodes} nodes, listens on {}", config.listen);
-            if let Some((place, plan, address)) = fleet {
+            if let Some((membership, plan, address)) = fleet {
                 let (shares, members) = (config.shares(), plan.members.len());
                 let terms = plan.terms(&shares);
                 for (name, _) in &shares {
-                    // Those without a share have no limit.
+                    // Tenants without a quota have no limit.
                     let limit = terms.as_ref().and_then(|terms| terms.limit(limit_id(name)));
                     let Some(limit) = limit else { continue };
                     let (bound, one) = (limit.bound(), limit.most / members as f64);
@@ -194,7 +194,7 @@
                     );
                 }
                 let fleet = &plan.fleet;
-                println!("fit: fleet {fleet}, {members} members; {} hears at {address}", place.name);
+                println!("fit: fleet {fleet}, {members} members; {} hears at {address}", membership.name);
             }
         }
         Command::Serve(files, level) => {
@@ -206,44 +206,48 @@
     Ok(())
 }
 
-/// Parts of the descriptors that the node may hold: to executors, from clients that wait, and from others
-/// beyond those: executors that tell, and clients who are idle or only told to come back. A sixth is left for
-/// what is being closed and the process's own.
-fn budget(sockets: usize, memory_mb: usize) -> (usize, (usize, usize)) {
-    // A client's connection may hold 128 KiB of a head that is being read, and 64 KiB of a body.
-    const KIB_EACH: usize = 192;
-    let fit = memory_mb * 1024 / KIB_EACH;
-    (sockets / 3, ((sockets / 3).min(fit / 2), (sockets / 6).min(fit / 8)))
+/// Splits the node's descriptor limit: connections to executors, connections from waiting clients, and additional ones
+/// for executors that report, idle clients and clients that are throttled. The remaining sixth is for connections that
+/// are being closed and for the process's own descriptors.
+fn descriptor_limits(sockets: usize, memory_mb: usize) -> (usize, (usize, usize)) {
+    // A client's connection may buffer 128 KiB of request head and 64 KiB of body.
+    const KIB_PER_CLIENT: usize = 192;
+    let clients_in_memory = memory_mb * 1024 / KIB_PER_CLIENT;
+    (sockets / 3, ((sockets / 3).min(clients_in_memory / 2), (sockets / 6).min(clients_in_memory / 8)))
 }
 
 async fn serve(config: Config, files: Files) -> Result<(), String> {
     let (happenings, happens) = mpsc::unbounded_channel();
-    // First: a signal that nobody listens to would end the process.
+    // First, because a signal without a handler would end the process.
     actix_rt::spawn(signals(happenings.clone(), files.clone())?);
     let fleet = files.plan(&config)?;
-    // Not shared, and before anything is handed over: two processes that answer here would be told apart by nobody.
+    // This address is not shared, and is bound before the handover: operators could not tell two processes apart that
+    // answer there.
     let operators = match config.management {
-        Some(addr) => Some(listen::operators(addr).await.map_err(|e| format!("management: {addr}: {e}"))?),
+        Some(addr) => {
+            Some(listen::bind_operators(addr).await.map_err(|e| format!("management: {addr}: {e}"))?)
+        }
         None => None,
     };
-    let place = replace::place(config.listen);
-    let before = match &place {
-        Some(place) => replace::predecessor(place).await,
+    let handover_path = replace::socket_path(config.listen);
+    let predecessor = match &handover_path {
+        Some(path) => replace::predecessor(path).await,
         None => None,
     };
-    let (before, sockets) = before.map(|before| before.link(happenings.clone())).unzip();
-    let hears = Files::own_peer(&config).or(fleet.as_ref().map(|(.., address)| *address));
-    let (listener, datagrams) = listen::sockets(config.listen, hears, sockets.unwrap_or_default()).await?;
-    let clock = before.as_ref().map_or_else(Clock::new, |(_, handed)| handed.clock());
+    let (predecessor, sockets) =
+        predecessor.map(|predecessor| predecessor.into_link(happenings.clone())).unzip();
+    let peer_addr = Files::own_peer(&config).or(fleet.as_ref().map(|(.., address)| *address));
+    let (listener, datagrams) = listen::open(config.listen, peer_addr, sockets.unwrap_or_default()).await?;
+    let clock = predecessor.as_ref().map_or_else(Clock::new, |(_, handed)| handed.clock());
     let life = Rc::new(Life::new());
-    let (executors, clients) = budget(config.sockets, config.memory_mb);
+    let (executors, clients) = descriptor_limits(config.sockets, config.memory_mb);
     let links = Links::new(executors, config.dial, config.idle);
     let door = Rc::new(Door::new(clock, life.clone(), happenings.clone(), clients));
     let carrier = match (fleet, &datagrams) {
-        (Some((place, plan, _)), Some(socket)) => {
+        (Some((membership, plan, _)), Some(socket)) => {
             let socket = socket.try_clone().map_err(|e| e.to_string())?;
             Some(Rc::new(Carrier::new(
-                &place,
+                &membership,
                 plan,
                 config.shares(),
                 (socket, life.clone(), happenings.clone()),
@@ -259,19 +263,25 @@
     if let Some(datagrams) = &datagrams {
         sockets.push(own(datagrams.as_fd().try_clone_to_owned())?);
     }
-    let successors = place.map(|place| Successors { place, sockets });
-    let (adopts, comes) = mpsc::unbounded_channel();
-    let others =
-        Others { datagrams, carrier, before, successors, guests: door.guests(), comes: Some(adopts) };
-    let driver = Driver::new(config, clock, life, links, others, happenings)?;
-    actix_rt::spawn(server::accept(listener, door.clone(), comes));
+    let successor_socket = handover_path.map(|path| SuccessorSocket { path, sockets });
+    let (adopt, adopted) = mpsc::unbounded_channel();
+    let endpoints = Endpoints {
+        datagrams,
+        carrier,
+        predecessor,
+        successor_socket,
+        guests: door.guests(),
+        adopted: Some(adopt),
+    };
+    let driver = Driver::new(config, clock, life, links, endpoints, happenings)?;
+    actix_rt::spawn(server::accept(listener, door.clone(), adopted));
     actix_rt::spawn(server::sweep(door));
     driver.run(happens).await;
     info!("stopped");
     Ok(())
 }
 
-/// Passes on that the platform wants the node to stop, or the operators its configuration to be read anew.
+/// Turns the signals to stop and to reload into events.
 fn signals(happenings: Happenings, files: Files) -> Result<impl Future<Output = ()>, String> {
     let listen = |kind| signal(kind).map_err(|e| e.to_string());
     let mut term = listen(SignalKind::terminate())?;
@@ -283,7 +293,7 @@
                 _ = term.recv() => Happening::Stop,
                 _ = int.recv() => Happening::Stop,
                 _ = hup.recv() => {
-                    // Apart: a stop must not wait for a disk.
+                    // In a separate task: a stop must not wait for disk reads.
                     let (happenings, files) = (happenings.clone(), files.clone());
                     actix_rt::spawn(async move { happenings.send(files.reread().await) });
                     continue;
@@ -297,8 +307,8 @@
 fn main() -> ExitCode {
     match command(Arguments::from_env()).and_then(run) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("coveroute: {words}");
+        Err(reason) => {
+            eprintln!("coveroute: {reason}");
             ExitCode::FAILURE
         }
     }
--- a/crates/coveroute-node/src/peers.rs
+++ b/crates/coveroute-node/src/peers.rs
@@ -1,5 +1,5 @@
-//! Short messages between nodes, one datagram each from listening address to listening address: they may be lost,
-//! and nobody waits for them. What comes from another address than a node's is passed over.
+//! Hints between nodes: short unacknowledged messages, each one datagram between the nodes' listening addresses, which
+//! may be lost. Datagrams from any other address are ignored.
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,30 +16,30 @@
 use crate::fleet::Carrier;
 use crate::happening::{Happening, Happenings};
 
-/// Between two tries to hear where one fails.
-const AFTER_ERROR: Duration = Duration::from_millis(1);
+/// Delay after a failed receive.
+const RETRY_DELAY: Duration = Duration::from_millis(1);
 
 pub struct Peers {
-    /// For what is told; it never blocks. What is heard comes by a task.
+    /// For sending; non-blocking. A task receives.
     socket: std::net::UdpSocket,
-    /// Of all nodes, by their numbers.
+    /// The addresses of all nodes, indexed by node number.
     addrs: Rc<[SocketAddr]>,
     me: usize,
-    ear: Rc<UdpSocket>,
-    hears: Option<JoinHandle<()>>,
-    whom: Whom,
+    receiver: Rc<UdpSocket>,
+    task: Option<JoinHandle<()>>,
+    recipients: Recipients,
 }
 
-/// Whom what is heard is for.
+/// The recipients of incoming datagrams.
 #[derive(Clone)]
-struct Whom {
+struct Recipients {
     addrs: Rc<[SocketAddr]>,
     happenings: Happenings,
     carrier: Option<Rc<Carrier>>,
 }
 
 impl Peers {
-    /// `addrs`: of all nodes that take hints, none where there are no hints.
+    /// `addrs`: the addresses of all nodes, or none where nodes don't exchange hints.
     pub fn new(
         me: usize,
         addrs: Vec<SocketAddr>,
@@ -48,54 +48,58 @@
         carrier: Option<Rc<Carrier>>,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
-        let (ear, addrs) =
+        let (receiver, addrs) =
             (Rc::new(UdpSocket::from_std(socket.try_clone()?)?), Rc::<[SocketAddr]>::from(addrs));
-        let whom = Whom { addrs: addrs.clone(), happenings, carrier };
-        Ok(Peers { socket, addrs, me, ear, hears: None, whom })
+        let recipients = Recipients { addrs: addrs.clone(), happenings, carrier };
+        Ok(Peers { socket, addrs, me, receiver, task: None, recipients })
     }
 
-    /// Whether what comes is heard here, in a task of its own: not while another process of this node hears.
-    pub fn hear(&mut self, hears: bool) {
-        match self.hears.take() {
-            Some(task) if hears => self.hears = Some(task),
+    /// Starts or stops the receiving task. It must not run while another process of this node receives.
+    pub fn set_receiving(&mut self, enabled: bool) {
+        match self.task.take() {
+            Some(task) if enabled => self.task = Some(task),
             Some(task) => task.abort(),
-            None if hears => self.hears = Some(actix_rt::spawn(hear(self.ear.clone(), self.whom.clone()))),
+            None if enabled => {
+                self.task = Some(actix_rt::spawn(receive(self.receiver.clone(), self.recipients.clone())))
+            }
             None => {}
         }
-        self.whom.carrier.iter().for_each(|carrier| carrier.take_part(hears));
+        self.recipients.carrier.iter().for_each(|carrier| carrier.take_part(enabled));
     }
 
-    pub fn tell(&self, to: usize, told: Told, mark: u32, count: u8) {
+    pub fn send(&self, to: usize, told: Told, mark: u32, count: u8) {
         let Some(addr) = self.addrs.get(to).filter(|_| to != self.me) else { return };
         if let Err(e) = self.socket.send_to(words(told, mark, count).as_bytes(), addr) {
-            debug!("not told to node {to}: {e}");
+            debug!("hint to node {to} not sent: {e}");
         }
     }
 }
 
-async fn hear(socket: Rc<UdpSocket>, whom: Whom) {
-    const MOST: usize = 256; // The longest hint that deployments allow.
+async fn receive(socket: Rc<UdpSocket>, recipients: Recipients) {
+    const MAX_HINT_BYTES: usize = 256; // The longest hint in any deployment.
     let mut buffer = [0; 2048];
     loop {
-        let Ok((many, whose)) = socket.recv_from(&mut buffer).await else {
-            // Of an earlier message that did not arrive, which may be lost; or the next call fails as well.
-            sleep(AFTER_ERROR).await;
+        let Ok((len, sender)) = socket.recv_from(&mut buffer).await else {
+            // The error may concern an earlier datagram that could not be delivered, which may be lost. A persistent
+            // error fails the next call as well, so wait a moment.
+            sleep(RETRY_DELAY).await;
             continue;
         };
-        let (bytes, Whom { addrs, happenings, carrier }) = (&buffer[..many], &whom);
+        let (bytes, Recipients { addrs, happenings, carrier }) = (&buffer[..len], &recipients);
         if let Some(carrier) = carrier.as_ref().filter(|_| bytes.first() == Some(&MARK) || addrs.is_empty()) {
-            carrier.heard(whose, bytes);
+            carrier.receive(sender, bytes);
             continue;
         }
-        let from = addrs.iter().position(|addr| *addr == whose);
-        let read = std::str::from_utf8(bytes).ok().filter(|text| text.len() <= MOST).and_then(message);
+        let from = addrs.iter().position(|addr| *addr == sender);
+        let read =
+            std::str::from_utf8(bytes).ok().filter(|text| text.len() <= MAX_HINT_BYTES).and_then(message);
         match from.zip(read) {
             Some((from, (told, mark, count))) => {
                 if happenings.send(Happening::Heard { from, told, mark, count }).is_err() {
                     return;
                 }
             }
-            None => debug!("a message from {whose} is none of ours"),
+            None => debug!("ignored an unexpected datagram from {sender}"),
         }
     }
 }
--- a/crates/coveroute-node/src/replace.rs
+++ b/crates/coveroute-node/src/replace.rs
@@ -1,6 +1,6 @@
-//! Replace: a process of this node takes the place of another one that still runs. Both are joined by a link, a Unix
-//! socket in `$TMPDIR`: over it the listening sockets go to the new process with what the old one knows, and for as
-//! long as both live each passes on what executors tell of the other's jobs. docs/design/replacement.md weighs the ways.
+//! Process replacement: a new process of this node takes over from one that still runs. The two are connected by a
+//! link, a Unix socket in `$TMPDIR`. Over it the old process passes its listening sockets and its state, and while
+//! both run each relays executors' reports on the other's jobs. docs/design/replacement.md compares the alternatives.
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut};
 use std::net::SocketAddr;
@@ -22,15 +22,17 @@
 
 use crate::handed::Handed;
 use crate::happening::{Happening, Happenings};
-use crate::link::{Link, Message, Parted, Said, Side};
+use crate::link::{Link, Message, OutgoingMessage, Said, Side};
 
-/// Of what is said on the link; another one is not understood.
-const VERSION: u32 = 1;
-/// For all that is said before the new process goes its way: a sixth of what it may take to be ready.
-const HANDED_WITHIN: Duration = Duration::from_secs(1);
-/// The longest message: a list of some thousands of executors, with what is known of each.
-const LINE_MOST: usize = 4 * 1024 * 1024;
-/// Messages out of a stream: one a line. Sockets come with a message's first byte, and so in the messages' order.
+/// Protocol version of the link. Processes with different versions can't be connected.
+const PROTOCOL_VERSION: u32 = 1;
+/// Time limit for the whole handover of state: a sixth of the time in which a new process must be ready.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest message: the state of a node with some thousands of executors.
+const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
+
+/// Reads messages from a stream, one per line. Sockets arrive with the first byte of their message, and so in the order
+/// of the messages.
 struct Reader {
     half: OwnedReadHalf,
     buffer: BytesMut,
@@ -48,8 +50,8 @@
                 let line = self.buffer.split_to(end + 1);
                 return Ok(serde_json::from_slice(&line)?);
             }
-            if self.buffer.len() > LINE_MOST {
-                return Err(io::Error::other("a message is too long"));
+            if self.buffer.len() > MAX_MESSAGE_BYTES {
+                return Err(io::Error::other("link message too long"));
             }
             let Reader { half, buffer, sockets } = self;
             let socket: &UnixStream = half.as_ref();
@@ -61,7 +63,7 @@
     }
 
     fn socket(&mut self) -> io::Result<OwnedFd> {
-        self.sockets.pop_front().ok_or(io::Error::other("a socket is missing"))
+        self.sockets.pop_front().ok_or(io::Error::other("link message without its socket"))
     }
 }
 
@@ -86,8 +88,8 @@
     Ok(())
 }
 
-/// Makes the call again for as long as a signal interrupts it.
-fn uninterrupted<T>(mut call: impl FnMut() -> nix::Result<T>) -> nix::Result<T> {
+/// Repeats a system call that was interrupted by a signal.
+fn retry_on_eintr<T>(mut call: impl FnMut() -> nix::Result<T>) -> nix::Result<T> {
     loop {
         match call() {
             Err(Errno::EINTR) => {}
@@ -96,17 +98,17 @@
     }
 }
 
-/// The most sockets that one message brings.
-const SOCKETS_MOST: usize = 4;
+/// The most sockets that one message carries.
+const MAX_SOCKETS_PER_MESSAGE: usize = 4;
 
 fn receive(from: RawFd, buffer: &mut BytesMut, sockets: &mut VecDeque<OwnedFd>) -> io::Result<usize> {
-    let (mut chunk, mut space) = ([0; 16 * 1024], nix::cmsg_space!([RawFd; SOCKETS_MOST]));
-    let many = uninterrupted(|| {
+    let (mut chunk, mut space) = ([0; 16 * 1024], nix::cmsg_space!([RawFd; MAX_SOCKETS_PER_MESSAGE]));
+    let many = retry_on_eintr(|| {
         let mut parts = [IoSliceMut::new(&mut chunk)];
         let message = recvmsg::<()>(from, &mut parts, Some(&mut space), MsgFlags::MSG_CMSG_CLOEXEC)?;
         for control in message.cmsgs()? {
             if let ControlMessageOwned::ScmRights(raw) = control {
-                // SAFETY: the kernel has just made these for us, and nobody else knows of them.
+                // SAFETY: the kernel has just created these descriptors for this process, and nothing else owns them.
                 sockets.extend(raw.into_iter().map(|fd| unsafe { OwnedFd::from_raw_fd(fd) }));
             }
         }
@@ -119,90 +121,90 @@
 fn send(to: RawFd, line: &[u8], sockets: &[OwnedFd]) -> io::Result<usize> {
     let raw: Vec<RawFd> = sockets.iter().map(AsRawFd::as_raw_fd).collect();
     let rights = [ControlMessage::ScmRights(&raw)];
-    let sent = uninterrupted(|| sendmsg::<()>(to, &[IoSlice::new(line)], &rights, MsgFlags::empty(), None))?;
+    let sent = retry_on_eintr(|| sendmsg::<()>(to, &[IoSlice::new(line)], &rights, MsgFlags::empty(), None))?;
     Ok(sent)
 }
 
-/// Where the process that serves at this address waits for its successor; none without `$TMPDIR`.
-pub fn place(listen: SocketAddr) -> Option<PathBuf> {
+/// The Unix socket path at which the process that serves this address accepts a successor; none without `$TMPDIR`.
+pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     let name = format!("coveroute-{listen}.sock").replace([':', '[', ']'], "_");
     Some(Path::new(&folder).join(name))
 }
 
-/// What the process before hands over.
+/// A connection to the predecessor process, with the state that it handed over.
 pub struct Predecessor {
-    /// The clients' listening socket, and the one for other nodes' messages if it has one.
+    /// The listening socket for clients, and the datagram socket for other nodes if there is one.
     pub sockets: Vec<OwnedFd>,
     pub handed: Handed,
     reader: Reader,
     writer: OwnedWriteHalf,
 }
 
-/// Asks the process that serves there, if one does, for what it has. Whatever goes wrong, a start goes on without.
-pub async fn predecessor(place: &Path) -> Option<Predecessor> {
-    match timeout(HANDED_WITHIN, ask(place)).await {
+/// Requests the state of the process that serves there, if there is one. On any failure the start continues without it.
+pub async fn predecessor(path: &Path) -> Option<Predecessor> {
+    match timeout(HANDOVER_TIMEOUT, request_handover(path)).await {
         Ok(Ok(predecessor)) => Some(predecessor),
         Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => None,
         Ok(Err(e)) => {
-            info!("starts without what a process before knows: {}: {e}", place.display());
+            info!("starting without a predecessor's state: {}: {e}", path.display());
             None
         }
         Err(_) => {
-            info!("starts without what a process before knows: {}: no answer in time", place.display());
+            info!("starting without a predecessor's state: {}: no reply in time", path.display());
             None
         }
     }
 }
 
-async fn ask(place: &Path) -> io::Result<Predecessor> {
-    let (half, mut writer) = UnixStream::connect(place).await?.into_split();
+async fn request_handover(path: &Path) -> io::Result<Predecessor> {
+    let (half, mut writer) = UnixStream::connect(path).await?.into_split();
     let mut reader = Reader::new(half);
-    write(&mut writer, &Message::Hello(VERSION), &[]).await?;
+    write(&mut writer, &Message::Hello(PROTOCOL_VERSION), &[]).await?;
     match reader.next().await? {
         Message::Handed(handed, many) => {
             let sockets = (0..many).map(|_| reader.socket()).collect::<io::Result<_>>()?;
             Ok(Predecessor { sockets, handed: *handed, reader, writer })
         }
-        _ => Err(io::Error::other("it hands nothing over")),
+        _ => Err(io::Error::other("unexpected reply to the handover request")),
     }
 }
 
 impl Predecessor {
-    /// From now on the link brings what the process before says.
-    pub fn link(self, happenings: Happenings) -> ((Rc<Link>, Handed), Vec<OwnedFd>) {
-        let link = join(Side::Before, 0, self.reader, self.writer, happenings);
+    /// Starts the link, which from now on reports the predecessor's messages as events.
+    pub fn into_link(self, happenings: Happenings) -> ((Rc<Link>, Handed), Vec<OwnedFd>) {
+        let link = start_link(Side::Predecessor, 0, self.reader, self.writer, happenings);
         ((link, self.handed), self.sockets)
     }
 }
 
-fn join(
+fn start_link(
     side: Side,
     number: u64,
     mut reader: Reader,
     mut writer: OwnedWriteHalf,
     happenings: Happenings,
 ) -> Rc<Link> {
-    let (out, mut outs) = mpsc::unbounded_channel::<Parted>();
+    let (out, mut outs) = mpsc::unbounded_channel::<OutgoingMessage>();
     let link = Rc::new(Link::new(side, number, out));
-    let (hears, told) = (link.clone(), link.clone());
+    let (incoming, outgoing) = (link.clone(), link.clone());
     actix_rt::spawn(async move {
-        let hear = async {
+        let receive_all = async {
             loop {
                 let said = match reader.next().await {
                     Ok(Message::Serves) => Said::Serves,
                     Ok(Message::Stopped) => Said::Stopped,
-                    Ok(Message::Heard(number, held)) => {
-                        hears.heard(number, held);
+                    Ok(Message::Heard(number, known)) => {
+                        incoming.complete_report(number, known);
                         continue;
                     }
                     Ok(Message::News(number, body)) => {
-                        let ((tell, told), hears) = (oneshot::channel(), hears.clone());
+                        let ((reply, replied), incoming) = (oneshot::channel(), incoming.clone());
                         actix_rt::spawn(async move {
-                            let held = told.await.unwrap_or(false);
-                            hears.send(Message::Heard(number, held), Vec::new());
+                            let known = replied.await.unwrap_or(false);
+                            incoming.send(Message::Heard(number, known), Vec::new());
                         });
-                        Said::News(body.into(), tell)
+                        Said::News(body.into(), reply)
                     }
                     Ok(Message::Guest) => match reader.socket() {
                         Ok(socket) => Said::Guest(socket),
@@ -212,81 +214,85 @@
                         Ok(socket) => Said::Job(job, socket),
                         Err(e) => return e.to_string(),
                     },
-                    Ok(Message::Hello(_) | Message::Handed(..)) => return "out of turn".to_owned(),
+                    Ok(Message::Hello(_) | Message::Handed(..)) => return "unexpected message".to_owned(),
                     Err(e) => return e.to_string(),
                 };
                 let _ = happenings.send(Happening::Said(side, number, said));
             }
         };
-        let tell = async {
+        let send_all = async {
             while let Some((message, sockets)) = outs.recv().await {
                 if let Err(e) = write(&mut writer, &message, &sockets).await {
                     return e.to_string();
                 }
-                told.wrote();
+                outgoing.mark_written();
             }
             String::new()
         };
-        let ended = tokio::select! { ended = hear => ended, ended = tell => ended };
+        let ended = tokio::select! { ended = receive_all => ended, ended = send_all => ended };
         info!(
-            "the link to the process {} has ended: {ended}",
-            if side == Side::Before { "before" } else { "after" }
+            "the link to the {} process has closed: {ended}",
+            if side == Side::Predecessor { "predecessor" } else { "successor" }
         );
-        hears.end();
+        incoming.close();
         let _ = happenings.send(Happening::Said(side, number, Said::Ended));
     });
     link
 }
 
-/// The place where this process waits for its successor: freed when it ends, unless another one has it by then.
-pub struct Waits {
-    place: PathBuf,
+/// The bound socket for successors. Its path is removed on drop, unless another process has bound it by then.
+pub struct BoundSocket {
+    path: PathBuf,
     inode: u64,
 }
 
-impl Drop for Waits {
+impl Drop for BoundSocket {
     fn drop(&mut self) {
-        let own = std::fs::symlink_metadata(&self.place).is_ok_and(|found| found.ino() == self.inode);
+        let own = std::fs::symlink_metadata(&self.path).is_ok_and(|found| found.ino() == self.inode);
         if own {
-            let _ = std::fs::remove_file(&self.place);
+            let _ = std::fs::remove_file(&self.path);
         }
     }
 }
 
-/// Waits for successors there, in place of whatever was there before: a stale socket, or the process before.
-pub fn wait(place: &Path, sockets: Vec<OwnedFd>, happenings: Happenings) -> Option<Waits> {
-    let own = place.with_extension(format!("{}", std::process::id()));
+/// Accepts successors at this path, and replaces whatever socket was there: a stale one, or the predecessor's.
+pub fn listen_for_successors(
+    path: &Path,
+    sockets: Vec<OwnedFd>,
+    happenings: Happenings,
+) -> Option<BoundSocket> {
+    let own = path.with_extension(format!("{}", std::process::id()));
     let bound = || -> io::Result<(UnixListener, u64)> {
         let _ = std::fs::remove_file(&own);
         let listener = UnixListener::bind(&own)?;
         let inode = std::fs::symlink_metadata(&own)?.ino();
-        std::fs::rename(&own, place)?;
+        std::fs::rename(&own, path)?;
         Ok((listener, inode))
     };
     match bound() {
         Ok((listener, inode)) => {
-            actix_rt::spawn(serve(listener, sockets, happenings));
-            Some(Waits { place: place.to_owned(), inode })
+            actix_rt::spawn(accept_successors(listener, sockets, happenings));
+            Some(BoundSocket { path: path.to_owned(), inode })
         }
         Err(e) => {
             let _ = std::fs::remove_file(&own);
-            info!("a process after this one starts without what it knows: {}: {e}", place.display());
+            info!("a successor will start without this process's state: {}: {e}", path.display());
             None
         }
     }
 }
 
-async fn serve(listener: UnixListener, sockets: Vec<OwnedFd>, happenings: Happenings) {
+async fn accept_successors(listener: UnixListener, sockets: Vec<OwnedFd>, happenings: Happenings) {
     for number in 0.. {
         let Ok((stream, _)) = listener.accept().await else {
             actix_rt::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
-        let handed = timeout(HANDED_WITHIN, hand_over(stream, number, &sockets, &happenings)).await;
+        let handed = timeout(HANDOVER_TIMEOUT, hand_over(stream, number, &sockets, &happenings)).await;
         match handed {
             Ok(Ok(link)) => drop(happenings.send(Happening::Linked(link))),
-            Ok(Err(e)) => warn!("nothing is handed over: {e}"),
-            Err(_) => warn!("nothing is handed over: no word in time"),
+            Ok(Err(e)) => warn!("handover failed: {e}"),
+            Err(_) => warn!("handover failed: timed out"),
         }
     }
 }
@@ -297,21 +303,23 @@
     sockets: &[OwnedFd],
     happenings: &Happenings,
 ) -> io::Result<Rc<Link>> {
-    // Guards against others on the machine: whoever may start this node may replace it.
+    // Only processes of the same user may replace this one: other users of the machine are rejected.
     let (theirs, ours) = (stream.peer_cred()?.uid(), nix::unistd::geteuid().as_raw());
     if theirs != ours {
-        return Err(io::Error::other(format!("user {theirs} asks")));
+        return Err(io::Error::other(format!("request from user {theirs}")));
     }
     let (half, mut writer) = stream.into_split();
     let mut reader = Reader::new(half);
     match reader.next().await? {
-        Message::Hello(VERSION) => {}
-        Message::Hello(other) => return Err(io::Error::other(format!("version {other} of the link"))),
-        _ => return Err(io::Error::other("no greeting")),
+        Message::Hello(PROTOCOL_VERSION) => {}
+        Message::Hello(other) => {
+            return Err(io::Error::other(format!("unsupported link protocol version {other}")))
+        }
+        _ => return Err(io::Error::other("expected a hello message")),
     }
     let (tell, told) = oneshot::channel();
     let _ = happenings.send(Happening::Handing(tell));
     let handed = told.await.map_err(io::Error::other)?;
     write(&mut writer, &Message::Handed(Box::new(handed), sockets.len()), sockets).await?;
-    Ok(join(Side::After, number, reader, writer, happenings.clone()))
+    Ok(start_link(Side::Successor, number, reader, writer, happenings.clone()))
 }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -20,10 +20,10 @@
 use crate::callbacks;
 use crate::clock::{seconds, Clock};
 use crate::config::{self, Config};
-use crate::discovery::{Discovery, Lists, Told as ListTold};
-use crate::driver::{Driver, Others};
+use crate::discovery::{Discovery, ListParser, WatchItem};
+use crate::driver::{Driver, Endpoints};
 use crate::executors::{Links, Patience};
-use crate::fleet::{Carrier, Place};
+use crate::fleet::{Carrier, Membership};
 use crate::guest::{Claim, Client, Doing, Guest};
 use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::hosts::Hosts;
@@ -45,7 +45,7 @@
     let text = CONFIG.replace("\"servers\": []", &format!("\"servers\": [{known}]"));
     // A port where nothing listens, whatever else runs here.
     let text = text.replace("127.0.0.1:8500", "127.0.0.1:1");
-    Config::parse(&text, config::Told::default()).expect("a fit configuration")
+    Config::parse(&text, config::Environment::default()).expect("a fit configuration")
 }
 
 pub fn job(call: &str, class: &str, budget: f64, came: f64) -> Job {
@@ -115,13 +115,13 @@
 pub fn driver_by(config: Config) -> (Driver, Happenings, UnboundedReceiver<Happening>, Rc<Life>) {
     let (clock, life, (happenings, happens)) = (Clock::new(), Rc::new(Life::new()), unbounded_channel());
     let links = Links::new(64, config.dial, config.idle);
-    let driver = Driver::new(config, clock, life.clone(), links, Others::default(), happenings.clone());
+    let driver = Driver::new(config, clock, life.clone(), links, Endpoints::default(), happenings.clone());
     (driver.expect("a driver"), happenings, happens, life)
 }
 
 /// The example's configuration with these changes.
 pub fn changed(pairs: &[(&str, &str)]) -> Config {
-    Config::parse(&other(pairs), config::Told::default()).expect("fit")
+    Config::parse(&other(pairs), config::Environment::default()).expect("fit")
 }
 
 fn links(addr: SocketAddr) -> Links {
@@ -549,28 +549,28 @@
     assert_eq!(told, [(Standing::Draining, 0.0, 0, false), gone, odd, (Standing::Ready, 1.5, 2, true)]);
 }
 
-fn lists(lists: &mut Lists) -> Vec<u64> {
+fn lists(lists: &mut ListParser) -> Vec<u64> {
     let list = || match lists.next().expect("no fault") {
-        Some(ListTold::List(list)) => Some(list.version),
-        Some(ListTold::Lives) | None => None,
+        Some(WatchItem::List(list)) => Some(list.version),
+        Some(WatchItem::KeepAlive) | None => None,
     };
     std::iter::from_fn(list).collect()
 }
 
 #[test]
 fn lists_come_in_pieces() {
-    let (mut came, line) = (Lists::default(), LINE.replace('\n', ""));
+    let (mut came, line) = (ListParser::default(), LINE.replace('\n', ""));
     let (head, tail) = line.split_at(40);
-    came.add(head.as_bytes());
+    came.push(head.as_bytes());
     assert!(matches!(came.next(), Ok(None)), "half a line");
-    came.add(format!("{tail}\n\n{line}\n").as_bytes());
+    came.push(format!("{tail}\n\n{line}\n").as_bytes());
     assert_eq!(lists(&mut came), [3, 3]);
-    came.add(b"{\"version\": oops\n");
+    came.push(b"{\"version\": oops\n");
     assert!(came.next().is_err(), "a broken line ends the watch");
-    let mut came = Lists::default();
-    came.add(b"{\"version\":\n");
+    let mut came = ListParser::default();
+    came.push(b"{\"version\":\n");
     assert!(matches!(came.next(), Ok(None)), "it may go on on the next line");
-    came.add(&vec![b' '; 4 << 20]);
+    came.push(&vec![b' '; 4 << 20]);
     assert!(came.next().is_err(), "but not without end");
 }
 
@@ -668,11 +668,11 @@
     let value: serde_json::Value = serde_json::from_str(&odd).expect("a list");
     for text in [odd, serde_json::to_string_pretty(&value).expect("a text")] {
         for cut in 0..text.len() {
-            let mut came = Lists::default();
-            came.add(&text.as_bytes()[..cut]);
+            let mut came = ListParser::default();
+            came.push(&text.as_bytes()[..cut]);
             let told = came.next().unwrap_or_else(|e| panic!("{e} at {cut}: {}", &text[..cut]));
-            assert!(!matches!(told, Some(ListTold::List(_))), "not whole at {cut}");
-            came.add(&text.as_bytes()[cut..]);
+            assert!(!matches!(told, Some(WatchItem::List(_))), "not whole at {cut}");
+            came.push(&text.as_bytes()[cut..]);
             assert_eq!(lists(&mut came), [10], "cut at {cut}");
         }
     }
@@ -683,10 +683,10 @@
 fn lists_may_be_indented() {
     let value: serde_json::Value = serde_json::from_str(LINE).expect("a list");
     let text = serde_json::to_string_pretty(&value).expect("a text");
-    let (mut came, mut versions) = (Lists::default(), Vec::new());
+    let (mut came, mut versions) = (ListParser::default(), Vec::new());
     // Looked at as each piece comes: most end on a line in the middle of a list.
     for piece in format!("\n{text}\n\n{text}\n").as_bytes().chunks(7) {
-        came.add(piece);
+        came.push(piece);
         versions.extend(lists(&mut came));
     }
     assert_eq!(versions, [3, 3]);
@@ -700,13 +700,13 @@
 #[test_case(&CONFIG.replace("\"onTime\"", "\"lateValue\": 1.5, \"onTime\""), "a late value of 1.5 is no part of one"; "a late value beyond the whole")]
 #[test_case(&CONFIG.replace("\"dialTimeout\": 250.0,", ""), "dialTimeout"; "a figure is missing")]
 fn a_bad_configuration_is_told_in_a_line(text: &str, words: &str) {
-    let told = Config::parse(text, config::Told::default()).expect_err("a fault");
+    let told = Config::parse(text, config::Environment::default()).expect_err("a fault");
     assert!(told.contains(words) && !told.contains('\n'), "{told}");
 }
 
-fn variables() -> config::Told {
+fn variables() -> config::Environment {
     let [listen, discovery] = ["127.0.0.9:1", "127.0.0.9:2"].map(|addr| Some(addr.to_owned()));
-    config::Told { listen, discovery, management: None }
+    config::Environment { listen, discovery, management: None }
 }
 
 #[test]
@@ -733,7 +733,7 @@
 
 #[test]
 fn a_file_that_is_read_anew_goes_before_the_platforms_variables() {
-    let told = |text| Config::parse_again(text, variables());
+    let told = |text| Config::parse_reload(text, variables());
     let ports = |text| told(text).map(|config| (config.listen.port(), config.discovery.port()));
     assert_eq!(ports(CONFIG), Ok((1, 8500)));
     assert_eq!(ports(&CONFIG.replace("\"discovery\"", "\"elsewhere\"")), Ok((1, 2)));
@@ -764,12 +764,12 @@
 #[test_case(&[("\"report\":", "\"weights\": \"heavy\", \"report\":")], "settings.weights: heavy"; "no such weights")]
 #[test_case(&[BLIND[0], BLIND[2], TELLS, ALL], "settings.limits.peers"; "nodes that count without reports")]
 #[test_case(&[BLIND[0], BLIND[1], BLIND[2], ("\"cancelling\"", "\"peers\": true, \"cancelling\"")], "settings.limits.peers"; "who counts can't ask")]
-#[test_case(&[TELLS], "peers: all nodes' addresses"; "messages to nobody")]
-#[test_case(&[ALL], "peers: all nodes' addresses"; "addresses for no messages")]
+#[test_case(&[TELLS], "peers: must be set if and only if settings.limits.peers is, which is true"; "messages to nobody")]
+#[test_case(&[ALL], "peers: must be set if and only if settings.limits.peers is, which is false"; "addresses for no messages")]
 #[test_case(&[TELLS, ("\"seed\":", "\"peers\": [], \"seed\":")], "peers: 0 addresses for 1 nodes"; "not all addresses")]
 #[test_case(&[("\"me\": 0", "\"me\": 3")], "settings.me: 3"; "not one of the nodes")]
 fn a_mix_of_shapes_is_refused_by_its_key(pairs: &[(&str, &str)], words: &str) {
-    let told = Config::parse(&other(pairs), config::Told::default()).expect_err("a mix");
+    let told = Config::parse(&other(pairs), config::Environment::default()).expect_err("a mix");
     assert!(told.starts_with(words) && !told.contains('\n'), "{told}");
 }
 
@@ -778,7 +778,7 @@
 #[test_case(&[PUSHED, BLIND[0], BLIND[2]], (false, false, true, Sizes::Listed); "pushed, probes that tell only of life")]
 #[test_case(&[PUSHED, TELLS, ALL], (false, true, true, Sizes::Never); "pushed, nodes that tell")]
 fn one_build_serves_each_shape(pairs: &[(&str, &str)], expected: (bool, bool, bool, Sizes)) {
-    let config = Config::parse(&other(pairs), config::Told::default()).expect("fit");
+    let config = Config::parse(&other(pairs), config::Environment::default()).expect("fit");
     let set = &config.settings;
     assert_eq!((set.must_ask, set.peers, set.probing, set.sizes), expected);
     assert_eq!((config.pushed_by().is_some(), set.only_draining), (!set.must_ask, false));
@@ -828,9 +828,11 @@
 #[test]
 fn the_rule_on_drains_is_read_as_the_simulator_tells_it() {
     let rule = ("\"overloadFactor\"", "\"onlyDrainingBinds\": true, \"overloadFactor\"");
-    assert!(Config::parse(&other(&[rule]), config::Told::default()).expect("fit").settings.only_draining);
+    assert!(
+        Config::parse(&other(&[rule]), config::Environment::default()).expect("fit").settings.only_draining
+    );
     let (at, odd) = (rule.0, "\"onlyDrainingBinds\": \"perhaps\", \"overloadFactor\"");
-    let told = Config::parse(&other(&[(at, odd)]), config::Told::default()).expect_err("no such rule");
+    let told = Config::parse(&other(&[(at, odd)]), config::Environment::default()).expect_err("no such rule");
     assert!(!told.contains('\n') && told.contains("perhaps"), "{told}");
 }
 
@@ -847,7 +849,7 @@
     rules: &str,
     expected: Result<Option<(f64, f64, f64)>, &str>,
 ) {
-    let told = Config::parse(&other(&[(RULE, &format!("{rules}{RULE}"))]), config::Told::default());
+    let told = Config::parse(&other(&[(RULE, &format!("{rules}{RULE}"))]), config::Environment::default());
     match (told, expected) {
         (Ok(config), Ok(budget)) => {
             assert_eq!(config.settings.budget.map(|b| (b.floor, b.share, b.span)), budget)
@@ -861,7 +863,7 @@
 fn what_full_proves_and_when_one_counts_as_told_are_read() {
     let set = |rules: &str| {
         let text = other(&[(RULE, &format!("{rules}{RULE}"))]);
-        Config::parse(&text, config::Told::default()).expect("fit").settings
+        Config::parse(&text, config::Environment::default()).expect("fit").settings
     };
     let (plain, late) = (set(""), set("\"lateShedding\": true, \"askWithin\": 5000, "));
     assert!(plain.never_ran(Outcome::Full) && !late.never_ran(Outcome::Full));
@@ -912,7 +914,7 @@
 fn a_reload_moves_who_may_push_and_nothing_else(pairs: &[(&str, &str)], expected: [u8; 4]) {
     block(async {
         let (mut driver, _, _happens, life) = driver_by(changed(&[PUSHED]));
-        driver.happened(Happening::Reload(Err("settings.weights: heavy is none of ...".into()), None));
+        driver.happened(Happening::Reload(Err("settings.weights: heavy is not one of ...".into()), None));
         assert_eq!(life.lists_from(), Some([127, 0, 0, 1].into()), "a file that is not fit");
         driver.happened(Happening::Reload(Ok(Box::new(changed(pairs))), None));
         assert_eq!((life.lists_from(), life.phase()), (Some(expected.into()), Phase::Starting));
@@ -947,11 +949,11 @@
         let own = |at: usize| std::net::UdpSocket::bind(addrs[at]).expect("a port");
         let mut first = Peers::new(0, nodes.clone(), own(0), happenings, None).expect("a port");
         let second = Peers::new(1, nodes, own(1), other, None).expect("a port");
-        first.hear(true);
+        first.set_receiving(true);
         let stranger = std::net::UdpSocket::bind(addrs[2]).expect("a port");
         stranger.send_to(b"h00000109", addrs[0]).expect("sent");
-        second.tell(0, Told::Held, 0xab, 4);
-        second.tell(1, Told::Held, 0xab, 5);
+        second.send(0, Told::Held, 0xab, 4);
+        second.send(1, Told::Held, 0xab, 5);
         let heard = timeout(seconds(9.0), happens.recv()).await.expect("in time");
         assert!(matches!(heard, Some(Happening::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })));
         assert!(timeout(seconds(0.1), happens.recv()).await.is_err(), "not of a stranger, nor to oneself");
@@ -973,17 +975,18 @@
         let mut peers = Vec::new();
         for (at, name) in ["a", "b"].into_iter().enumerate() {
             let socket = std::net::UdpSocket::bind(addrs[at]).expect("a port");
-            let place = Place { path: "f".into(), name: name.into() };
+            let membership = Membership { path: "f".into(), name: name.into() };
             let own = (socket.try_clone().expect("a socket"), Rc::new(Life::new()), happenings.clone());
-            let carrier = Rc::new(Carrier::new(&place, plan.clone(), Vec::new(), own).expect("a member"));
+            let carrier =
+                Rc::new(Carrier::new(&membership, plan.clone(), Vec::new(), own).expect("a member"));
             actix_rt::spawn(carrier.clone().run());
             let mut one = Peers::new(at, addrs.clone(), socket, happenings.clone(), Some(carrier.clone()))
                 .expect("a port");
-            one.hear(true);
+            one.set_receiving(true);
             peers.push((one, carrier));
         }
         sleep(seconds(1.0)).await;
-        peers[1].0.tell(0, Told::Held, 0xab, 4);
+        peers[1].0.send(0, Told::Held, 0xab, 4);
         let heard = timeout(seconds(9.0), happens.recv()).await.expect("in time");
         assert!(matches!(heard, Some(Happening::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })));
         let shown = serde_json::to_value(peers[0].1.shown()).expect("figures");
@@ -1098,20 +1101,20 @@
 }
 
 // Each is one line that names the key; at SIGHUP all stays as it was.
-#[test_case(&[("\"deadline\": 5000.0", "\"deadline\": 0")], "settings.categories: look: deadline: 0 is not over 0"; "no deadline")]
-#[test_case(&[("\"deadline\": 5000.0", "\"deadline\": -1")], "look: deadline: -1 is not over 0"; "a negative deadline")]
+#[test_case(&[("\"deadline\": 5000.0", "\"deadline\": 0")], "settings.categories: look: deadline: 0 is not greater than 0"; "no deadline")]
+#[test_case(&[("\"deadline\": 5000.0", "\"deadline\": -1")], "look: deadline: -1 is not greater than 0"; "a negative deadline")]
 #[test_case(&[("\"deadline\": 5000.0", "\"deadline\": 1e999")], "number out of range"; "a huge deadline")]
 #[test_case(&[("\"deadline\": 5000.0", "\"deadline\": NaN")], "settings: expected value"; "no number")]
 #[test_case(&[("\"deadline\": 5000.0", "\"deadline\": \"long\"")], "settings: invalid type"; "a word for a figure")]
-#[test_case(&[("\"maxAttempts\": 4", "\"maxAttempts\": 0")], "settings.limits.maxAttempts: 0 is not over 0"; "no attempts")]
+#[test_case(&[("\"maxAttempts\": 4", "\"maxAttempts\": 0")], "settings.limits.maxAttempts: 0 is not greater than 0"; "no attempts")]
 #[test_case(&[("\"maxAttempts\": 4", "\"maxAttempts\": -4")], "settings: invalid value"; "attempts below 0")]
-#[test_case(&[("\"name\": \"pay\"", "\"name\": \"look\"")], "look is there twice"; "an operation twice")]
+#[test_case(&[("\"name\": \"pay\"", "\"name\": \"look\"")], "look is defined twice"; "an operation twice")]
 #[test_case(&[("\"effect\": \"free\", ", "")], "missing field `effect`"; "a key is cut out")]
-#[test_case(&[("\"listen\"", "\"management\": \"127.0.0.1:9000\", \"listen\"")], "management: 127.0.0.1:9000 is where clients come"; "one address for both doors")]
+#[test_case(&[("\"listen\"", "\"management\": \"127.0.0.1:9000\", \"listen\"")], "management: 127.0.0.1:9000 is also the address for clients"; "one address for both doors")]
 fn figures_that_nothing_can_be_served_by_are_told_in_a_line(pairs: &[(&str, &str)], words: &str) {
     let text =
         if words.starts_with("settings: expected") { CONFIG.replace("5000.0", "NaN") } else { other(pairs) };
-    let told = Config::parse(&text, config::Told::default()).expect_err("a fault");
+    let told = Config::parse(&text, config::Environment::default()).expect_err("a fault");
     let words = words.replace("settings: expected value", "expected value");
     assert!(told.contains(&words) && !told.contains('\n'), "{told}");
 }
@@ -1125,8 +1128,8 @@
 #[test_case("\"known\": { \"version\": 0, \"full\": true, \"servers\": [] },", ""; "what it once knew may go")]
 fn a_key_that_is_cut_out_is_missed(cut: &str, key: &str) {
     let (whole, less) = (Keys::of(CONFIG), Keys::of(&other(&[(cut, "")])));
-    assert_eq!(less.lacks(&whole).unwrap_or(""), key);
-    assert_eq!(whole.lacks(&less), None, "more is no fault");
+    assert_eq!(less.first_missing(&whole).unwrap_or(""), key);
+    assert_eq!(whole.first_missing(&less), None, "more is no fault");
 }
 
 #[test]
@@ -1134,7 +1137,7 @@
     let both = other(&[("\"effect\": \"free\",", "\"effect\": \"free\", \"window\": 1,")]);
     let both = both.replace("\"single_shot\",", "\"single_shot\", \"window\": 1,");
     let one = both.replacen(" \"window\": 1,", "", 1);
-    assert_eq!(Keys::of(&one).lacks(&Keys::of(&both)), Some("settings.categories.window"));
+    assert_eq!(Keys::of(&one).first_missing(&Keys::of(&both)), Some("settings.categories.window"));
 }
 
 // Whole or not at all: what a driver goes by is as before to the last value, and files are counted.
@@ -1143,7 +1146,7 @@
     block(async {
         let (mut driver, _happens, life) = driver(&[]);
         let before = format!("{:?} {:?}", driver.settings(), life.max_pause());
-        let again = |text: &str| Config::parse_again(text, config::Told::default()).map(Box::new);
+        let again = |text: &str| Config::parse_reload(text, config::Environment::default()).map(Box::new);
         let cut = |len: usize| CONFIG[..len].to_owned();
         let bad = ["".to_owned(), cut(CONFIG.len() / 2), cut(CONFIG.len() - 3)];
         let lost = other(&[("\"maxRetryAfter\": 2000.0", "\"other\": 1"), ("5000.0", "4000.0")]);
