--- a/crates/coveroute-node/src/replace.rs
+++ b/crates/coveroute-node/src/replace.rs
@@ -231,8 +231,8 @@
         };
         let ended = tokio::select! { ended = receive_all => ended, ended = send_all => ended };
         info!(
-            "the link to the {} process has closed: {ended}",
-            if side == Side::Predecessor { "predecessor" } else { "successor" }
+            "the link to the process {} has ended: {ended}",
+            if side == Side::Predecessor { "before" } else { "after" }
         );
         incoming.close();
         let _ = happenings.send(Happening::Said(side, number, Said::Ended));
