--- a/crates/coveroute-node/src/config.rs
+++ b/crates/coveroute-node/src/config.rs
@@ -13,8 +13,8 @@
 
 use crate::clock::seconds;
 use crate::hosts::Hosts;
-use crate::needed::{check_all, Check, Keys};
 use crate::transient::{retry, retry_blocking};
+use crate::validation::{check_all, Check, Keys};
 
 pub const PATH: &str = "BALANCER_CONFIG";
 const LISTEN: &str = "BALANCER_LISTEN";
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -26,7 +26,6 @@
 use crate::handed::{Handed, TransferredJob};
 use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::link::{Link, Said, Side};
-use crate::needed::Keys;
 use crate::peers::Peers;
 use crate::phase::Life;
 use crate::probe::{give_up, probe};
@@ -34,6 +33,7 @@
 use crate::send;
 use crate::server::Comes;
 use crate::take_in::Job;
+use crate::validation::Keys;
 
 /// Share of the load limit for cold executors that goes to the process that accepts connections, while two processes of
 /// the node run. The other process only retries the jobs that it already has.
@@ -253,15 +253,18 @@
                 }
                 self.dispatch(Event::Replied(id, forward, reply));
             }
-            Happening::News(news, body, tell) => self.handle_news(news, body, tell, None),
-            Happening::Returned(news, tell, told) => {
-                let told = told || self.engine.knows(&news.call);
+            Happening::News(news, body, ack) => self.handle_news(news, body, ack, None),
+            Happening::Returned(news, ack, settled) => {
+                let settled = settled || self.engine.knows(&news.call);
                 self.dispatch(Event::News(news));
-                tell.map(|tell| tell.send(told));
+                ack.map(|ack| ack.send(settled));
             }
-            Happening::Handing(tell) => {
-                let _ =
-                    tell.send(Handed::of(self.applied.discovery, self.engine.memory(), self.clock.reading()));
+            Happening::Handing(reply) => {
+                let _ = reply.send(Handed::of(
+                    self.applied.discovery,
+                    self.engine.memory(),
+                    self.clock.reading(),
+                ));
             }
             Happening::Linked(link) => self.successor_connected(link),
             Happening::Said(side, number, said) => self.handle_link_message(side, number, said),
@@ -274,9 +277,9 @@
             Happening::Reload(Err(reason), _) => self.reject_reload(&reason),
             Happening::Ended(operation, verdict) => self.dispatch(Event::Ended(&operation, verdict)),
             Happening::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
-            Happening::Asked(tell) => {
+            Happening::Asked(reply) => {
                 let (engine, attempts) = (self.engine.figures(self.clock.now()), self.attempts.figures());
-                let _ = tell.send(NodeFigures { engine, attempts });
+                let _ = reply.send(NodeFigures { engine, attempts });
             }
             Happening::Stop => {
                 // Before the stop gives back jobs or closes connections.
@@ -407,8 +410,8 @@
             (Side::Successor, Said::Guest(_) | Said::Job(..)) => {
                 warn!("unexpected handover of a connection from the successor")
             }
-            (side, Said::News(body, tell)) => match callbacks::parse(&body) {
-                Ok(news) => self.handle_news(news, body, Some(tell), Some(side)),
+            (side, Said::News(body, ack)) => match callbacks::parse(&body) {
+                Ok(news) => self.handle_news(news, body, Some(ack), Some(side)),
                 Err(e) => warn!("invalid executor report on the process link: {e}"),
             },
             (Side::Predecessor, Said::Ended) => {
@@ -493,14 +496,14 @@
         &mut self,
         news: News,
         body: Bytes,
-        tell: Option<oneshot::Sender<bool>>,
+        ack: Option<oneshot::Sender<bool>>,
         from: Option<Side>,
     ) {
         let others: Vec<Rc<Link>> = self.predecessor.iter().chain(&self.successor).cloned().collect();
         let others: Vec<_> = others.into_iter().filter(|link| Some(link.side) != from).collect();
         let own = self.engine.knows(&news.call);
         if own || others.is_empty() {
-            tell.map(|tell| tell.send(own || from.is_none()));
+            ack.map(|ack| ack.send(own || from.is_none()));
             return self.dispatch(Event::News(news));
         }
         let happenings = self.happenings.clone();
@@ -509,7 +512,7 @@
             for link in others {
                 match link.relay_report(&body).await {
                     Some(true) => {
-                        tell.map(|tell| tell.send(true));
+                        ack.map(|ack| ack.send(true));
                         return;
                     }
                     Some(false) => {}
@@ -518,7 +521,7 @@
             }
             // No process knows the job, so there is nothing to wait for, unless one did not reply. The job may have
             // arrived here in the meantime.
-            let _ = happenings.send(Happening::Returned(news, tell, known && from.is_none()));
+            let _ = happenings.send(Happening::Returned(news, ack, known && from.is_none()));
         });
     }
 
@@ -570,8 +573,8 @@
         let attempt = Rc::new(Attempt::new((id, forward), deadline, client, self.attempts.clone()));
         let mine = attempt.clone();
         let task = actix_rt::spawn(async move {
-            let tell = |reply| drop(happenings.send(Happening::Replied(id, forward, reply)));
-            send::forward(lease, &job, mine, patience, tell).await;
+            let report = |reply| drop(happenings.send(Happening::Replied(id, forward, reply)));
+            send::forward(lease, &job, mine, patience, report).await;
         });
         self.forwards.insert((id, forward), ForwardTask { task, attempt });
         None
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -171,8 +171,6 @@
         Some(Rights::new(now(), fleet.me(), fleet.incarnation(), fleet.plan().ids(), terms))
     }
 
-    // Limits.
-
     /// Counts an invocation of a tenant. It is within the tenant's share if this node holds a right to it.
     pub fn record_invocation(&self, tenant: Option<&str>) {
         let Some((tenant, mut rights)) = tenant.zip(self.rights.try_borrow_mut().ok()) else { return };
@@ -184,12 +182,12 @@
     /// Renews and requests rights, and reports this node's quotas to the engine if `report_quotas` is set. A node
     /// that has no mint because most voters are unreachable uses an equal part of each share, as without a fleet.
     fn update_limits(&self, report_quotas: bool) {
-        let (mut posts, now) = (Vec::new(), now());
+        let (mut messages, now) = (Vec::new(), now());
         {
             let (fleet, mut rights) = (self.fleet.borrow(), self.rights.borrow_mut());
             let Some(rights) = rights.as_mut() else { return };
             let gone = |id| matches!(fleet.state(id), Some(State::Dead | State::Left));
-            rights.advance(now, gone, &mut posts);
+            rights.advance(now, gone, &mut messages);
             if report_quotas {
                 let members = fleet.plan().members.len().max(1) as f64;
                 let shares = self.shares.borrow();
@@ -201,15 +199,15 @@
                 let _ = self.happenings.send(Happening::Quotas(quotas));
             }
         }
-        self.post(posts);
+        self.send_rights_messages(messages);
     }
 
-    fn post(&self, posts: Vec<(Id, Vec<u8>)>) {
+    fn send_rights_messages(&self, messages: Vec<(Id, Vec<u8>)>) {
         let mut actions = Vec::new();
-        for (to, bytes) in posts {
+        for (to, bytes) in messages {
             self.fleet.borrow_mut().say(now(), to, Kind::RIGHTS, bytes, &mut actions);
         }
-        self.carry_out(actions);
+        self.execute_actions(actions);
     }
 
     /// Runs until the process exits.
@@ -225,7 +223,7 @@
                 next_check = now() + STAGE_CHECK_INTERVAL;
                 self.publish_stage(&mut actions);
             }
-            self.carry_out(actions);
+            self.execute_actions(actions);
             if self.active.get() {
                 self.update_limits(checked);
             }
@@ -260,10 +258,10 @@
         }
         let mut actions = Vec::new();
         self.fleet.borrow_mut().heard(now(), from, bytes, &mut actions);
-        self.carry_out(actions);
+        self.execute_actions(actions);
     }
 
-    fn carry_out(&self, actions: Vec<Action>) {
+    fn execute_actions(&self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 // A datagram that can't be sent counts as lost, which the protocol allows for.
@@ -271,11 +269,11 @@
                 Action::News(News::Member { id, from, to }) => info!("{}: {from:?} -> {to:?}", self.name(id)),
                 Action::News(News::Record(_)) => {}
                 Action::Said { from, mark, bytes, .. } => {
-                    let mut posts = Vec::new();
+                    let mut messages = Vec::new();
                     let mut rights = self.rights.borrow_mut();
-                    rights.iter_mut().for_each(|r| r.heard(now(), from, mark, &bytes, &mut posts));
+                    rights.iter_mut().for_each(|r| r.heard(now(), from, mark, &bytes, &mut messages));
                     drop(rights);
-                    self.post(posts);
+                    self.send_rights_messages(messages);
                 }
                 Action::News(News::Doubled { yields: false }) => {
                     error!("another process uses this member's name, and stops sending")
@@ -304,7 +302,7 @@
     pub fn leave(&self) {
         let mut actions = Vec::new();
         self.fleet.borrow_mut().leave(&mut actions);
-        self.carry_out(actions);
+        self.execute_actions(actions);
     }
 
     pub fn reread(&self, plan: Plan, shares: Vec<(String, f64)>) -> Result<(), String> {
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -24,7 +24,6 @@
 mod link;
 mod listen;
 mod logger;
-mod needed;
 mod operators;
 mod peers;
 mod phase;
@@ -38,6 +37,7 @@
 #[cfg(test)]
 mod tests;
 mod transient;
+mod validation;
 #[cfg(test)]
 mod watches;
 mod wire;
--- a/crates/coveroute-node/src/replace.rs
+++ b/crates/coveroute-node/src/replace.rs
@@ -103,7 +103,7 @@
 
 fn receive(from: RawFd, buffer: &mut BytesMut, sockets: &mut VecDeque<OwnedFd>) -> io::Result<usize> {
     let (mut chunk, mut space) = ([0; 16 * 1024], nix::cmsg_space!([RawFd; MAX_SOCKETS_PER_MESSAGE]));
-    let many = retry_on_eintr(|| {
+    let count = retry_on_eintr(|| {
         let mut parts = [IoSliceMut::new(&mut chunk)];
         let message = recvmsg::<()>(from, &mut parts, Some(&mut space), MsgFlags::MSG_CMSG_CLOEXEC)?;
         for control in message.cmsgs()? {
@@ -114,8 +114,8 @@
         }
         Ok(message.bytes)
     })?;
-    buffer.extend_from_slice(&chunk[..many]);
-    Ok(many)
+    buffer.extend_from_slice(&chunk[..count]);
+    Ok(count)
 }
 
 fn send(to: RawFd, line: &[u8], sockets: &[OwnedFd]) -> io::Result<usize> {
@@ -162,8 +162,8 @@
     let mut reader = Reader::new(half);
     write(&mut writer, &Message::Hello(PROTOCOL_VERSION), &[]).await?;
     match reader.next().await? {
-        Message::Handed(handed, many) => {
-            let sockets = (0..many).map(|_| reader.socket()).collect::<io::Result<_>>()?;
+        Message::Handed(handed, count) => {
+            let sockets = (0..count).map(|_| reader.socket()).collect::<io::Result<_>>()?;
             Ok(Predecessor { sockets, handed: *handed, reader, writer })
         }
         _ => Err(io::Error::other("unexpected reply to the handover request")),
@@ -317,9 +317,9 @@
         }
         _ => return Err(io::Error::other("expected a hello message")),
     }
-    let (tell, told) = oneshot::channel();
-    let _ = happenings.send(Happening::Handing(tell));
-    let handed = told.await.map_err(io::Error::other)?;
+    let (reply, replied) = oneshot::channel();
+    let _ = happenings.send(Happening::Handing(reply));
+    let handed = replied.await.map_err(io::Error::other)?;
     write(&mut writer, &Message::Handed(Box::new(handed), sockets.len()), sockets).await?;
     Ok(start_link(Side::Successor, number, reader, writer, happenings.clone()))
 }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -29,7 +29,6 @@
 use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::hosts::Hosts;
 use crate::logger::{Pace, Turn};
-use crate::needed::Keys;
 use crate::operators;
 use crate::peers::Peers;
 use crate::phase::Life;
@@ -38,6 +37,7 @@
 use crate::send;
 use crate::server::{self, Door};
 use crate::take_in::{self, Job};
+use crate::validation::Keys;
 use crate::wire;
 
 pub const CONFIG: &str = include_str!("../../../examples/config.json");
