--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -41,11 +41,11 @@
 
 // The whole path with an executor that accepts a job and never reports again: the answer is final, in time, and right
 // for the operation.
-#[test_case(&[PROBED, ACCEPTS], "look", 0.6, 0.0, Answer::Throttled { pause: 0.0 }; "idempotent is refused")]
-#[test_case(&[PROBED, ACCEPTS], "pay", 0.6, 0.0, Answer::Errored; "what may have run is not refused")]
-#[test_case(&[PROBED, ACCEPTS], "pay", 0.9, 0.3, Answer::Errored; "time spent before comes off")]
+#[test_case(&[PROBED, ACCEPTS], "look", 0.6, 0.0, Answer::Throttled { pause: 0.0 }; "an idempotent job is throttled")]
+#[test_case(&[PROBED, ACCEPTS], "pay", 0.6, 0.0, Answer::Errored; "a job that may have run is not throttled")]
+#[test_case(&[PROBED, ACCEPTS], "pay", 0.9, 0.3, Answer::Errored; "time already spent is deducted")]
 #[test_case(&[PROBED, ""], "pay", 5.0, 0.0, Answer::Errored; "a reset fails at once")]
-#[test_case(&[PROBED], "look", 0.12, 0.0, Answer::Throttled { pause: 0.0 }; "hardly any time")]
+#[test_case(&[PROBED], "look", 0.12, 0.0, Answer::Throttled { pause: 0.0 }; "hardly any time left")]
 fn every_job_gets_an_answer_in_time(
     answers: &'static [&'static str],
     class: &str,
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -226,8 +226,8 @@
 }
 
 // The executor closes an idle connection. The next request must not be written to it.
-#[test_case(&[ACCEPTED, ACCEPTED, ACCEPTED], (1, 3); "a connection is used again")]
-#[test_case(&[ACCEPTED, ACCEPTED_THEN_CLOSED, ACCEPTED], (2, 3); "but not one that was closed since")]
+#[test_case(&[ACCEPTED, ACCEPTED, ACCEPTED], (1, 3); "a connection is reused")]
+#[test_case(&[ACCEPTED, ACCEPTED_THEN_CLOSED, ACCEPTED], (2, 3); "a closed connection is not reused")]
 fn connections_are_reused(answers: &'static [&'static str], counts: (u32, u32)) {
     let (addr, executor) = executor("body", answers);
     let replies = block(async {
@@ -278,10 +278,10 @@
     assert!(eight.is_some() && nine.is_some() && links.lease(3).is_none(), "both idle ones made room");
 }
 
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":2}", Outcome::Succeeded, Some(2.0); "fit")]
-#[test_case("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Outcome::Full, None; "not now")]
-#[test_case("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", Outcome::Errored, None; "not here")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{\"x0\"", Outcome::TimedOut, None; "stuck midway")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":2}", Outcome::Succeeded, Some(2.0); "a report")]
+#[test_case("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Outcome::Full, None; "rejected")]
+#[test_case("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", Outcome::Errored, None; "not found")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{\"x0\"", Outcome::TimedOut, None; "an incomplete answer")]
 fn probe_answers_are_classified(answer: &'static str, outcome: Outcome, free: Option<f64>) {
     let (addr, _executor) = executor("\r\n\r\n", Box::leak(Box::new([answer])));
     let lease = links(addr).lease(0).expect("a connection");
@@ -292,9 +292,9 @@
 const ALIVE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":2}";
 
 // An empty answer closes the connection during the request.
-#[test_case(&[ALIVE, "", ALIVE], 2, Outcome::Succeeded; "a connection that was kept, reset at the next request")]
-#[test_case(&["", ALIVE, ALIVE], 2, Outcome::Succeeded; "a new one, reset")]
-#[test_case(&["", "", ""], 1, Outcome::Reset; "each one")]
+#[test_case(&[ALIVE, "", ALIVE], 2, Outcome::Succeeded; "a reused connection, reset")]
+#[test_case(&["", ALIVE, ALIVE], 2, Outcome::Succeeded; "a new connection, reset")]
+#[test_case(&["", "", ""], 1, Outcome::Reset; "all connections, reset")]
 fn a_probe_survives_a_reset(answers: &'static [&'static str], probes: usize, outcome: Outcome) {
     let (addr, _executor) = executor("\r\n\r\n", answers);
     let told = block(async {
@@ -311,10 +311,10 @@
 #[test_case(202, false, Reply::Taken; "taken")]
 #[test_case(503, true, ended(Outcome::Full); "rejected by the executor")]
 #[test_case(504, true, ended(Outcome::Full); "rejected by a proxy that marks it")]
-#[test_case(503, false, ended(Outcome::Errored); "a bare 503 proves nothing")]
+#[test_case(503, false, ended(Outcome::Errored); "a 503 without the header may have run")]
 #[test_case(500, true, ended(Outcome::Errored); "an error may have run")]
 #[test_case(200, false, ended(Outcome::Errored); "a result is not expected there")]
-#[test_case(400, false, Reply::Unfit(400, Report::default()); "it is the request's fault")]
+#[test_case(400, false, Reply::Unfit(400, Report::default()); "an invalid request")]
 fn replies_follow_from_the_status(status: u16, rejected: bool, expected: Reply) {
     let mut headers = HeaderMap::new();
     let value = HeaderValue::from_static(if rejected { "1" } else { "0" });
@@ -379,10 +379,10 @@
 #[test_case(&[ID, ("x-budget-ms", "soon")], 400; "a budget that is no number")]
 #[test_case(&[ID, ("x-budget-ms", "-5")], 400; "a negative budget")]
 #[test_case(&[ID, ("x-budget-ms", "NaN")], 400; "a budget that is not a number")]
-#[test_case(&[ID, ("x-budget-ms", "99999999999999999999999")], 400; "a budget that no clock holds")]
+#[test_case(&[ID, ("x-budget-ms", "99999999999999999999999")], 400; "a budget too large for a clock")]
 #[test_case(&[ID, ("x-budget-ms", "+5")], 400; "a budget with a sign")]
 #[test_case(&[ID, ID, BUDGET], 400; "two ids")]
-#[test_case(&[ID, BUDGET, ("x-call-class", "pay")], 400; "a path of another operation")]
+#[test_case(&[ID, BUDGET, ("x-call-class", "pay")], 400; "a path for another operation")]
 fn invalid_requests_are_rejected(headers: &[(&'static str, &'static str)], status: u16) {
     let told = block(take_in::job(request(headers, b""), 0.0)).expect_err("an answer");
     assert!(matches!(told, Answer::Unfit(s, _) if s.as_u16() == status), "{told:?}");
@@ -403,11 +403,11 @@
 
 #[test_case(Doing::Silent, 100, Claim::Owed; "it has just connected")]
 #[test_case(Doing::Silent, 300, Claim::None; "it has sent nothing")]
-#[test_case(Doing::Asking, 300, Claim::None; "it is slow")]
-#[test_case(Doing::Asking, 2500, Claim::Overdue; "it is far too slow")]
+#[test_case(Doing::Asking, 300, Claim::None; "its request is slow")]
+#[test_case(Doing::Asking, 2500, Claim::Overdue; "its request is overdue")]
 #[test_case(Doing::Resting, 2500, Claim::Rested; "it has had its answer")]
 #[test_case(Doing::Resting, 100, Claim::Owed; "its answer may still be in transit")]
-#[test_case(Doing::Waiting, 9000, Claim::Owed; "its answer is owed")]
+#[test_case(Doing::Waiting, 9000, Claim::Owed; "its answer is pending")]
 fn connections_with_a_pending_answer_are_kept(doing: Doing, age: u32, expected: Claim) {
     assert_eq!(Guest::since_long(doing, age * MS).claim(), expected);
 }
@@ -424,8 +424,8 @@
 #[test_case(HEAD, "Content-Length: -1\r\n\r\n"; "a length with a sign")]
 #[test_case(HEAD, "Content-Length: +1\r\n\r\n1"; "a length with another sign")]
 #[test_case(HEAD, "Content-Length: 1\r\nContent-Length: 2\r\n\r\n1"; "two lengths")]
-#[test_case(HEAD, "Content-Length: 60000000\r\n\r\n1"; "a length beyond the bound")]
-#[test_case(HEAD, "Transfer-Encoding: chunked\r\n\r\n-1\r\n"; "an odd chunk")]
+#[test_case(HEAD, "Content-Length: 60000000\r\n\r\n1"; "a length beyond the limit")]
+#[test_case(HEAD, "Transfer-Encoding: chunked\r\n\r\n-1\r\n"; "an invalid chunk size")]
 #[test_case(HEAD, "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"; "two framings")]
 fn incomplete_requests_are_closed_in_time(head: &'static str, rest: &'static str) {
     let (took, taken) = run_client_counting_jobs(move |addr| {
@@ -518,7 +518,7 @@
 #[test_case(Answer::Throttled { pause: 0.25 }, 503, Some("0.250"); "retry later")]
 #[test_case(Answer::Throttled { pause: 0.0 }, 503, None; "retry at once")]
 #[test_case(Answer::Throttled { pause: f64::NAN }, 503, None; "no number")]
-#[test_case(Answer::Errored, 500, None; "an error promises nothing")]
+#[test_case(Answer::Errored, 500, None; "an error has no retry hint")]
 fn answers_become_responses(answer: Answer, status: u16, after: Option<&str>) {
     let response = answer.response(false);
     let told = response.headers().get("retry-after").map(|value| value.to_str().expect("text"));
@@ -534,8 +534,8 @@
 #[test_case(r#"{"id":"c","from":"s","state":"lost","x":1}"#, Some(Word::Ended(Outcome::Reset)); "lost")]
 #[test_case(r#"{"id":"c","from":"s","state":"failed"}"#, Some(Word::Ended(Outcome::Errored)); "failed")]
 #[test_case(r#"{"id":"c","from":"s","state":"done"}"#, None; "no result was made")]
-#[test_case(r#"{"id":"c","state":"done","result":""}"#, None; "from nobody")]
-#[test_case("[]", None; "no object")]
+#[test_case(r#"{"id":"c","state":"done","result":""}"#, None; "without a sender")]
+#[test_case("[]", None; "not an object")]
 fn reports_are_parsed(text: &str, expected: Option<Word>) {
     assert_eq!(callbacks::parse(text.as_bytes()).ok().map(|news| news.word), expected);
 }
@@ -699,10 +699,10 @@
     assert_eq!(versions, [3, 3]);
 }
 
-#[test_case("{", "EOF"; "broken off")]
+#[test_case("{", "EOF"; "truncated")]
 #[test_case("{}", "settings"; "empty")]
 #[test_case(&CONFIG.replace("127.0.0.1:9000", "here"), "listen: here is not an address"; "no address")]
-#[test_case(&CONFIG.replace("8c1f30d27a5be964", "xyz"), "seed xyz"; "no seed")]
+#[test_case(&CONFIG.replace("8c1f30d27a5be964", "xyz"), "seed xyz"; "an invalid seed")]
 #[test_case(&CONFIG.replace("\"free\"", "\"perhaps\""), "unknown effect perhaps"; "an unknown effect")]
 #[test_case(&CONFIG.replace("\"onTime\"", "\"lateValue\": 1.5, \"onTime\""), "a late value of 1.5 is no part of one"; "a late value greater than 1")]
 #[test_case(&CONFIG.replace("\"dialTimeout\": 250.0,", ""), "dialTimeout"; "a number is missing")]
@@ -796,7 +796,7 @@
 // its own forwards.
 #[test_case(&NO_REPORTS[..1], (Reports::Never, true); "probes without reports, and no start reports")]
 #[test_case(&NO_REPORTS[1..2], (Reports::Answers, false); "reports without probing")]
-#[test_case(&NO_REPORTS[..2], (Reports::Never, false); "neither reports nor starts")]
+#[test_case(&NO_REPORTS[..2], (Reports::Never, false); "neither reports nor probing")]
 #[test_case(&[WITHOUT_FREE_CAPACITY], (Reports::Never, true); "reports without the free capacity")]
 fn executors_that_report_little_get_jobs(pairs: &[(&str, &str)], expected: (Reports, bool)) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -1121,12 +1121,12 @@
 #[test_case(&[("\"deadline\": 5000.0", "\"deadline\": -1")], "look: deadline: -1 is not greater than 0"; "a negative deadline")]
 #[test_case(&[("\"deadline\": 5000.0", "\"deadline\": 1e999")], "number out of range"; "a huge deadline")]
 #[test_case(&[("\"deadline\": 5000.0", "\"deadline\": NaN")], "settings: expected value"; "no number")]
-#[test_case(&[("\"deadline\": 5000.0", "\"deadline\": \"long\"")], "settings: invalid type"; "a word for a figure")]
+#[test_case(&[("\"deadline\": 5000.0", "\"deadline\": \"long\"")], "settings: invalid type"; "a word instead of a number")]
 #[test_case(&[("\"maxAttempts\": 4", "\"maxAttempts\": 0")], "settings.limits.maxAttempts: 0 is not greater than 0"; "no attempts")]
-#[test_case(&[("\"maxAttempts\": 4", "\"maxAttempts\": -4")], "settings: invalid value"; "attempts below 0")]
+#[test_case(&[("\"maxAttempts\": 4", "\"maxAttempts\": -4")], "settings: invalid value"; "negative attempts")]
 #[test_case(&[("\"name\": \"pay\"", "\"name\": \"look\"")], "look is defined twice"; "an operation twice")]
-#[test_case(&[("\"effect\": \"free\", ", "")], "missing field `effect`"; "a key is cut out")]
-#[test_case(&[("\"listen\"", "\"management\": \"127.0.0.1:9000\", \"listen\"")], "management: 127.0.0.1:9000 is also the address for clients"; "one address for both doors")]
+#[test_case(&[("\"effect\": \"free\", ", "")], "missing field `effect`"; "a removed key")]
+#[test_case(&[("\"listen\"", "\"management\": \"127.0.0.1:9000\", \"listen\"")], "management: 127.0.0.1:9000 is also the address for clients"; "one address for clients and operators")]
 fn out_of_range_values_are_reported_in_one_line(pairs: &[(&str, &str)], words: &str) {
     let text = if words.starts_with("settings: expected") {
         CONFIG.replace("5000.0", "NaN")
--- a/crates/coveroute-node/src/watches.rs
+++ b/crates/coveroute-node/src/watches.rs
@@ -221,10 +221,10 @@
 // by `called` at the latest. Nothing is sent to the draining executor once the drain counts as known, and the other
 // one then gets all jobs. Guards against delays that add up: the silence, waiting for the turn and a failing request
 // (calm+brink).
-#[test_case(&[FallsSilent, Followed], 0, 1, 2.8; "one alone")]
+#[test_case(&[FallsSilent, Followed], 0, 1, 2.8; "a single node")]
 #[test_case(&[FallsSilent, Followed], 2, 6, 4.5; "one of six")]
 #[test_case(&[FallsSilent, Followed], 299, 300, 4.5; "one of hundreds")]
-#[test_case(&[FallsSilent, Followed], 77, 300, 4.5; "another one of hundreds")]
+#[test_case(&[FallsSilent, Followed], 77, 300, 4.5; "another of hundreds")]
 #[test_case(&[FallsSilent, Followed], 150, 300, 4.5; "a third of hundreds")]
 fn a_silent_watch_is_reopened_before_changes_count_as_known(
     script: &'static [Call],
@@ -253,8 +253,8 @@
 // Later requests fail as well, so no list arrives in time. Then no job is sent by the old list, and sending resumes
 // with a new one.
 #[test_case(&[FallsSilent, Refused(0.9), Refused(0.9), Followed], 5, 6; "they wait and are refused")]
-#[test_case(&[FallsSilent, Reset(0.9), Refused(0.0), Reset(0.9), Followed], 0, 6; "or are reset")]
-#[test_case(&[FallsSilent, Refused(0.0), Refused(0.0), Followed], 3, 6; "they are refused as they come")]
+#[test_case(&[FallsSilent, Reset(0.9), Refused(0.0), Reset(0.9), Followed], 0, 6; "they wait and are reset")]
+#[test_case(&[FallsSilent, Refused(0.0), Refused(0.0), Followed], 3, 6; "they are refused immediately")]
 #[test_case(&[FallsSilent, Reset(2.0), Followed], 299, 300; "of hundreds")]
 #[test_case(&[FallsSilent, Hangs], 3, 6; "they are never answered")]
 #[test_case(&[Closes, Refused(0.0), Hangs, Followed], 0, 6; "the next is refused, the one after never answered")]
