--- a/crates/coveroute-emu/src/fleet/links.rs
+++ b/crates/coveroute-emu/src/fleet/links.rs
@@ -1,5 +1,5 @@
-//! Links between nodes: what becomes of a datagram on its way. The same for both hosts: in virtual time what arrives is
-//! queued, on loopback relays hold it back as long.
+//! Links between nodes and their faults: decides for each datagram whether it is lost, delayed, duplicated or damaged.
+//! Used in virtual time, where arrivals are queued, and on loopback, where relays delay them.
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::seq::SliceRandom;
@@ -9,19 +9,19 @@
 use crate::scenario::{Direction, Fault, Place, Scenario, What};
 use crate::world::NodeId;
 
-/// What a slow link holds back at most, in seconds of its rate: more is lost.
-const HELD: f64 = 1.0;
-/// What comes out of order comes so much later at most: several usual ways.
-const REORDERED: f64 = 0.05;
+/// Longest queueing delay on a slow link, in seconds; a datagram that would wait longer is lost.
+const MAX_QUEUE_DELAY: f64 = 1.0;
+/// Greatest extra delay of a reordered datagram, in seconds: several times the usual latency.
+const MAX_REORDER_DELAY: f64 = 0.05;
 
-struct Struck {
+struct LinkFault {
     fault: Fault,
-    /// Whose links with the others; all links without it.
-    set: Option<BTreeSet<NodeId>>,
+    /// The nodes whose links with the other nodes are affected; all links if none.
+    nodes: Option<BTreeSet<NodeId>>,
 }
 
-impl Struck {
-    fn strikes(&self, now: f64, from: NodeId, to: NodeId) -> bool {
+impl LinkFault {
+    fn applies(&self, now: f64, from: NodeId, to: NodeId) -> bool {
         let fault = &self.fault;
         if !(fault.at.0..fault.until()).contains(&now) {
             return false;
@@ -30,8 +30,8 @@
         if flaps > 0.0 && ((now - fault.at.0) / flaps) as u64 % 2 == 1 {
             return false;
         }
-        let Some(set) = &self.set else { return true };
-        match (set.contains(&from), set.contains(&to)) {
+        let Some(nodes) = &self.nodes else { return true };
+        match (nodes.contains(&from), nodes.contains(&to)) {
             (true, false) => fault.way != Direction::In,
             (false, true) => fault.way != Direction::Out,
             _ => false,
@@ -41,98 +41,99 @@
 
 pub struct Links {
     latency: f64,
-    struck: Vec<Struck>,
-    /// Single ways that are cut, and since when.
-    apart: BTreeMap<(NodeId, NodeId), f64>,
-    /// When a slow link is free again.
-    free: BTreeMap<(NodeId, NodeId), f64>,
-    draw: Pcg64Mcg,
+    faults: Vec<LinkFault>,
+    /// Single directions that are cut, with the time since when.
+    one_way_cuts: BTreeMap<(NodeId, NodeId), f64>,
+    /// When a slow link has sent all that is queued on it.
+    busy_until: BTreeMap<(NodeId, NodeId), f64>,
+    rng: Pcg64Mcg,
 }
 
 impl Links {
-    /// `zones`: of each node.
+    /// `zones` holds the zone of each node.
     pub fn new(scenario: &Scenario, seed: u64, zones: &[String]) -> Self {
-        let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0x11_4c5);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x11_4c5);
         let faults = scenario.faults.iter().filter(|fault| fault.what.place() == Place::Links);
-        let struck = faults.map(|fault| Struck { set: set(fault, zones, &mut draw), fault: fault.clone() });
-        let struck = struck.collect();
+        let faults = faults
+            .map(|fault| LinkFault { nodes: affected_nodes(fault, zones, &mut rng), fault: fault.clone() });
+        let faults = faults.collect();
         let latency = scenario.fleet.as_ref().map_or(0.0, |fleet| fleet.latency.0);
-        Links { latency, struck, apart: BTreeMap::new(), free: BTreeMap::new(), draw }
+        Links { latency, faults, one_way_cuts: BTreeMap::new(), busy_until: BTreeMap::new(), rng }
     }
 
-    /// Moves all faults: the time until the nodes are ready is not the scenario's.
+    /// Postpones all faults by `by` seconds: the scenario's time starts when the nodes are ready.
     pub fn delay(&mut self, by: f64) {
-        self.struck.iter_mut().for_each(|struck| struck.fault.at.0 += by);
+        self.faults.iter_mut().for_each(|link_fault| link_fault.fault.at.0 += by);
     }
 
-    /// A fault that a test begins now, and that lasts until it is taken off.
-    pub fn strike(&mut self, now: f64, what: What, by: f64, set: &[NodeId], way: Direction) {
+    /// Starts a fault now; it lasts until `heal`. An empty `nodes` affects all links.
+    pub fn inject(&mut self, now: f64, what: What, by: f64, nodes: &[NodeId], way: Direction) {
         let by = Some(crate::scenario::Amount(by));
         let fault = Fault { by, way, ..Fault::new(what, now, 0.0) };
-        let set = (!set.is_empty()).then(|| set.iter().copied().collect());
-        self.struck.push(Struck { fault, set });
+        let nodes = (!nodes.is_empty()).then(|| nodes.iter().copied().collect());
+        self.faults.push(LinkFault { fault, nodes });
     }
 
-    /// What one sends the other is lost from now on, and nothing else.
-    pub fn between(&mut self, now: f64, from: NodeId, to: NodeId) {
-        self.apart.insert((from, to), now);
+    /// Cuts the link from `from` to `to` from now on, in this direction only.
+    pub fn cut_one_way(&mut self, now: f64, from: NodeId, to: NodeId) {
+        self.one_way_cuts.insert((from, to), now);
     }
 
+    /// Removes all faults.
     pub fn heal(&mut self) {
-        self.struck.clear();
-        self.apart.clear();
+        self.faults.clear();
+        self.one_way_cuts.clear();
     }
 
     pub fn is_cut(&self, now: f64, from: NodeId, to: NodeId) -> bool {
-        let cuts = |struck: &Struck| struck.fault.what == What::LinkCut && struck.strikes(now, from, to);
-        self.struck.iter().any(cuts) || self.apart.get(&(from, to)).is_some_and(|since| now >= *since)
+        let cuts = |fault: &LinkFault| fault.fault.what == What::LinkCut && fault.applies(now, from, to);
+        self.faults.iter().any(cuts) || self.one_way_cuts.get(&(from, to)).is_some_and(|since| now >= *since)
     }
 
-    /// When and how a datagram arrives: after so many seconds each.
-    pub fn pass(&mut self, now: f64, from: NodeId, to: NodeId, bytes: Vec<u8>) -> Vec<(f64, Vec<u8>)> {
-        let strikes: Vec<(What, f64)> = self
-            .struck
+    /// The copies of a datagram that arrive, each with its delay in seconds; none if it is lost.
+    pub fn transmit(&mut self, now: f64, from: NodeId, to: NodeId, bytes: Vec<u8>) -> Vec<(f64, Vec<u8>)> {
+        let active: Vec<(What, f64)> = self
+            .faults
             .iter()
-            .filter(|struck| struck.strikes(now, from, to))
-            .map(|struck| (struck.fault.what, struck.fault.strength()))
+            .filter(|link_fault| link_fault.applies(now, from, to))
+            .map(|link_fault| (link_fault.fault.what, link_fault.fault.strength()))
             .collect();
         if self.is_cut(now, from, to) {
             return Vec::new();
         }
-        let mut copies = vec![(self.latency * (1.0 + self.draw.random::<f64>()), bytes)];
-        for (what, by) in strikes {
+        let mut copies = vec![(self.latency * (1.0 + self.rng.random::<f64>()), bytes)];
+        for (what, by) in active {
             match what {
                 What::LinkCut => {}
-                What::LinkLoss => copies.retain(|_| !self.draw.random_bool(by)),
-                What::LinkDelay => {
-                    copies.iter_mut().for_each(|copy| copy.0 += by * self.draw.random::<f64>())
+                What::LinkLoss => copies.retain(|_| !self.rng.random_bool(by)),
+                What::LinkDelay => copies.iter_mut().for_each(|copy| copy.0 += by * self.rng.random::<f64>()),
+                What::LinkReorders if self.rng.random_bool(by) => {
+                    copies.iter_mut().for_each(|copy| copy.0 += MAX_REORDER_DELAY * self.rng.random::<f64>());
                 }
-                What::LinkReorders if self.draw.random_bool(by) => {
-                    copies.iter_mut().for_each(|copy| copy.0 += REORDERED * self.draw.random::<f64>());
-                }
-                What::LinkDoubles if self.draw.random_bool(by) => {
-                    let again = copies
-                        .first()
-                        .map(|(after, bytes)| (after + REORDERED * self.draw.random::<f64>(), bytes.clone()));
+                What::LinkDoubles if self.rng.random_bool(by) => {
+                    let again = copies.first().map(|(after, bytes)| {
+                        (after + MAX_REORDER_DELAY * self.rng.random::<f64>(), bytes.clone())
+                    });
                     copies.extend(again);
                 }
-                What::LinkCorrupts if self.draw.random_bool(by) => {
+                What::LinkCorrupts if self.rng.random_bool(by) => {
                     for (_, bytes) in &mut copies {
-                        damage(bytes, &mut self.draw);
+                        corrupt(bytes, &mut self.rng);
                     }
                 }
-                What::LinkSlow => self.queue(now, (from, to), by, &mut copies),
+                What::LinkSlow => self.enqueue(now, (from, to), by, &mut copies),
                 _ => {}
             }
         }
         copies
     }
 
-    fn queue(&mut self, now: f64, link: (NodeId, NodeId), rate: f64, copies: &mut Vec<(f64, Vec<u8>)>) {
-        let free = self.free.entry(link).or_insert(now);
+    /// Queues the copies on a link that carries `rate` bytes per second.
+    fn enqueue(&mut self, now: f64, link: (NodeId, NodeId), rate: f64, copies: &mut Vec<(f64, Vec<u8>)>) {
+        let free = self.busy_until.entry(link).or_insert(now);
         copies.retain_mut(|(after, bytes)| {
             let begins = free.max(now);
-            if begins - now > HELD {
+            if begins - now > MAX_QUEUE_DELAY {
                 return false;
             }
             *free = begins + bytes.len() as f64 / rate;
@@ -142,30 +143,30 @@
     }
 }
 
-/// Whom a fault of links names.
-fn set(fault: &Fault, zones: &[String], draw: &mut Pcg64Mcg) -> Option<BTreeSet<NodeId>> {
+/// The nodes that a link fault names; none if it affects all links.
+fn affected_nodes(fault: &Fault, zones: &[String], rng: &mut Pcg64Mcg) -> Option<BTreeSet<NodeId>> {
     if let Some(nodes) = &fault.nodes {
         return Some(nodes.iter().copied().collect());
     }
-    let fits = |at: &usize| fault.zone.as_ref().is_none_or(|zone| *zone == zones[*at]);
-    let mut fit: Vec<NodeId> = (0..zones.len()).filter(fits).collect();
+    let eligible = |at: &usize| fault.zone.as_ref().is_none_or(|zone| *zone == zones[*at]);
+    let mut candidates: Vec<NodeId> = (0..zones.len()).filter(eligible).collect();
     if let Some(count) = fault.count {
-        fit.shuffle(draw);
-        fit.truncate(count.0);
+        candidates.shuffle(rng);
+        candidates.truncate(count.0);
     }
-    (fault.count.is_some() || fault.zone.is_some()).then(|| fit.into_iter().collect())
+    (fault.count.is_some() || fault.zone.is_some()).then(|| candidates.into_iter().collect())
 }
 
-/// Another byte somewhere, or an end that is cut off.
-fn damage(bytes: &mut Vec<u8>, draw: &mut Pcg64Mcg) {
+/// Changes one byte of the datagram or cuts off its end.
+fn corrupt(bytes: &mut Vec<u8>, rng: &mut Pcg64Mcg) {
     if bytes.is_empty() {
         return;
     }
-    let at = draw.random_range(0..bytes.len());
-    if draw.random_bool(0.2) {
+    let at = rng.random_range(0..bytes.len());
+    if rng.random_bool(0.2) {
         bytes.truncate(at);
     } else {
-        bytes[at] ^= draw.random_range(1..=255_u8);
+        bytes[at] ^= rng.random_range(1..=255_u8);
     }
 }
 
@@ -187,31 +188,31 @@
     }
 
     #[test_case(Direction::Both, 2.0, 0, 2, 0; "both ways")]
-    #[test_case(Direction::Both, 2.0, 0, 1, 1; "not among themselves")]
-    #[test_case(Direction::Out, 2.0, 0, 2, 0; "one way, there")]
-    #[test_case(Direction::Out, 2.0, 2, 0, 1; "one way, back")]
-    #[test_case(Direction::Both, 0.5, 0, 2, 1; "before")]
-    #[test_case(Direction::Both, 11.0, 0, 2, 1; "after")]
+    #[test_case(Direction::Both, 2.0, 0, 1, 1; "not within the set")]
+    #[test_case(Direction::Out, 2.0, 0, 2, 0; "one way, outgoing")]
+    #[test_case(Direction::Out, 2.0, 2, 0, 1; "one way, incoming")]
+    #[test_case(Direction::Both, 0.5, 0, 2, 1; "before the fault")]
+    #[test_case(Direction::Both, 11.0, 0, 2, 1; "after the fault")]
     fn cuts(way: Direction, now: f64, from: NodeId, to: NodeId, arrive: usize) {
-        assert_eq!(links(vec![cut(way, 0.0)]).pass(now, from, to, vec![1]).len(), arrive);
+        assert_eq!(links(vec![cut(way, 0.0)]).transmit(now, from, to, vec![1]).len(), arrive);
     }
 
     #[test]
-    fn a_cut_that_flaps_comes_and_goes() {
+    fn a_flapping_cut_alternates() {
         let mut links = links(vec![cut(Direction::Both, 1.0)]);
-        let arrive = |links: &mut Links, now| links.pass(now, 0, 2, vec![1]).len();
+        let arrive = |links: &mut Links, now| links.transmit(now, 0, 2, vec![1]).len();
         assert_eq!([1.5, 2.5, 3.5].map(|now| arrive(&mut links, now)), [0, 1, 0]);
     }
 
     #[test_case(What::LinkLoss, 0.3, (0.65, 0.75); "lost")]
     #[test_case(What::LinkDoubles, 0.3, (1.25, 1.35); "doubled")]
-    #[test_case(What::LinkSlow, 1000.0, (0.05, 0.11); "too slow for all")]
-    fn parts_that_arrive(what: What, by: f64, (least, most): (f64, f64)) {
+    #[test_case(What::LinkSlow, 1000.0, (0.05, 0.11); "slow, with queue overflow")]
+    fn fraction_that_arrives(what: What, by: f64, (least, most): (f64, f64)) {
         let by = Some(crate::scenario::Amount(by));
         let mut links = links(vec![Fault { by, ..Fault::new(what, 0.0, 0.0) }]);
-        // A thousand of ten bytes within a tenth of a second.
-        let arrive = (0..1000).map(|at| links.pass(f64::from(at) * 1e-4, 0, 2, vec![0; 10]).len());
-        let part = arrive.sum::<usize>() as f64 / 1000.0;
-        assert!((least..=most).contains(&part), "{part}");
+        // 1000 datagrams of 10 bytes within 0.1 s.
+        let arrive = (0..1000).map(|at| links.transmit(f64::from(at) * 1e-4, 0, 2, vec![0; 10]).len());
+        let fraction = arrive.sum::<usize>() as f64 / 1000.0;
+        assert!((least..=most).contains(&fraction), "{fraction}");
     }
 }
--- a/crates/coveroute-emu/src/fleet/measure.rs
+++ b/crates/coveroute-emu/src/fleet/measure.rs
@@ -1,4 +1,4 @@
-//! What the fleet's part of a node takes and gives, measured on the stage in virtual time.
+//! Measures the fleet protocol in virtual time: detection times, traffic, false deaths and the use of shared limits.
 use std::time::Instant;
 
 use coveroute_fleet::rights::{Limit, Terms};
@@ -8,110 +8,116 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
+use super::checker::Ages;
 use super::stage::Stage;
-use super::witness::Ages;
 use crate::scenario::{Direction, FleetPart, Scenario, Span, What};
 use crate::search::{drawn, on_all_cores};
 use crate::world::{NodeId, Order};
 
-/// A stage without faults, and nobody on it.
-fn bare(nodes: usize, seed: u64, part: FleetPart) -> Stage {
+/// A simulation without faults and with no process started.
+fn empty_stage(nodes: usize, seed: u64, part: FleetPart) -> Stage {
     let mut scenario: Scenario = drawn(1);
     (scenario.fleet, scenario.faults) = (Some(part), Vec::new());
     Stage::new(&scenario, seed, &vec!["a".into(); nodes])
 }
 
-pub fn begun(nodes: usize, seed: u64, part: FleetPart) -> Stage {
-    let mut stage = bare(nodes, seed, part);
+/// A simulation without faults and with all processes started at time 0.
+pub fn started_stage(nodes: usize, seed: u64, part: FleetPart) -> Stage {
+    let mut stage = empty_stage(nodes, seed, part);
     (0..nodes).for_each(|node| stage.start(0.0, node, false));
     stage
 }
 
-/// The part of them at which so many are no greater.
-pub fn quantile(figures: &mut [f64], part: f64) -> f64 {
+/// The smallest value that at least `fraction` of the values do not exceed; sorts the values.
+pub fn quantile(figures: &mut [f64], fraction: f64) -> f64 {
     figures.sort_by(f64::total_cmp);
-    let at = (part * figures.len() as f64).ceil() as usize;
+    let at = (fraction * figures.len() as f64).ceil() as usize;
     figures.get(at.max(1) - 1).copied().unwrap_or(f64::NAN)
 }
 
+/// Figures of a fleet of one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Size {
     pub nodes: usize,
-    /// From a kill to the first who holds it for one, and to the last of all; median and 99 of 100, in seconds.
+    /// Time from a kill until the first node (`known`) and until all nodes (`told`) hold the member to be dead: median and
+    /// 99th percentile, in seconds.
     pub known: (f64, f64),
     pub told: (f64, f64),
-    /// From a write to the last reader.
+    /// Time from a write until all nodes hold it: median and 99th percentile, in seconds.
     pub written: (f64, f64),
-    /// Bytes that a node sends a second, at rest.
+    /// Bytes that each node sends per second when idle.
     pub bytes: f64,
     pub false_deaths: usize,
 }
 
-/// Kills, one after the other, and writes; then a time at rest.
-pub fn size(nodes: usize, kills: usize, seed: u64) -> Size {
-    let mut stage = begun(nodes, seed, FleetPart::default());
-    // A standing record each, as nodes write.
+/// Measures a fleet of `nodes` nodes: 30 s idle, then `kills` rounds of a kill, a restart and a write.
+pub fn measure_size(nodes: usize, kills: usize, seed: u64) -> Size {
+    let mut stage = started_stage(nodes, seed, FleetPart::default());
+    // One standing record per node, as real nodes write.
     for node in 0..nodes {
         stage.write(0.0, node, 0);
     }
     let mut now = 15.0;
-    stage.play(now);
-    let sent = |stage: &Stage, now| {
+    stage.run_until(now);
+    let sent_bytes = |stage: &Stage, now| {
         (0..nodes).filter_map(|node| stage.figures(now, node)).map(|f| f.counts.sent_bytes).sum::<u64>()
             as f64
     };
-    let before = sent(&stage, now);
-    stage.play(now + 30.0);
-    let bytes = (sent(&stage, now + 30.0) - before) / 30.0 / nodes as f64;
+    let before = sent_bytes(&stage, now);
+    stage.run_until(now + 30.0);
+    let bytes = (sent_bytes(&stage, now + 30.0) - before) / 30.0 / nodes as f64;
     now += 30.0;
     let (mut known, mut told, mut written) = (Vec::new(), Vec::new(), Vec::new());
     for kill in 0..kills {
         let (victim, writer) = ((kill * 7) % nodes, (kill * 7 + 1) % nodes);
-        stage.seen.clear();
+        stage.state_changes.clear();
         stage.kill(victim);
-        let done = stage.until(now, now + 60.0, |stage| {
+        let done = stage.run_until_true(now, now + 60.0, |stage| {
             (0..nodes).all(|by| by == victim || stage.state(by, victim) == Some(State::Dead))
         });
-        let first =
-            stage.seen.iter().filter(|seen| seen.of == victim && seen.to == State::Dead).map(|s| s.at);
+        let first = stage
+            .state_changes
+            .iter()
+            .filter(|change| change.of == victim && change.to == State::Dead)
+            .map(|change| change.at);
         known.push(first.fold(f64::INFINITY, f64::min) - now);
         told.push(done.map_or(f64::INFINITY, |done| done - now));
         now = done.unwrap_or(now + 60.0);
         stage.start(now, victim, false);
         stage.write(now, victim, 0);
         now += 5.0;
-        stage.play(now);
+        stage.run_until(now);
         stage.write(now, writer, 1);
-        let all = stage.until(now, now + 60.0, Stage::agree);
+        let all = stage.run_until_true(now, now + 60.0, Stage::agree);
         written.push(all.map_or(f64::INFINITY, |all| all - now));
         now = all.unwrap_or(now + 60.0) + 1.0;
-        stage.play(now);
+        stage.run_until(now);
     }
-    let both = |figures: &mut Vec<f64>| (quantile(figures, 0.5), quantile(figures, 0.99));
-    let false_deaths = stage.seen.iter().filter(|seen| seen.false_death).count();
+    let median_and_p99 = |figures: &mut Vec<f64>| (quantile(figures, 0.5), quantile(figures, 0.99));
+    let false_deaths = stage.state_changes.iter().filter(|change| change.false_death).count();
     Size {
         nodes,
-        known: both(&mut known),
-        told: both(&mut told),
-        written: both(&mut written),
+        known: median_and_p99(&mut known),
+        told: median_and_p99(&mut told),
+        written: median_and_p99(&mut written),
         bytes,
         false_deaths,
     }
 }
 
-/// Deaths an hour in a fleet of which none dies, by the part of datagrams that is lost.
+/// Members wrongly declared dead per hour, in a fleet where none dies and the fraction `loss` of all datagrams is lost.
 pub fn false_deaths_an_hour(nodes: usize, loss: f64, seconds: f64, seeds: u64) -> f64 {
     let deaths = on_all_cores(seeds, |seed| {
-        let mut stage = begun(nodes, 100 + seed, FleetPart::default());
-        stage.play(5.0);
-        stage.links.strike(5.0, What::LinkLoss, loss, &[], Direction::Both);
-        stage.play(5.0 + seconds);
-        // One death that all come to hold is one.
+        let mut stage = started_stage(nodes, 100 + seed, FleetPart::default());
+        stage.run_until(5.0);
+        stage.links.inject(5.0, What::LinkLoss, loss, &[], Direction::Both);
+        stage.run_until(5.0 + seconds);
+        // A death that several nodes record counts once.
         let mut deaths: Vec<(NodeId, u64)> = stage
-            .seen
+            .state_changes
             .iter()
-            .filter(|seen| seen.false_death)
-            .map(|seen| (seen.of, (seen.at / 5.0) as u64))
+            .filter(|change| change.false_death)
+            .map(|change| (change.of, (change.at / 5.0) as u64))
             .collect();
         deaths.sort_unstable();
         deaths.dedup();
@@ -120,104 +126,117 @@
     deaths.iter().sum::<usize>() as f64 / (seeds as f64 * seconds / 3600.0)
 }
 
-/// What random schedules of all faults come to.
+/// Results of random schedules of all faults.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Schedules {
     pub schedules: u64,
+    /// Number of breaches, over all schedules.
     pub broken: u64,
+    /// The first breach of up to ten schedules.
     pub breaches: Vec<String>,
     pub ages: Ages,
-    /// Schedules after whose end not all held the same within ten seconds.
+    /// Schedules after which the tables were not equal within 10 s.
     pub apart: u64,
+    /// The seeds of the first ten of them.
     pub unequal: Vec<u64>,
 }
 
-/// One schedule: 3 to 8 nodes, 25 s with up to six faults of links and nodes, then ten seconds without.
-pub fn schedule(seed: u64) -> (Stage, bool) {
-    let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0x5c4ed);
-    let nodes = draw.random_range(3..=8);
-    let writes = Span(*[0.3, 1.0, 6.0].choose(&mut draw).unwrap_or(&1.0));
-    let mut stage = begun(nodes, seed, FleetPart { writes, ..FleetPart::default() });
-    break_things(&mut stage, nodes, &mut draw);
+/// Runs one random schedule: 3 to 8 nodes, 25 s with up to six faults of links and nodes, then 10 s without. Returns
+/// whether all tables were equal at the end.
+pub fn run_schedule(seed: u64) -> (Stage, bool) {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5c4ed);
+    let nodes = rng.random_range(3..=8);
+    let writes = Span(*[0.3, 1.0, 6.0].choose(&mut rng).unwrap_or(&1.0));
+    let mut stage = started_stage(nodes, seed, FleetPart { writes, ..FleetPart::default() });
+    run_random_faults(&mut stage, nodes, &mut rng);
     stage.links.heal();
     stage.stop_writing();
-    let same = stage.until(25.0, 35.0, Stage::agree).is_some();
-    (stage, same)
+    let equal = stage.run_until_true(25.0, 35.0, Stage::agree).is_some();
+    (stage, equal)
 }
 
-/// 25 seconds with up to three faults of nodes and three of links, drawn.
-fn break_things(stage: &mut Stage, nodes: usize, draw: &mut Pcg64Mcg) {
-    let mut acts: Vec<(f64, NodeId, Order)> = Vec::new();
-    for _ in 0..draw.random_range(1..=3) {
-        let node = draw.random_range(0..nodes);
-        let at = draw.random_range(1.0..18.0);
-        let until = at + draw.random_range(0.05..7.0);
+/// Runs 25 s with up to three random faults of nodes and up to three of links.
+fn run_random_faults(stage: &mut Stage, nodes: usize, rng: &mut Pcg64Mcg) {
+    let mut node_faults: Vec<(f64, NodeId, Order)> = Vec::new();
+    for _ in 0..rng.random_range(1..=3) {
+        let node = rng.random_range(0..nodes);
+        let at = rng.random_range(1.0..18.0);
+        let until = at + rng.random_range(0.05..7.0);
         let (begin, end) = *[
             (Order::Kill, Order::Start),
             (Order::Kill, Order::StartBack),
             (Order::Stall, Order::Wake),
             (Order::Stop, Order::Start),
         ]
-        .choose(draw)
+        .choose(rng)
         .unwrap_or(&(Order::Kill, Order::Start));
-        acts.push((at, node, begin));
+        node_faults.push((at, node, begin));
         if begin == Order::Stop {
-            acts.push((until - 0.01, node, Order::Kill));
+            node_faults.push((until - 0.01, node, Order::Kill));
         }
-        acts.push((until, node, end));
+        node_faults.push((until, node, end));
     }
-    let mut links: Vec<(f64, What, f64, Vec<NodeId>, Direction)> = Vec::new();
-    for _ in 0..draw.random_range(0..=3) {
-        let what = What::FLEET[draw.random_range(0..7)];
+    let mut link_faults: Vec<(f64, What, f64, Vec<NodeId>, Direction)> = Vec::new();
+    for _ in 0..rng.random_range(0..=3) {
+        let what = What::FLEET[rng.random_range(0..7)];
         let by = match what {
-            What::LinkDelay => draw.random_range(0.01..2.0),
-            What::LinkSlow => draw.random_range(300.0..20_000.0),
-            _ => draw.random_range(0.1..0.9),
+            What::LinkDelay => rng.random_range(0.01..2.0),
+            What::LinkSlow => rng.random_range(300.0..20_000.0),
+            _ => rng.random_range(0.1..0.9),
         };
-        let set = (0..nodes).filter(|_| draw.random_bool(0.4)).collect();
-        let way = *[Direction::Both, Direction::Out, Direction::In].choose(draw).unwrap_or(&Direction::Both);
-        links.push((draw.random_range(1.0..18.0), what, by, set, way));
+        let nodes = (0..nodes).filter(|_| rng.random_bool(0.4)).collect();
+        let way = *[Direction::Both, Direction::Out, Direction::In].choose(rng).unwrap_or(&Direction::Both);
+        link_faults.push((rng.random_range(1.0..18.0), what, by, nodes, way));
     }
-    acts.sort_by(|one, two| one.0.total_cmp(&two.0));
-    links.sort_by(|one, two| one.0.total_cmp(&two.0));
-    let (mut acts, mut links) = (acts.into_iter().peekable(), links.into_iter().peekable());
+    node_faults.sort_by(|one, two| one.0.total_cmp(&two.0));
+    link_faults.sort_by(|one, two| one.0.total_cmp(&two.0));
+    let (mut node_faults, mut link_faults) =
+        (node_faults.into_iter().peekable(), link_faults.into_iter().peekable());
     loop {
-        let (act, link) = (acts.peek().map(|act| act.0), links.peek().map(|link| link.0));
-        match (act, link) {
-            (Some(at), link) if link.is_none_or(|link| at <= link) => {
-                stage.play(at);
-                if let Some((at, node, order)) = acts.next() {
+        let (node_fault, link_fault) = (
+            node_faults.peek().map(|node_fault| node_fault.0),
+            link_faults.peek().map(|link_fault| link_fault.0),
+        );
+        match (node_fault, link_fault) {
+            (Some(at), link_fault) if link_fault.is_none_or(|link_fault| at <= link_fault) => {
+                stage.run_until(at);
+                if let Some((at, node, order)) = node_faults.next() {
                     stage.order(at, node, order);
                 }
             }
             (_, Some(at)) => {
-                stage.play(at);
-                if let Some((at, what, by, set, way)) = links.next() {
-                    stage.links.strike(at, what, by, &set, way);
+                stage.run_until(at);
+                if let Some((at, what, by, nodes, way)) = link_faults.next() {
+                    stage.links.inject(at, what, by, &nodes, way);
                 }
             }
             _ => break,
         }
     }
-    stage.play(25.0);
+    stage.run_until(25.0);
 }
 
-pub fn schedules(from: u64, many: u64) -> Schedules {
-    let played = on_all_cores(many, |at| {
-        let (stage, same) = schedule(from + at);
-        (from + at, stage.witness.broken, stage.witness.breaches, stage.witness.ages, same)
+/// Runs `many` random schedules with seeds from `from`.
+pub fn run_schedules(from: u64, many: u64) -> Schedules {
+    let results = on_all_cores(many, |at| {
+        let (stage, equal) = run_schedule(from + at);
+        (from + at, stage.witness.broken, stage.witness.breaches, stage.witness.ages, equal)
     });
     let mut all = Schedules { schedules: many, ..Schedules::default() };
-    for (seed, broken, breaches, ages, same) in played {
+    for (seed, broken, breaches, ages, equal) in results {
         all.broken += broken;
-        let room = 10_usize.saturating_sub(all.breaches.len());
-        all.breaches
-            .extend(breaches.into_iter().take(1.min(room)).map(|words| format!("seed {seed}: {words}")));
+        let remaining = 10_usize.saturating_sub(all.breaches.len());
+        all.breaches.extend(
+            breaches
+                .into_iter()
+                .take(1.min(remaining))
+                .map(|description| format!("seed {seed}: {description}")),
+        );
         all.ages.readings += ages.readings;
         all.ages.nearest = all.ages.nearest.max(ages.nearest);
         all.ages.oldest = all.ages.oldest.max(ages.oldest);
         all.ages.slack = all.ages.slack.max(ages.slack);
-        if !same {
+        if !equal {
             all.apart += 1;
             all.unequal.push(seed);
         }
@@ -226,149 +245,153 @@
     all
 }
 
-/// What a limit over the whole fleet comes to.
+/// Results of random schedules with a limit shared by the whole fleet.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Limited {
     pub schedules: u64,
     pub broken: u64,
     pub breaches: Vec<String>,
-    /// The most of the limit that any window saw.
+    /// The greatest part of the bound that was used in any window.
     pub fullest: f64,
+    /// Uses requested, and those of them granted.
     pub wanted: u64,
     pub had: u64,
 }
 
+/// Terms with one limit and the first five members as voters.
 pub fn terms(stage: &Stage, (most, window, strict): (f64, f64, bool)) -> Terms {
     let voters = stage.members().iter().copied().take(5).collect();
     Terms { limits: vec![Limit { id: 1, most, window, strict }], voters, lease: 2.0, drift: 0.01 }
 }
 
-fn limited(nodes: usize, seed: u64, limit: (f64, f64, bool)) -> Stage {
-    let mut stage = bare(nodes, seed, FleetPart::default());
-    stage.limit(terms(&stage, limit));
+/// A simulation without faults, with all processes started and one shared limit.
+fn stage_with_limit(nodes: usize, seed: u64, limit: (f64, f64, bool)) -> Stage {
+    let mut stage = empty_stage(nodes, seed, FleetPart::default());
+    stage.set_limits(terms(&stage, limit));
     (0..nodes).for_each(|node| stage.start(0.0, node, false));
     stage
 }
 
-/// One schedule with more wanted than there is, at nodes that change.
-pub fn limited_schedule(seed: u64) -> Stage {
-    let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0x11317);
-    let nodes = draw.random_range(3..=8);
-    let window = *[0.5, 1.0, 2.0].choose(&mut draw).unwrap_or(&1.0);
-    let most = *[1.0, 4.0, 20.0, 100.0].choose(&mut draw).unwrap_or(&20.0);
-    let mut stage = limited(nodes, seed, (most, window, draw.random_bool(0.5)));
-    let wants = most / window * draw.random_range(0.5..3.0);
+/// Runs one random schedule with a shared limit, where each node requests a random part of 0.5 to 3 times the limit.
+pub fn run_limited_schedule(seed: u64) -> Stage {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x11317);
+    let nodes = rng.random_range(3..=8);
+    let window = *[0.5, 1.0, 2.0].choose(&mut rng).unwrap_or(&1.0);
+    let most = *[1.0, 4.0, 20.0, 100.0].choose(&mut rng).unwrap_or(&20.0);
+    let mut stage = stage_with_limit(nodes, seed, (most, window, rng.random_bool(0.5)));
+    let demand = most / window * rng.random_range(0.5..3.0);
     for node in 0..nodes {
-        let part = draw.random_range(0.0..1.0_f64).powi(3);
-        stage.demand(0.0, node, wants * part);
+        let fraction = rng.random_range(0.0..1.0_f64).powi(3);
+        stage.set_demand(0.0, node, demand * fraction);
     }
-    break_things(&mut stage, nodes, &mut draw);
+    run_random_faults(&mut stage, nodes, &mut rng);
     stage
 }
 
-pub fn limited_schedules(from: u64, many: u64) -> Limited {
-    let played = on_all_cores(many, |at| {
-        let stage = limited_schedule(from + at);
+/// Runs `many` random schedules with a shared limit, with seeds from `from`.
+pub fn run_limited_schedules(from: u64, many: u64) -> Limited {
+    let results = on_all_cores(many, |at| {
+        let stage = run_limited_schedule(from + at);
         let Stage { witness, wanted, had, .. } = stage;
         (from + at, witness, wanted, had)
     });
     let mut all = Limited { schedules: many, ..Limited::default() };
-    for (seed, witness, wanted, had) in played {
+    for (seed, witness, wanted, had) in results {
         all.broken += witness.broken;
-        let room = 10_usize.saturating_sub(all.breaches.len());
-        let first = witness.breaches.into_iter().take(room.min(1));
-        all.breaches.extend(first.map(|words| format!("seed {seed}: {words}")));
+        let remaining = 10_usize.saturating_sub(all.breaches.len());
+        let first = witness.breaches.into_iter().take(remaining.min(1));
+        all.breaches.extend(first.map(|description| format!("seed {seed}: {description}")));
         all.fullest = all.fullest.max(witness.fullest);
         (all.wanted, all.had) = (all.wanted + wanted, all.had + had);
     }
     all
 }
 
-/// In calm, 1.2 times the limit is wanted, five times the mean of it at one node that changes every ten seconds: the part
-/// of the limit that is had, and what equal parts would give at the same demand.
-pub fn uneven(nodes: usize, seed: u64, seconds: f64, (most, window): (f64, f64)) -> (f64, f64) {
-    let mut stage = limited(nodes, seed, (most, window, false));
-    let (mut now, begins) = (8.0, 10.0);
-    stage.play(now);
+/// Without faults, the demand is 1.2 times the limit and one node, another every 10 s, has five times the demand of each
+/// other. Returns the fraction of the limit that is used, and the fraction that equal parts for all nodes would allow.
+pub fn uneven_demand(nodes: usize, seed: u64, seconds: f64, (most, window): (f64, f64)) -> (f64, f64) {
+    let mut stage = stage_with_limit(nodes, seed, (most, window, false));
+    let (mut now, start) = (8.0, 10.0);
+    stage.run_until(now);
     let each = 1.2 * most / window / (nodes as f64 + 4.0);
     let (mut hot, mut equal, mut had) = (0, 0.0, 0);
-    while now < begins + seconds {
-        (0..nodes).for_each(|node| stage.demand(now, node, if node == hot { 5.0 * each } else { each }));
-        if now >= begins {
+    while now < start + seconds {
+        (0..nodes).for_each(|node| stage.set_demand(now, node, if node == hot { 5.0 * each } else { each }));
+        if now >= start {
             let part = most / window / nodes as f64;
             equal += 10.0 * (part.min(5.0 * each) + (nodes as f64 - 1.0) * part.min(each));
         } else {
             had = 0;
         }
-        let until = if now < begins { begins } else { now + 10.0 };
-        stage.play(until);
-        if now < begins {
+        let until = if now < start { start } else { now + 10.0 };
+        stage.run_until(until);
+        if now < start {
             had = stage.had;
         }
         (now, hot) = (until, (hot + 5) % nodes);
     }
-    let may = (now - begins) * most / window;
-    ((stage.had - had) as f64 / may, equal / may)
+    let allowed = (now - start) * most / window;
+    ((stage.had - had) as f64 / allowed, equal / allowed)
 }
 
-/// Less than one use a second among many nodes, all wanted at one: the part of it that is had.
-pub fn small(nodes: usize, seed: u64) -> f64 {
-    let (rate, window, begins, seconds) = (0.3, 10.0, 20.0, 600.0);
-    let mut stage = limited(nodes, seed, (rate * window, window, false));
-    stage.demand(0.0, 0, 3.0 * rate);
-    stage.play(begins);
+/// A limit of 0.3 uses per second among `nodes` nodes, all requested at one: the fraction of it that is granted.
+pub fn small_limit(nodes: usize, seed: u64) -> f64 {
+    let (rate, window, start, seconds) = (0.3, 10.0, 20.0, 600.0);
+    let mut stage = stage_with_limit(nodes, seed, (rate * window, window, false));
+    stage.set_demand(0.0, 0, 3.0 * rate);
+    stage.run_until(start);
     let before = stage.had;
-    stage.play(begins + seconds);
+    stage.run_until(start + seconds);
     (stage.had - before) as f64 / (rate * seconds)
 }
 
-/// What a node sends a second, and what that took of this process.
+/// What each node sends per second, and the processing time that takes.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Traffic {
     pub nodes: usize,
     pub tenants: u32,
     pub messages: f64,
     pub bytes: f64,
-    /// Part of a core a node, the stage's own work with it.
+    /// Fraction of a core per node, including the simulation's own work.
     pub cores: f64,
 }
 
-/// Traffic at rest, with so many tenants of whom each wants more than the share at one node in ten, and nothing elsewhere;
-/// `apart`: the two halves of the nodes do not reach each other.
-pub fn traffic(nodes: usize, tenants: u32, apart: bool) -> Traffic {
-    let mut stage = bare(nodes, 1, FleetPart::default());
+/// Traffic without faults, where each of `tenants` tenants requests more than its share at one node in ten and nothing at
+/// the others. With `partitioned` the two halves of the nodes do not reach each other.
+pub fn traffic(nodes: usize, tenants: u32, partitioned: bool) -> Traffic {
+    let mut stage = empty_stage(nodes, 1, FleetPart::default());
     let limit = |id| Limit { id, most: 100.0, window: 10.0, strict: false };
     if tenants > 0 {
         let terms = Terms { limits: (0..tenants).map(limit).collect(), ..terms(&stage, (1.0, 1.0, false)) };
-        stage.limit(terms);
+        stage.set_limits(terms);
     }
     (0..nodes).for_each(|node| stage.start(0.0, node, false));
     for node in 0..nodes.div_ceil(10) {
-        stage.demand(0.0, node, 12.0 * f64::from(tenants));
+        stage.set_demand(0.0, node, 12.0 * f64::from(tenants));
     }
-    let mut begins = 10.0;
-    if apart {
+    let mut start = 10.0;
+    if partitioned {
         let half: Vec<NodeId> = (0..nodes / 2).collect();
-        stage.play(begins);
-        stage.links.strike(begins, What::LinkCut, 1.0, &half, Direction::Both);
-        // By then all on the one side hold all on the other for dead.
-        begins += 20.0;
+        stage.run_until(start);
+        stage.links.inject(start, What::LinkCut, 1.0, &half, Direction::Both);
+        // By then each half holds all members of the other half to be dead.
+        start += 20.0;
     }
     let sent = |stage: &Stage, now| {
         let counts = (0..nodes).filter_map(|node| stage.figures(now, node)).map(|f| f.counts);
         counts.fold((0.0, 0.0), |(many, bytes), c| (many + c.sent as f64, bytes + c.sent_bytes as f64))
     };
-    stage.play(begins);
-    let (before, began) = (sent(&stage, begins), Instant::now());
-    stage.play(begins + 10.0);
-    let (took, after) = (began.elapsed().as_secs_f64(), sent(&stage, begins + 10.0));
+    stage.run_until(start);
+    let (before, started) = (sent(&stage, start), Instant::now());
+    stage.run_until(start + 10.0);
+    let (elapsed, after) = (started.elapsed().as_secs_f64(), sent(&stage, start + 10.0));
     let each = 10.0 * nodes as f64;
     let (messages, bytes) = ((after.0 - before.0) / each, (after.1 - before.1) / each);
-    Traffic { nodes, tenants, messages, bytes, cores: took / each }
+    Traffic { nodes, tenants, messages, bytes, cores: elapsed / each }
 }
 
-/// Bytes that a node sends a second, with so many tenants.
-pub fn price_of_limits(nodes: usize, tenants: u32) -> f64 {
+/// Bytes that each node sends per second with limits for `tenants` tenants.
+pub fn bytes_with_limits(nodes: usize, tenants: u32) -> f64 {
     traffic(nodes, tenants, false).bytes
 }
 
--- a/crates/coveroute-emu/src/fleet/mod.rs
+++ b/crates/coveroute-emu/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Nodes that know each other, rehearsed: links that fail, processes that stand still, and a referee of their own.
+//! Tests of a fleet of nodes that know each other: faulty links, stalled processes, and a checker for what nodes hold.
 pub mod callers;
+pub mod checker;
 pub mod links;
 pub mod measure;
 pub mod model;
@@ -7,7 +8,6 @@
 pub mod processes;
 pub mod proof;
 pub mod stage;
-pub mod witness;
 
 #[cfg(test)]
 mod tests;
--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -1,5 +1,5 @@
-//! The fleet for the explorer: two to four nodes with all orders of what can happen between them. A way there is told in
-//! short words, `t w0 d0 l1 ...`, which a test can play again.
+//! A model of the fleet for the state explorer: up to four nodes with all interleavings of timers, datagrams, writes and
+//! crashes. A path is written in short words, `t w0 d0 l1 ...`, which a test can replay.
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -10,34 +10,35 @@
 use coveroute_fleet::table::Key;
 use coveroute_fleet::{Action, Fleet, Kind, Plan};
 
+use super::checker::Checker;
 use super::stage::{member, plan};
-use super::witness::Witness;
 use crate::scenario::FleetPart;
 use crate::world::NodeId;
 
-/// What can happen next.
+/// One transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A period passes for all, by clocks that run fast or slow.
-    Time,
+    /// One detector period passes at every node, by clocks that run fast or slow.
+    Tick,
     Deliver(usize),
-    Lose(usize),
-    /// It is delivered, and still on its way.
-    Double(usize),
+    Drop(usize),
+    /// Delivers the datagram and keeps it in flight.
+    Duplicate(usize),
     Write(NodeId),
     Crash(NodeId),
-    /// With a clock that has gone on, or back.
+    /// Starts a process whose clock has advanced since the last one.
     Start(NodeId),
+    /// Starts a process whose clock was set back.
     StartBack(NodeId),
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Step::Time => write!(f, "t"),
+            Step::Tick => write!(f, "t"),
             Step::Deliver(at) => write!(f, "d{at}"),
-            Step::Lose(at) => write!(f, "l{at}"),
-            Step::Double(at) => write!(f, "2{at}"),
+            Step::Drop(at) => write!(f, "l{at}"),
+            Step::Duplicate(at) => write!(f, "2{at}"),
             Step::Write(node) => write!(f, "w{node}"),
             Step::Crash(node) => write!(f, "c{node}"),
             Step::Start(node) => write!(f, "s{node}"),
@@ -50,19 +51,19 @@
     type Err = String;
 
     fn from_str(word: &str) -> Result<Self, String> {
-        let fault = || format!("{word}: no step; t, d0, l0, 20, w0, c0, s0 and b0 are");
-        let (kind, number) = word.split_at_checked(1).ok_or_else(fault)?;
-        let at = || number.parse::<usize>().map_err(|_| fault());
+        let invalid = || format!("{word}: unknown step; expected one of t, d0, l0, 20, w0, c0, s0, b0");
+        let (kind, number) = word.split_at_checked(1).ok_or_else(invalid)?;
+        let at = || number.parse::<usize>().map_err(|_| invalid());
         match kind {
-            "t" if number.is_empty() => Ok(Step::Time),
+            "t" if number.is_empty() => Ok(Step::Tick),
             "d" => at().map(Step::Deliver),
-            "l" => at().map(Step::Lose),
-            "2" => at().map(Step::Double),
+            "l" => at().map(Step::Drop),
+            "2" => at().map(Step::Duplicate),
             "w" => at().map(Step::Write),
             "c" => at().map(Step::Crash),
             "s" => at().map(Step::Start),
             "b" => at().map(Step::StartBack),
-            _ => Err(fault()),
+            _ => Err(invalid()),
         }
     }
 }
@@ -71,84 +72,94 @@
 pub struct State {
     now: f64,
     fleets: Vec<Option<Fleet>>,
-    flight: Vec<(NodeId, NodeId, Vec<u8>)>,
-    witness: Witness,
-    written: u64,
-    /// Processes that were started, and crashes that may still come.
+    in_flight: Vec<(NodeId, NodeId, Vec<u8>)>,
+    checker: Checker,
+    writes: u64,
+    /// Processes started so far.
     processes: u64,
-    crashes: usize,
-    doubles: usize,
+    /// How many more crashes and duplicates the model allows.
+    crashes_left: usize,
+    duplicates_left: usize,
 }
 
+/// A fleet of `nodes` nodes.
 pub struct Few {
     pub nodes: usize,
     plan: Plan,
-    /// Clocks run at 1 + and - this.
+    /// Clocks run at rates of up to 1 plus or minus this.
     drift: f64,
 }
 
-/// Datagrams on their way at a time; with more the oldest counts as lost, which can happen to any.
-const FLIGHT: usize = 3;
-const CRASHES: usize = 2;
-const DOUBLES: usize = 2;
+/// Datagrams in flight at a time; beyond this the oldest is lost, which can happen to any datagram.
+const MAX_IN_FLIGHT: usize = 3;
+const MAX_CRASHES: usize = 2;
+const MAX_DUPLICATES: usize = 2;
 
 fn addr(node: NodeId) -> SocketAddr {
     ([10, 100, 0, node as u8], 9400).into()
 }
 
 impl Few {
-    /// `drift`: of the clocks. The plan allows for 1%.
+    /// `drift` is that of the clocks; the plan allows for 1%.
     pub fn new(nodes: usize, drift: f64) -> Self {
         Few { nodes, plan: plan(nodes, &FleetPart::default(), addr), drift }
     }
 
-    fn local(&self, node: NodeId, now: f64) -> f64 {
+    fn local_time(&self, node: NodeId, now: f64) -> f64 {
         1000.0 * node as f64 + now * (1.0 + self.drift * [1.0, -1.0, 0.0, 0.5][node % 4])
     }
 
     fn start(&self, state: &mut State, node: NodeId, back: bool) {
         state.processes += 1;
         let count = if back { 1 } else { 100 + state.processes };
-        // Marks that fall as well as rise: which process bears the greater one is chance.
+        // Marks rise and fall: which of two processes has the greater one is random.
         let mark = coveroute::chance::mix(state.processes);
-        let local = self.local(node, state.now);
-        state.fleets[node] = Fleet::new(local, &member(node), self.plan.clone(), count, mark).ok();
+        let local_time = self.local_time(node, state.now);
+        state.fleets[node] = Fleet::new(local_time, &member(node), self.plan.clone(), count, mark).ok();
     }
 
-    fn with(&self, state: &mut State, node: NodeId, act: impl FnOnce(&mut Fleet, f64, &mut Vec<Action>)) {
-        let (mut actions, local) = (Vec::new(), self.local(node, state.now));
+    /// Runs `act` on the node, if it is up, and puts what it sends in flight.
+    fn with_fleet(
+        &self,
+        state: &mut State,
+        node: NodeId,
+        act: impl FnOnce(&mut Fleet, f64, &mut Vec<Action>),
+    ) {
+        let (mut actions, local_time) = (Vec::new(), self.local_time(node, state.now));
         if let Some(fleet) = &mut state.fleets[node] {
-            act(fleet, local, &mut actions);
+            act(fleet, local_time, &mut actions);
         }
         for action in actions {
             let Action::Send { to, bytes } = action else { continue };
             let to = (0..self.nodes).find(|other| addr(*other) == to);
-            state.flight.extend(to.map(|to| (node, to, bytes)));
+            state.in_flight.extend(to.map(|to| (node, to, bytes)));
         }
-        let over = state.flight.len().saturating_sub(FLIGHT);
-        state.flight.drain(..over);
+        let excess = state.in_flight.len().saturating_sub(MAX_IN_FLIGHT);
+        state.in_flight.drain(..excess);
     }
 
-    fn hear(&self, state: &mut State, (from, to, bytes): (NodeId, NodeId, Vec<u8>)) {
-        self.with(state, to, |fleet, local, actions| fleet.heard(local, addr(from), &bytes, actions));
+    fn receive(&self, state: &mut State, (from, to, bytes): (NodeId, NodeId, Vec<u8>)) {
+        self.with_fleet(state, to, |fleet, local_time, actions| {
+            fleet.heard(local_time, addr(from), &bytes, actions)
+        });
     }
 
     fn write(&self, state: &mut State, node: NodeId) {
-        state.written += 1;
-        let value = state.written.to_le_bytes();
-        self.with(state, node, |fleet, local, actions| {
-            fleet.write(local, Kind::STANDING, 0, &value, actions);
+        state.writes += 1;
+        let value = state.writes.to_le_bytes();
+        self.with_fleet(state, node, |fleet, local_time, actions| {
+            fleet.write(local_time, Kind::STANDING, 0, &value, actions);
         });
-        let local = self.local(node, state.now);
+        let local_time = self.local_time(node, state.now);
         let Some(fleet) = &state.fleets[node] else { return };
         let key = Key { owner: fleet.me(), kind: Kind::STANDING, key: 0 };
-        let stamp = fleet.readings(local).find(|r| r.key == key).map(|r| (r.incarnation, r.version));
+        let stamp = fleet.readings(local_time).find(|r| r.key == key).map(|r| (r.incarnation, r.version));
         if let Some(stamp) = stamp {
-            state.witness.wrote(state.now, node, key, stamp, &value);
+            state.checker.record_write(state.now, node, key, stamp, &value);
         }
     }
 
-    /// Plays a way in short words; what it breaks, if anything.
+    /// Replays a path in short words; an error says which rule it breaks.
     pub fn replay(&self, way: &str) -> Result<(), String> {
         let mut state = self.first();
         for word in way.split_whitespace() {
@@ -166,30 +177,30 @@
         let mut state = State {
             now: 0.0,
             fleets: (0..self.nodes).map(|_| None).collect(),
-            flight: Vec::new(),
-            witness: Witness::default(),
-            written: 0,
+            in_flight: Vec::new(),
+            checker: Checker::default(),
+            writes: 0,
             processes: 0,
-            crashes: CRASHES,
-            doubles: DOUBLES,
+            crashes_left: MAX_CRASHES,
+            duplicates_left: MAX_DUPLICATES,
         };
         (0..self.nodes).for_each(|node| self.start(&mut state, node, false));
         state
     }
 
     fn steps(&self, state: &State) -> Vec<Step> {
-        let mut steps = vec![Step::Time];
-        for at in 0..state.flight.len() {
-            steps.extend([Step::Deliver(at), Step::Lose(at)]);
-            steps.extend((state.doubles > 0).then_some(Step::Double(at)));
+        let mut steps = vec![Step::Tick];
+        for at in 0..state.in_flight.len() {
+            steps.extend([Step::Deliver(at), Step::Drop(at)]);
+            steps.extend((state.duplicates_left > 0).then_some(Step::Duplicate(at)));
         }
         for node in 0..self.nodes {
             match &state.fleets[node] {
                 None => steps.extend([Step::Start(node), Step::StartBack(node)]),
-                // One that writes is enough: the others differ in nothing but their numbers.
+                // Only node 0 writes and crashes: the nodes differ only in their numbers.
                 Some(_) => {
                     steps.extend((node == 0).then_some(Step::Write(node)));
-                    steps.extend((state.crashes > 0 && node == 0).then_some(Step::Crash(node)));
+                    steps.extend((state.crashes_left > 0 && node == 0).then_some(Step::Crash(node)));
                 }
             }
         }
@@ -198,49 +209,50 @@
 
     fn after(&self, state: &State, step: &Step) -> Result<State, String> {
         let mut state = state.clone();
-        let gone = |state: &State, at: usize| format!("{at} of {} on their way", state.flight.len());
+        let no_datagram =
+            |state: &State, at: usize| format!("no datagram {at}: {} in flight", state.in_flight.len());
         match *step {
-            Step::Time => {
+            Step::Tick => {
                 state.now += self.plan.detector.every;
                 for node in 0..self.nodes {
-                    // A quarter of a period each, as the node's own timer does.
+                    // Four timer ticks per period, as in a node.
                     for _ in 0..4 {
-                        self.with(&mut state, node, |fleet, local, actions| {
+                        self.with_fleet(&mut state, node, |fleet, local_time, actions| {
                             let due = fleet.next_due();
-                            fleet.advance(due.min(local), actions);
+                            fleet.advance(due.min(local_time), actions);
                         });
                     }
                 }
             }
-            Step::Deliver(at) if at < state.flight.len() => {
-                let message = state.flight.remove(at);
-                self.hear(&mut state, message);
+            Step::Deliver(at) if at < state.in_flight.len() => {
+                let message = state.in_flight.remove(at);
+                self.receive(&mut state, message);
             }
-            Step::Double(at) if at < state.flight.len() => {
-                state.doubles -= 1;
-                let message = state.flight[at].clone();
-                self.hear(&mut state, message);
+            Step::Duplicate(at) if at < state.in_flight.len() => {
+                state.duplicates_left -= 1;
+                let message = state.in_flight[at].clone();
+                self.receive(&mut state, message);
             }
-            Step::Lose(at) if at < state.flight.len() => drop(state.flight.remove(at)),
-            Step::Deliver(at) | Step::Lose(at) | Step::Double(at) => return Err(gone(&state, at)),
+            Step::Drop(at) if at < state.in_flight.len() => drop(state.in_flight.remove(at)),
+            Step::Deliver(at) | Step::Drop(at) | Step::Duplicate(at) => return Err(no_datagram(&state, at)),
             Step::Write(node) => self.write(&mut state, node),
             Step::Crash(node) => {
-                state.crashes -= 1;
+                state.crashes_left -= 1;
                 state.fleets[node] = None;
-                state.witness.ended(node);
+                state.checker.process_ended(node);
             }
             Step::Start(node) => self.start(&mut state, node, false),
             Step::StartBack(node) => self.start(&mut state, node, true),
         }
         let members: Vec<Id> = (0..self.nodes).map(|node| Id::of(&member(node))).collect();
         for node in 0..self.nodes {
-            let local = self.local(node, state.now);
-            let State { now, fleets, witness, .. } = &mut state;
+            let local_time = self.local_time(node, state.now);
+            let State { now, fleets, checker, .. } = &mut state;
             if let Some(fleet) = &fleets[node] {
-                witness.look(*now, local, node, fleet, &members);
+                checker.check(*now, local_time, node, fleet, &members);
             }
         }
-        match state.witness.breaches.first() {
+        match state.checker.breaches.first() {
             Some(words) => Err(words.clone()),
             None => Ok(state),
         }
@@ -248,14 +260,14 @@
 
     fn print(&self, state: &State) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let State { fleets, flight, now, processes, written, .. } = state;
+        let State { fleets, in_flight, now, processes, writes, .. } = state;
         format!("{fleets:?}").hash(&mut hasher);
-        (flight, now.to_bits(), processes, written).hash(&mut hasher);
+        (in_flight, now.to_bits(), processes, writes).hash(&mut hasher);
         hasher.finish()
     }
 }
 
-/// A way in short words.
+/// Writes a path in short words, for `replay`.
 pub fn way(steps: &[Step]) -> String {
     steps.iter().map(Step::to_string).collect::<Vec<_>>().join(" ")
 }
@@ -267,25 +279,25 @@
     use super::*;
 
     #[test]
-    fn all_orders_of_few_steps_break_nothing() {
+    fn all_interleavings_of_few_steps_keep_the_rules() {
         let explored = explore(&Few::new(2, 0.01), 6, 20_000);
         assert!(explored.breach.is_none(), "{explored:?}");
         assert!(explored.states > 1000, "{explored:?}");
     }
 
-    /// Shows that the explorer and the referee see a bound that does not hold: clocks that part by more than is allowed.
+    /// Checks that the explorer and the checker detect a broken bound: clocks that drift by more than the plan allows.
     #[test]
-    fn clocks_beyond_what_is_allowed_are_found() {
+    fn excessive_clock_drift_is_detected() {
         let model = Few::new(2, 0.3);
         let breach = explore(&model, 9, 200_000).breach.expect("a breach");
-        assert!(breach.words.contains("is told as"), "{breach:?}");
+        assert!(breach.words.contains("is reported as"), "{breach:?}");
         let words = model.replay(&way(&breach.steps)).expect_err("the same");
         assert_eq!(words, breach.words);
     }
 
     #[test]
-    fn a_word_that_is_no_step_is_told() {
-        assert!(Few::new(2, 0.0).replay("t x9").expect_err("a fault").contains("x9: no step"));
-        assert!(Few::new(2, 0.0).replay("d7").expect_err("a fault").contains("on their way"));
+    fn an_invalid_step_is_reported() {
+        assert!(Few::new(2, 0.0).replay("t x9").expect_err("an error").contains("x9: unknown step"));
+        assert!(Few::new(2, 0.0).replay("d7").expect_err("an error").contains("in flight"));
     }
 }
--- a/crates/coveroute-emu/src/fleet/model_limits.rs
+++ b/crates/coveroute-emu/src/fleet/model_limits.rs
@@ -1,5 +1,5 @@
-//! Rights for the explorer: a few nodes that use, ask and give, with all orders of what can happen between them. In no
-//! window do all together use more than the bound.
+//! A model of shared limits for the state explorer: a few nodes that use, request and transfer rights, with all
+//! interleavings of their steps. In no window may the nodes together use more than the bound.
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use coveroute_fleet::explore::Model;
@@ -8,16 +8,17 @@
 
 use crate::world::NodeId;
 
-/// What can happen next.
+/// One transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A fifth of a second passes; the node of this number, if any, stands still in it.
-    Time(Option<NodeId>),
+    /// 0.2 s pass; the given node, if any, is stalled meanwhile.
+    Tick(Option<NodeId>),
     Deliver(usize),
-    Lose(usize),
-    Double(usize),
-    /// It uses all that it has.
-    Use(NodeId),
+    Drop(usize),
+    /// Delivers the message and keeps it in flight.
+    Duplicate(usize),
+    /// The node uses all its rights.
+    UseAll(NodeId),
     Crash(NodeId),
     Start(NodeId),
 }
@@ -26,41 +27,44 @@
 pub struct State {
     now: f64,
     nodes: Vec<Option<Rights>>,
-    flight: Vec<(NodeId, NodeId, u64, Vec<u8>)>,
+    in_flight: Vec<(NodeId, NodeId, u64, Vec<u8>)>,
+    /// The time and amount of each use.
     used: Vec<(f64, f64)>,
     processes: u64,
-    crashes: usize,
-    doubles: usize,
+    /// How many more crashes and duplicates the model allows.
+    crashes_left: usize,
+    duplicates_left: usize,
 }
 
-pub struct Sharing {
+/// Nodes that share one limit.
+pub struct RightsModel {
     pub nodes: usize,
     limit: Limit,
     terms: Terms,
-    /// Clocks run at 1 plus and minus this.
+    /// Clocks run at rates of up to 1 plus or minus this.
     drift: f64,
 }
 
-const FLIGHT: usize = 3;
-const LIMIT: u32 = 1;
-/// Before the first step all know each other's votes, and stocks are full.
-const WARM: f64 = 4.0;
+const MAX_IN_FLIGHT: usize = 3;
+const LIMIT_ID: u32 = 1;
+/// Seconds before the first step, after which the nodes know each other's votes and stocks are full.
+const WARM_UP: f64 = 4.0;
 const TICK: f64 = 0.2;
 
 fn id(node: NodeId) -> Id {
     Id(node as u32 + 1)
 }
 
-impl Sharing {
-    /// The terms allow for clocks off by 1%.
+impl RightsModel {
+    /// `drift` is that of the clocks; the terms allow for 1%.
     pub fn new(nodes: usize, drift: f64) -> Self {
-        let limit = Limit { id: LIMIT, most: 8.0, window: 1.0, strict: true };
+        let limit = Limit { id: LIMIT_ID, most: 8.0, window: 1.0, strict: true };
         let voters = (0..nodes).map(id).collect();
         let terms = Terms { limits: vec![limit], voters, lease: 1.0, drift: 0.01 };
-        Sharing { nodes, limit, terms, drift }
+        RightsModel { nodes, limit, terms, drift }
     }
 
-    fn local(&self, node: NodeId, now: f64) -> f64 {
+    fn local_time(&self, node: NodeId, now: f64) -> f64 {
         now * (1.0 + self.drift * [1.0, -1.0, 0.0, 0.5][node % 4])
     }
 
@@ -68,66 +72,73 @@
         state.processes += 1;
         let members = (0..self.nodes).map(id).collect();
         let incarnation = Incarnation::new(1, state.processes);
-        let now = self.local(node, state.now);
+        let now = self.local_time(node, state.now);
         state.nodes[node] = Some(Rights::new(now, id(node), incarnation, members, self.terms.clone()));
     }
 
-    fn with(
+    /// Runs `act` on the node's rights, if it is up, and puts what it sends in flight.
+    fn with_rights(
         &self,
         state: &mut State,
         node: NodeId,
         act: impl FnOnce(&mut Rights, f64, &mut Vec<(Id, Vec<u8>)>),
     ) {
-        let (mut posts, local) = (Vec::new(), self.local(node, state.now));
+        let (mut messages, local_time) = (Vec::new(), self.local_time(node, state.now));
         let Some(rights) = &mut state.nodes[node] else { return };
-        act(rights, local, &mut posts);
+        act(rights, local_time, &mut messages);
         let mark = rights.mark();
-        state.flight.extend(posts.into_iter().map(|(to, bytes)| (node, to.0 as NodeId - 1, mark, bytes)));
+        state
+            .in_flight
+            .extend(messages.into_iter().map(|(to, bytes)| (node, to.0 as NodeId - 1, mark, bytes)));
     }
 
     fn deliver(&self, state: &mut State, (from, to, mark, bytes): (NodeId, NodeId, u64, Vec<u8>)) {
-        self.with(state, to, |rights, local, posts| rights.heard(local, id(from), mark, &bytes, posts));
+        self.with_rights(state, to, |rights, local_time, messages| {
+            rights.heard(local_time, id(from), mark, &bytes, messages)
+        });
     }
 
-    fn time(&self, state: &mut State, still: Option<NodeId>) {
+    fn advance_time(&self, state: &mut State, stalled: Option<NodeId>) {
         state.now += TICK;
-        for node in (0..self.nodes).filter(|node| Some(*node) != still) {
-            let gone: Vec<Id> =
+        for node in (0..self.nodes).filter(|node| Some(*node) != stalled) {
+            let down: Vec<Id> =
                 (0..self.nodes).filter(|other| state.nodes[*other].is_none()).map(id).collect();
-            self.with(state, node, |rights, local, posts| {
-                rights.advance(local, |of| gone.contains(&of), posts)
+            self.with_rights(state, node, |rights, local_time, messages| {
+                rights.advance(local_time, |of| down.contains(&of), messages)
             });
         }
     }
 
-    fn drain(&self, state: &mut State, node: NodeId) {
-        let (now, local) = (state.now, self.local(node, state.now));
+    fn use_all(&self, state: &mut State, node: NodeId) {
+        let (now, local_time) = (state.now, self.local_time(node, state.now));
         let Some(rights) = &mut state.nodes[node] else { return };
-        let has = rights.has(local, LIMIT) * (1.0 - 1e-9);
-        if has > 0.0 && rights.take(local, LIMIT, has) {
+        let has = rights.has(local_time, LIMIT_ID) * (1.0 - 1e-9);
+        if has > 0.0 && rights.take(local_time, LIMIT_ID, has) {
             state.used.push((now, has));
         }
     }
 
-    fn over(&self, state: &State) -> Option<String> {
+    /// Describes the violation if the last window holds more than the bound.
+    fn bound_violation(&self, state: &State) -> Option<String> {
         let (window, bound) = (self.limit.window, self.limit.bound());
         let used = state.used.iter().filter(|(at, _)| *at > state.now - window).map(|(_, many)| many);
         let used: f64 = used.sum();
-        (used > bound + 1e-6).then(|| format!("{used:.3} used in {window} s, {bound:.3} at most"))
+        (used > bound + 1e-6).then(|| format!("{used:.3} used in {window} s, at most {bound:.3} allowed"))
     }
 }
 
-impl Model for Sharing {
+impl Model for RightsModel {
     type State = State;
     type Step = Step;
 
     fn first(&self) -> State {
-        let (nodes, flight, used) = ((0..self.nodes).map(|_| None).collect(), Vec::new(), Vec::new());
-        let mut state = State { now: 0.0, nodes, flight, used, processes: 0, crashes: 1, doubles: 1 };
+        let (nodes, in_flight, used) = ((0..self.nodes).map(|_| None).collect(), Vec::new(), Vec::new());
+        let mut state =
+            State { now: 0.0, nodes, in_flight, used, processes: 0, crashes_left: 1, duplicates_left: 1 };
         (0..self.nodes).for_each(|node| self.start(&mut state, node));
-        while state.now < WARM {
-            self.time(&mut state, None);
-            while let Some(message) = state.flight.pop() {
+        while state.now < WARM_UP {
+            self.advance_time(&mut state, None);
+            while let Some(message) = state.in_flight.pop() {
                 self.deliver(&mut state, message);
             }
         }
@@ -135,17 +146,17 @@
     }
 
     fn steps(&self, state: &State) -> Vec<Step> {
-        let mut steps = vec![Step::Time(None), Step::Time(Some(0))];
-        for at in 0..state.flight.len() {
-            steps.extend([Step::Deliver(at), Step::Lose(at)]);
-            steps.extend((state.doubles > 0).then_some(Step::Double(at)));
+        let mut steps = vec![Step::Tick(None), Step::Tick(Some(0))];
+        for at in 0..state.in_flight.len() {
+            steps.extend([Step::Deliver(at), Step::Drop(at)]);
+            steps.extend((state.duplicates_left > 0).then_some(Step::Duplicate(at)));
         }
         for node in 0..self.nodes {
             match &state.nodes[node] {
                 None => steps.push(Step::Start(node)),
                 Some(_) => {
-                    steps.push(Step::Use(node));
-                    steps.extend((state.crashes > 0 && node == 0).then_some(Step::Crash(node)));
+                    steps.push(Step::UseAll(node));
+                    steps.extend((state.crashes_left > 0 && node == 0).then_some(Step::Crash(node)));
                 }
             }
         }
@@ -155,28 +166,28 @@
     fn after(&self, state: &State, step: &Step) -> Result<State, String> {
         let mut state = state.clone();
         match *step {
-            Step::Time(still) => self.time(&mut state, still),
+            Step::Tick(stalled) => self.advance_time(&mut state, stalled),
             Step::Deliver(at) => {
-                let message = state.flight.remove(at);
+                let message = state.in_flight.remove(at);
                 self.deliver(&mut state, message);
             }
-            Step::Lose(at) => drop(state.flight.remove(at)),
-            Step::Double(at) => {
-                state.doubles -= 1;
-                let message = state.flight[at].clone();
+            Step::Drop(at) => drop(state.in_flight.remove(at)),
+            Step::Duplicate(at) => {
+                state.duplicates_left -= 1;
+                let message = state.in_flight[at].clone();
                 self.deliver(&mut state, message);
             }
-            Step::Use(node) => self.drain(&mut state, node),
+            Step::UseAll(node) => self.use_all(&mut state, node),
             Step::Crash(node) => {
-                state.crashes -= 1;
+                state.crashes_left -= 1;
                 state.nodes[node] = None;
             }
             Step::Start(node) => self.start(&mut state, node),
         }
-        // More on their way than that: the oldest counts as lost.
-        let over = state.flight.len().saturating_sub(FLIGHT);
-        state.flight.drain(..over);
-        match self.over(&state) {
+        // Beyond the limit of messages in flight the oldest is lost.
+        let excess = state.in_flight.len().saturating_sub(MAX_IN_FLIGHT);
+        state.in_flight.drain(..excess);
+        match self.bound_violation(&state) {
             Some(words) => Err(words),
             None => Ok(state),
         }
@@ -184,8 +195,8 @@
 
     fn print(&self, state: &State) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let State { now, nodes, flight, used, processes, .. } = state;
-        (format!("{nodes:?}{used:?}"), flight, now.to_bits(), processes).hash(&mut hasher);
+        let State { now, nodes, in_flight, used, processes, .. } = state;
+        (format!("{nodes:?}{used:?}"), in_flight, now.to_bits(), processes).hash(&mut hasher);
         hasher.finish()
     }
 }
@@ -197,16 +208,16 @@
     use super::*;
 
     #[test]
-    fn all_orders_of_few_steps_stay_within_the_bound() {
-        let explored = explore(&Sharing::new(2, 0.01), 7, 20_000);
+    fn all_interleavings_of_few_steps_stay_within_the_bound() {
+        let explored = explore(&RightsModel::new(2, 0.01), 7, 20_000);
         assert!(explored.breach.is_none(), "{explored:?}");
         assert!(explored.states > 1000, "{explored:?}");
     }
 
-    /// Shows that a breach is seen: a clock that runs at 2.5 times, where one in a hundred is allowed, mints too much.
+    /// Checks that the model detects a breach: a clock at 2.5 times the true rate, where 1% is allowed, mints too much.
     #[test]
-    fn clocks_beyond_what_is_allowed_are_found() {
-        let explored = explore(&Sharing::new(1, 1.5), 11, 200_000);
+    fn excessive_clock_drift_is_detected() {
+        let explored = explore(&RightsModel::new(1, 1.5), 11, 200_000);
         assert!(explored.breach.is_some(), "{explored:?}");
     }
 }
--- a/crates/coveroute-emu/src/fleet/processes.rs
+++ b/crates/coveroute-emu/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! The stage on loopback: real processes of the program, a relay on each way between two of them, real signals. What
-//! becomes of a datagram is decided by the same links as in virtual time; what is known is read at the operators' doors.
+//! A fleet of real node processes on loopback, with a relay for each direction between two nodes and real signals. The same
+//! `Links` as in virtual time decide what happens to each datagram; states are read from the nodes' management endpoints.
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -23,36 +23,37 @@
 use crate::world::NodeId;
 
 const CONFIG: &str = include_str!("../../../../examples/config.json");
-/// A door that says nothing for so long is a process that stands still.
-const DOOR_WITHIN: Duration = Duration::from_millis(400);
-const LOOKS_EVERY: Duration = Duration::from_millis(10);
+/// A management endpoint that does not respond within this time belongs to a stalled process.
+const MANAGEMENT_TIMEOUT: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-struct Seat {
+struct NodeProcess {
     child: Option<Child>,
-    door: SocketAddr,
-    /// Another process of the node, in whose place the first one came.
-    before: Option<Child>,
-    still: bool,
+    management: SocketAddr,
+    /// The previous process of the node, while `child` replaces it.
+    replaced: Option<Child>,
+    stalled: bool,
 }
 
+/// A running fleet; its processes are killed and its files removed when it is dropped.
 pub struct Processes {
     program: PathBuf,
     dir: PathBuf,
     block: u8,
     part: FleetPart,
     tenant: Option<(String, f64)>,
-    seats: Vec<Seat>,
+    processes: Vec<NodeProcess>,
     links: Arc<Mutex<Links>>,
-    began: Instant,
-    started: u16,
-    /// The relays run on it, until this is dropped.
+    start: Instant,
+    spawned: u16,
+    /// Runs the relays until it is dropped.
     _runtime: Runtime,
 }
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        for seat in &mut self.seats {
-            for child in seat.child.iter_mut().chain(&mut seat.before) {
+        for process in &mut self.processes {
+            for child in process.child.iter_mut().chain(&mut process.replaced) {
                 let _ = child.kill();
                 let _ = child.wait();
             }
@@ -65,77 +66,89 @@
     links.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where a node hears.
-pub fn own(block: u8, node: NodeId) -> SocketAddr {
+/// The address that a node listens on for other members.
+pub fn member_addr(block: u8, node: NodeId) -> SocketAddr {
     ([127, block, 60, node as u8], 9400).into()
 }
 
-/// Where `from` finds `to`: a relay.
-pub fn relay(block: u8, from: NodeId, to: NodeId) -> SocketAddr {
+/// The address at which `from` reaches `to`: that of a relay.
+pub fn relay_addr(block: u8, from: NodeId, to: NodeId) -> SocketAddr {
     ([127, block, 64 + from as u8, to as u8], 9401).into()
 }
 
-/// Brings what `from` sends to `to`, and sends it from where `to` finds `from`.
-pub async fn bring(
-    here: Arc<UdpSocket>,
-    there: Arc<UdpSocket>,
+/// Forwards datagrams from `from` to `to`, with the address at which `to` reaches `from` as their source.
+async fn forward_datagrams(
+    inbound: Arc<UdpSocket>,
+    outbound: Arc<UdpSocket>,
     links: Arc<Mutex<Links>>,
-    began: Instant,
+    start: Instant,
     (from, to): (NodeId, NodeId),
     block: u8,
 ) {
-    let (mut buffer, comes, goes) = ([0; 2048], own(block, from), own(block, to));
+    let (mut buffer, source, target) = ([0; 2048], member_addr(block, from), member_addr(block, to));
     loop {
-        let Ok((many, whose)) = here.recv_from(&mut buffer).await else { continue };
-        if whose != comes {
+        let Ok((many, sender)) = inbound.recv_from(&mut buffer).await else { continue };
+        if sender != source {
             continue;
         }
-        let passed = lock(&links).pass(began.elapsed().as_secs_f64(), from, to, buffer[..many].to_vec());
-        for (after, bytes) in passed {
+        let copies = lock(&links).transmit(start.elapsed().as_secs_f64(), from, to, buffer[..many].to_vec());
+        for (after, bytes) in copies {
             if after < 1e-3 {
-                let _ = there.send_to(&bytes, goes).await;
+                let _ = outbound.send_to(&bytes, target).await;
             } else {
-                let there = there.clone();
+                let outbound = outbound.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_secs_f64(after)).await;
-                    let _ = there.send_to(&bytes, goes).await;
+                    let _ = outbound.send_to(&bytes, target).await;
                 });
             }
         }
     }
 }
 
-/// A relay for each way between two of them, each a task.
+/// Starts a relay task for each direction between two nodes.
 pub async fn relays(
     block: u8,
     nodes: usize,
     links: &Arc<Mutex<Links>>,
-    began: Instant,
+    start: Instant,
 ) -> Result<(), String> {
     let bind =
         |addr| async move { UdpSocket::bind(addr).await.map(Arc::new).map_err(|e| format!("{addr}: {e}")) };
     for from in 0..nodes {
         for to in 0..from {
-            let (one, two) = (bind(relay(block, from, to)).await?, bind(relay(block, to, from)).await?);
-            tokio::spawn(bring(one.clone(), two.clone(), links.clone(), began, (from, to), block));
-            tokio::spawn(bring(two, one, links.clone(), began, (to, from), block));
+            let (one, two) =
+                (bind(relay_addr(block, from, to)).await?, bind(relay_addr(block, to, from)).await?);
+            tokio::spawn(forward_datagrams(
+                one.clone(),
+                two.clone(),
+                links.clone(),
+                start,
+                (from, to),
+                block,
+            ));
+            tokio::spawn(forward_datagrams(two, one, links.clone(), start, (to, from), block));
         }
     }
     Ok(())
 }
 
-/// The operators' file of that node, with the others behind its relays.
+/// The operators' file of `node`, with relays as the addresses of the other members.
 pub fn plan_of(block: u8, nodes: usize, part: &FleetPart, node: NodeId) -> Plan {
-    plan(nodes, part, |other| if other == node { own(block, node) } else { relay(block, node, other) })
+    plan(
+        nodes,
+        part,
+        |other| if other == node { member_addr(block, node) } else { relay_addr(block, node, other) },
+    )
 }
 
 impl Processes {
-    /// So many processes of the program, each with the others in its file.
+    /// Starts `nodes` processes of the program, each with the others in its operators' file.
     pub fn start(program: &Path, nodes: usize, part: FleetPart) -> Result<Self, String> {
         Self::limited(program, nodes, part, None)
     }
 
-    /// The same with a tenant whose share, in invocations a second, holds over all of them.
+    /// The same with a tenant whose share, in invocations per second, applies to the nodes together.
     pub fn limited(
         program: &Path,
         nodes: usize,
@@ -147,10 +160,10 @@
             return Err(format!("{}: no program; build it first", program.display()));
         }
         if nodes > 60 {
-            return Err(format!("{nodes} processes: 60 at most here"));
+            return Err(format!("{nodes} processes: at most 60 are supported"));
         }
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
-        // A block of loopback addresses of its own, so that runs beside each other don't meet.
+        // A block of loopback addresses of its own, so that concurrent runs do not collide.
         let block = 16 + ((std::process::id() + 101 * number) % 200) as u8;
         let dir = std::env::temp_dir().join(format!("coveroute-fleet-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
@@ -160,29 +173,44 @@
         let links = Arc::new(Mutex::new(Links::new(&scenario, 1, &vec!["a".into(); nodes])));
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        let began = Instant::now();
-        runtime.block_on(relays(block, nodes, &links, began))?;
-        let seat = |_| Seat { child: None, door: own(block, 0), before: None, still: false };
-        let seats = (0..nodes).map(seat).collect();
-        let (program, started) = (program.to_owned(), 0);
+        let start = Instant::now();
+        runtime.block_on(relays(block, nodes, &links, start))?;
+        let process = |_| NodeProcess {
+            child: None,
+            management: member_addr(block, 0),
+            replaced: None,
+            stalled: false,
+        };
+        let processes = (0..nodes).map(process).collect();
+        let (program, spawned) = (program.to_owned(), 0);
         let tenant = tenant.map(|(name, share)| (name.to_owned(), share));
-        let mut all =
-            Processes { program, dir, block, part, tenant, seats, links, began, started, _runtime: runtime };
+        let mut fleet = Processes {
+            program,
+            dir,
+            block,
+            part,
+            tenant,
+            processes,
+            links,
+            start,
+            spawned,
+            _runtime: runtime,
+        };
         for node in 0..nodes {
-            all.configure(node)?;
-            all.write_plan(node, |_| true)?;
-            all.begin(node)?;
+            fleet.write_config(node)?;
+            fleet.write_plan(node, |_| true)?;
+            fleet.begin(node)?;
         }
-        Ok(all)
+        Ok(fleet)
     }
 
-    fn configure(&self, node: NodeId) -> Result<(), String> {
+    fn write_config(&self, node: NodeId) -> Result<(), String> {
         let listen = self.listens(node);
-        let nobody = SocketAddr::from(([127, self.block, 61, node as u8], 9));
+        let unused = SocketAddr::from(([127, self.block, 61, node as u8], 9));
         let text = CONFIG.replace("127.0.0.1:9000", &listen.to_string());
-        let text = text.replace("127.0.0.1:8500", &nobody.to_string());
+        let text = text.replace("127.0.0.1:8500", &unused.to_string());
         let text = text.replace("\"name\": \"n0\"", &format!("\"name\": \"{}\"", member(node)));
-        let nodes = format!("\"replicasOfMe\": {}", self.seats.len());
+        let nodes = format!("\"replicasOfMe\": {}", self.processes.len());
         let text =
             text.replace("\"replicasOfMe\": 1", &nodes).replace("\"me\": 0", &format!("\"me\": {node}"));
         let text = match &self.tenant {
@@ -196,70 +224,71 @@
     }
 
     fn write(&self, name: &str, text: &str) -> Result<(), String> {
-        // Beside it first: a node that reads meanwhile has the one or the other.
+        // Written under another name and renamed, so that a node never reads a partial file.
         let (new, path) = (self.dir.join(format!("{name}.new")), self.dir.join(name));
         let written = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &path));
         written.map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// The operators' file of that node, with the members that fit.
+    /// Writes the operators' file of the node, with the members for which `fits` holds.
     pub fn write_plan(&self, node: NodeId, fits: impl Fn(NodeId) -> bool) -> Result<(), String> {
-        let mut plan = plan_of(self.block, self.seats.len(), &self.part, node);
+        let mut plan = plan_of(self.block, self.processes.len(), &self.part, node);
         plan.limits.tenants = self.tenant.is_some();
         plan.members.retain(|name, _| name[1..].parse().is_ok_and(&fits));
         self.write(&format!("f{node}.toml"), &text(&plan))
     }
 
     fn spawn(&mut self, node: NodeId) -> Result<(Child, SocketAddr), String> {
-        self.started += 1;
-        let door = SocketAddr::from(([127, self.block, 62, node as u8], 10_000 + self.started));
+        self.spawned += 1;
+        let management = SocketAddr::from(([127, self.block, 62, node as u8], 10_000 + self.spawned));
         let path = self.dir.join(format!("n{node}.log"));
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&path);
-        let folder = self.dir.join(format!("t{node}"));
-        std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+        let temp_dir = self.dir.join(format!("t{node}"));
+        std::fs::create_dir_all(&temp_dir).map_err(|e| format!("{}: {e}", temp_dir.display()))?;
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(self.dir.join(format!("c{node}.json")));
         command.arg("--fleet").arg(self.dir.join(format!("f{node}.toml")));
         command.env_remove("BALANCER_LISTEN").env_remove("BALANCER_DISCOVERY").env_remove("BALANCER_CONFIG");
-        command.env("BALANCER_MANAGEMENT", door.to_string()).env("TMPDIR", folder);
+        command.env("BALANCER_MANAGEMENT", management.to_string()).env("TMPDIR", temp_dir);
         command.stdin(Stdio::null()).stdout(Stdio::null());
         command.stderr(log.map_err(|e| format!("{}: {e}", path.display()))?);
         let child = command.spawn().map_err(|e| format!("{}: {e}", self.program.display()))?;
-        Ok((child, door))
+        Ok((child, management))
     }
 
+    /// Starts the node's process.
     pub fn begin(&mut self, node: NodeId) -> Result<(), String> {
-        let (child, door) = self.spawn(node)?;
-        let seat = &mut self.seats[node];
-        (seat.child, seat.door, seat.still) = (Some(child), door, false);
+        let (child, management) = self.spawn(node)?;
+        let process = &mut self.processes[node];
+        (process.child, process.management, process.stalled) = (Some(child), management, false);
         Ok(())
     }
 
-    /// A new process in the place of the node's; the old one is asked to stop once the new one is ready to be told.
+    /// Starts a new process for the node beside the old one, which `stop_before` ends.
     pub fn replace(&mut self, node: NodeId) -> Result<(), String> {
-        let (child, door) = self.spawn(node)?;
-        let seat = &mut self.seats[node];
-        seat.before = seat.child.replace(child);
-        seat.door = door;
+        let (child, management) = self.spawn(node)?;
+        let process = &mut self.processes[node];
+        process.replaced = process.child.replace(child);
+        process.management = management;
         Ok(())
     }
 
-    /// Ends the one in whose place another came.
+    /// Stops the process that `replace` replaced and waits for its end.
     pub fn stop_before(&mut self, node: NodeId) {
-        if let Some(mut before) = self.seats[node].before.take() {
-            let _ = kill(Pid::from_raw(before.id() as i32), Signal::SIGTERM);
-            let _ = before.wait();
+        if let Some(mut replaced) = self.processes[node].replaced.take() {
+            let _ = kill(Pid::from_raw(replaced.id() as i32), Signal::SIGTERM);
+            let _ = replaced.wait();
         }
     }
 
     fn signal(&self, node: NodeId, signal: Signal) {
-        if let Some(child) = &self.seats[node].child {
+        if let Some(child) = &self.processes[node].child {
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
     pub fn kill(&mut self, node: NodeId) {
-        if let Some(mut child) = self.seats[node].child.take() {
+        if let Some(mut child) = self.processes[node].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -270,12 +299,12 @@
     }
 
     pub fn stall(&mut self, node: NodeId) {
-        self.seats[node].still = true;
+        self.processes[node].stalled = true;
         self.signal(node, Signal::SIGSTOP);
     }
 
     pub fn wake(&mut self, node: NodeId) {
-        self.seats[node].still = false;
+        self.processes[node].stalled = false;
         self.signal(node, Signal::SIGCONT);
     }
 
@@ -284,26 +313,27 @@
     }
 
     pub fn strike(&self, what: What, by: f64, set: &[NodeId], way: Direction) {
-        lock(&self.links).strike(self.began.elapsed().as_secs_f64(), what, by, set, way);
+        lock(&self.links).inject(self.start.elapsed().as_secs_f64(), what, by, set, way);
     }
 
     pub fn heal(&self) {
         lock(&self.links).heal();
     }
 
-    /// The file of that node, and its name there.
-    pub fn file(&self, node: NodeId) -> (PathBuf, String) {
+    /// The operators' file of the node, and the node's name in it.
+    pub fn fleet_file(&self, node: NodeId) -> (PathBuf, String) {
         (self.dir.join(format!("f{node}.toml")), member(node))
     }
 
     pub fn pid(&self, node: NodeId) -> Option<u32> {
-        self.seats[node].child.as_ref().map(Child::id)
+        self.processes[node].child.as_ref().map(Child::id)
     }
 
-    /// What a node's door tells.
+    /// The metrics that the node's management endpoint returns.
     pub fn metrics(&self, node: NodeId) -> Option<Value> {
-        let mut stream = TcpStream::connect_timeout(&self.seats[node].door, DOOR_WITHIN).ok()?;
-        stream.set_read_timeout(Some(DOOR_WITHIN)).ok()?;
+        let mut stream =
+            TcpStream::connect_timeout(&self.processes[node].management, MANAGEMENT_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(MANAGEMENT_TIMEOUT)).ok()?;
         stream.write_all(b"GET /v1/metrics HTTP/1.1\r\nHost: n\r\n\r\n").ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).ok()?;
@@ -318,30 +348,31 @@
         std::fs::read_to_string(self.dir.join(format!("n{node}.log"))).unwrap_or_default()
     }
 
-    /// Another share of the tenant's, in the configurations of these nodes; they read it when they are told to.
+    /// Writes another share of the tenant into the configurations of these nodes; they read it on `reread`.
     pub fn share(&mut self, nodes: &[NodeId], share: f64) -> Result<(), String> {
         self.tenant.iter_mut().for_each(|tenant| tenant.1 = share);
-        nodes.iter().try_for_each(|node| self.configure(*node))
+        nodes.iter().try_for_each(|node| self.write_config(*node))
     }
 
-    /// Where clients of that node call.
+    /// The address at which the node accepts invocations.
     pub fn listens(&self, node: NodeId) -> SocketAddr {
         ([127, self.block, 61, node as u8], 9100).into()
     }
 
-    /// A tenant's invocations at a node that were wanted, and that were within its share, since its process began.
+    /// A tenant's invocations at a node since its process started: those requested, and those within the share.
     pub fn within(&self, node: NodeId, tenant: &str) -> Option<(f64, f64)> {
         let limit = self.fleet(node)?["limits"][tenant].clone();
         Some((limit["wanted"].as_f64()?, limit["had"].as_f64()?))
     }
 
-    /// The nodes whose processes run now.
+    /// The nodes whose processes run and are not stalled.
     pub fn running(&self) -> Vec<NodeId> {
-        let runs = |node: &NodeId| self.seats[*node].child.is_some() && !self.seats[*node].still;
-        (0..self.seats.len()).filter(runs).collect()
+        let is_running =
+            |node: &NodeId| self.processes[*node].child.is_some() && !self.processes[*node].stalled;
+        (0..self.processes.len()).filter(is_running).collect()
     }
 
-    /// Whether each of these holds each of those to be one of that.
+    /// Whether each node in `by` holds each node in `of` to be in one of the `states`.
     pub fn hold(&self, by: &[NodeId], of: &[NodeId], states: &[&str]) -> bool {
         by.iter().all(|by| {
             let Some(fleet) = self.fleet(*by) else { return false };
@@ -353,31 +384,31 @@
         })
     }
 
-    /// Whether these hold the same.
+    /// Whether these nodes have equal tables.
     pub fn agree(&self, nodes: &[NodeId]) -> bool {
-        let sums: Vec<Option<String>> = nodes
+        let checksums: Vec<Option<String>> = nodes
             .iter()
             .map(|node| self.fleet(*node).and_then(|fleet| Some(fleet["sum"].as_str()?.to_owned())))
             .collect();
-        sums.iter().all(|sum| sum.is_some() && *sum == sums[0])
+        checksums.iter().all(|checksum| checksum.is_some() && *checksum == checksums[0])
     }
 
-    /// Waits until it holds; how long that took, in seconds.
-    pub fn until(&self, within: f64, holds: impl Fn(&Processes) -> bool) -> Option<f64> {
-        let began = Instant::now();
+    /// Waits until the condition holds; returns how long that took, in seconds, or none after `within` seconds.
+    pub fn until(&self, within: f64, condition: impl Fn(&Processes) -> bool) -> Option<f64> {
+        let start = Instant::now();
         loop {
-            if holds(self) {
-                return Some(began.elapsed().as_secs_f64());
+            if condition(self) {
+                return Some(start.elapsed().as_secs_f64());
             }
-            if began.elapsed().as_secs_f64() > within {
+            if start.elapsed().as_secs_f64() > within {
                 return None;
             }
-            std::thread::sleep(LOOKS_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-/// As operators write it.
+/// The plan as the text of an operators' file.
 pub fn text(plan: &Plan) -> String {
     let (d, l) = (&plan.detector, &plan.limits);
     let mut text = format!(
@@ -409,8 +440,8 @@
     use super::*;
 
     #[test]
-    fn the_file_that_is_written_reads_the_same() {
-        let plan = plan(3, &FleetPart::default(), |node| own(16, node));
+    fn a_written_plan_parses_to_the_same_plan() {
+        let plan = plan(3, &FleetPart::default(), |node| member_addr(16, node));
         assert_eq!(Plan::parse(&text(&plan)), Ok(plan));
     }
 }
