--- a/crates/coveroute-emu/src/capacity/mod.rs
+++ b/crates/coveroute-emu/src/capacity/mod.rs
@@ -1,55 +1,59 @@
-//! The proof `capacity`: what a node spends by each thing that grows, measured at three sizes or more with a line through
-//! them, and what that comes to at the size that is designed for (`docs/CAPACITY.md`).
+//! The proof `capacity`: measures what a node uses at three sizes or more of each quantity that grows, fits a line, and
+//! evaluates it at the size that the system is designed for (`docs/CAPACITY.md`).
 //!
-//! Workers are hollow, all of them in this process: each listens on an address of its own, takes jobs, runs nothing and
-//! tells that they are done. Nodes are real ones; where only their messages count they are hollow too, in virtual time.
+//! All workers are stubs in this process: each listens on an address of its own, accepts jobs, runs nothing and reports
+//! them done. Nodes are real processes, except where only their messages count: those are simulated in virtual time.
 use std::time::Instant;
 
 use serde::Serialize;
 use serde_json::json;
 
-use self::fit::{fit, times, Fit};
-use self::side::{Loaded, Quiet, Side};
+use self::fit::{fit, median_ratio, Fit};
+use self::rig_group::{IdleFigures, LoadFigures, RigGroup};
 use crate::fleet::measure::{traffic, Traffic};
 use crate::load::{on_runtime, Members, Plan};
 use crate::proof::{Place, Proof};
 
 pub mod fit;
-pub mod side;
+pub mod rig_group;
 pub mod size;
 
 #[cfg(test)]
 mod tests;
 
-/// A start at 7,800 executors may take so many times the processor time of one at 200; see `docs/CAPACITY.md`, Start.
+/// Allowed ratio of the processor time of a start at 7,800 executors to that at 200; see `docs/CAPACITY.md`, Start.
 pub const START_COST_GROWTH: f64 = 1.25;
-/// A whole list may take so many times more by its length: whoever reads it anew with each piece takes more.
+/// Allowed growth of the cost per entry of a full list with its length. An implementation that parses the list again with
+/// each piece received exceeds it.
 const LIST_COST_GROWTH: f64 = 2.5;
-/// Of the calls so many may fail, on a machine that does other things besides.
-const MAY_FAIL: f64 = 0.05;
-/// A node that has to wait for a core for so much of the time is not what is measured.
-const STARVED: f64 = 0.1;
-/// All nodes together have so much of what was asked of them where the machine is large enough.
-const FITS: f64 = 0.95;
-/// Jobs run so long where it is starts that count, in milliseconds.
-const RUNS_MS: f64 = 50.0;
-/// Connections to executors end so soon where each start is to bring up one of its own, in seconds.
-const NOT_KEPT: f64 = 0.005;
-/// Descriptors that this process needs besides what it has for executors and clients.
-const OWN: usize = 500;
+/// Fraction of the calls that may fail, on a machine with other load.
+const MAX_FAILED: f64 = 0.05;
+/// If a node waits for a core for more than this fraction of the time, the machine is the bottleneck and not the node.
+const MAX_CPU_WAIT: f64 = 0.1;
+/// Fraction of the requested rate that the nodes must reach if the machine is large enough.
+const MIN_ACHIEVED: f64 = 0.95;
+/// Duration of jobs in measurements of starts, in milliseconds.
+const JOB_MS: f64 = 50.0;
+/// Idle time after which connections to executors close, in seconds, so that each start opens a new one.
+const IDLE_WITHOUT_REUSE: f64 = 0.005;
+/// Descriptors that this process needs besides those for executors and clients.
+const OWN_DESCRIPTORS: usize = 500;
 
-/// How far each part goes: the short form for CI, the long one by hand.
+/// Sizes and durations of the measurements: the short form is for CI, the long one is run by hand.
 struct Extent {
+    /// Starts per second.
     rate: f64,
-    /// Before what is measured, in seconds; then so many windows of so long.
+    /// Warm-up before a measurement, in seconds; then the number of windows and the seconds of each.
     warm: f64,
     windows: usize,
     each: f64,
+    /// Numbers of executors, in groups that run side by side.
     sizes: &'static [&'static [usize]],
+    /// Rounds of lists, changes and configurations.
     lists: usize,
-    /// Parts of a node's part of the peak.
+    /// Fractions of a node's starts at peak.
     rates: [f64; 3],
-    /// Running tasks a node.
+    /// Running tasks per node.
     running: &'static [usize],
     running_rate: f64,
     teams: &'static [usize],
@@ -84,26 +88,27 @@
     nodes: &[size::NODES, size::MANY_NODES],
 };
 
-/// A figure by what it grows with.
+/// The growth of a measured figure (`of`) with a quantity (`by`).
 #[derive(Serialize)]
 struct Slope {
     by: &'static str,
     of: &'static str,
     fit: Fit,
-    /// At the size that is designed for.
+    /// The fitted value at the size that the system is designed for.
     there: f64,
 }
 
+/// Runs the proof.
 pub fn capacity(place: &Place) -> Result<Proof, String> {
     let extent = if place.long { &LONG } else { &SHORT };
     let (mut proof, began) = (Proof::new(), Instant::now());
-    let bound = descriptors();
+    let bound = descriptor_limit();
     proof.note("descriptors", bound);
-    let node = Plan { node: place.node.clone(), runs: RUNS_MS, ..Plan::default() };
+    let node = Plan { node: place.node.clone(), runs: JOB_MS, ..Plan::default() };
     let plan = |executors: usize, rate: f64| Plan {
         executors,
         rate: Some(rate),
-        sockets: executors + OWN,
+        sockets: executors + OWN_DESCRIPTORS,
         ..node.clone()
     };
     let mut slopes = Vec::new();
@@ -115,100 +120,105 @@
         ("by teams", by_teams),
     ];
     for (what, part) in parts {
-        // One that can't be played says so, and costs the others nothing.
-        let played = part(extent, &plan, &mut slopes, &mut proof);
-        played.unwrap_or_else(|e| proof.want(false, format!("{what}: {e}")));
+        // A part that cannot run is reported, and the others run all the same.
+        let result = part(extent, &plan, &mut slopes, &mut proof);
+        result.unwrap_or_else(|e| proof.want(false, format!("{what}: {e}")));
     }
-    members(extent, &mut proof);
+    fleet_traffic(extent, &mut proof);
     if place.long {
-        let played =
-            [without_list(&plan, &mut proof), full(&plan, &mut proof), all_nodes(&node, bound, &mut proof)];
-        played.into_iter().for_each(|played| played.unwrap_or_else(|e| proof.want(false, e)));
+        let results = [
+            without_discovery(&plan, &mut proof),
+            without_free_slots(&plan, &mut proof),
+            all_nodes(&node, bound, &mut proof),
+        ];
+        results.into_iter().for_each(|result| result.unwrap_or_else(|e| proof.want(false, e)));
     }
     proof.note("slopes", slopes);
     proof.note("seconds", began.elapsed().as_secs_f64());
     Ok(proof)
 }
 
-/// Descriptors that a process may have here.
-fn descriptors() -> usize {
+/// The limit of open descriptors per process on this machine.
+fn descriptor_limit() -> usize {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
     line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(1024)
 }
 
-/// Whether the load was carried, as it has to be where nodes had the time for it. Where another took their cores that says
-/// nothing of them: it is told as not measured, and nothing is wanted of what follows from it.
-fn held(proof: &mut Proof, what: &str, all: &[Loaded]) -> bool {
-    let carried = |one: &Loaded| one.other <= MAY_FAIL && one.starts >= FITS * one.rate;
-    let short: Vec<&Loaded> = all.iter().filter(|one| !carried(one)).collect();
+/// Whether the nodes carried the load. If they did not although they got the processor time, the proof fails; if other
+/// processes took their cores, the part is noted as not measured and nothing that depends on it is required.
+fn load_carried(proof: &mut Proof, what: &str, all: &[LoadFigures]) -> bool {
+    let carried = |one: &LoadFigures| one.other <= MAX_FAILED && one.starts >= MIN_ACHIEVED * one.rate;
+    let failed: Vec<&LoadFigures> = all.iter().filter(|one| !carried(one)).collect();
     let starved = all.iter().map(|one| one.starved).fold(0.0, f64::max);
-    if !short.is_empty() && starved > STARVED {
+    if !failed.is_empty() && starved > MAX_CPU_WAIT {
         proof.note(&format!("not_measured: {what}"), json!({ "starved": starved }));
         return false;
     }
-    for one in &short {
-        let (had, wanted, other) = (one.starts, one.rate, one.other);
-        let words =
-            format!("{what}: {had:.0} of {wanted:.0} starts a second, {other:.3} of the calls failed");
+    for one in &failed {
+        let (achieved, requested, other) = (one.starts, one.rate, one.other);
+        let words = format!(
+            "{what}: {achieved:.0} of {requested:.0} starts per second, {other:.3} of the calls failed"
+        );
         proof.want(false, format!("{words} at {} executors", one.executors));
     }
-    short.is_empty()
+    failed.is_empty()
 }
 
-fn line<T>(all: &[T], by: impl Fn(&T) -> f64, of: impl Fn(&T) -> f64) -> Fit {
+/// Fits a line to `of` over `by`.
+fn fit_line<T>(all: &[T], by: impl Fn(&T) -> f64, of: impl Fn(&T) -> f64) -> Fit {
     fit(&all.iter().map(|one| (by(one), of(one))).collect::<Vec<_>>())
 }
 
-/// Starts, memory, lists, changes and new configurations, by the number of executors.
+/// Measures starts, memory, lists, changes and new configurations by the number of executors.
 fn by_executors(
     extent: &Extent,
     plan: &dyn Fn(usize, f64) -> Plan,
     slopes: &mut Vec<Slope>,
     proof: &mut Proof,
 ) -> Result<(), String> {
-    let (mut all, mut quiet) = (Vec::new(), Vec::new());
+    let (mut all, mut all_idle) = (Vec::new(), Vec::new());
     for sizes in extent.sizes {
         let mut plans: Vec<Plan> = sizes.iter().map(|size| plan(*size, extent.rate)).collect();
-        // The first once more, with a connection of its own for each start.
-        plans.push(Plan { idle: NOT_KEPT, ..plans[0].clone() });
-        let (mut loaded, mut told) = on_runtime(async {
-            let side = Side::begin(&plans).await?;
-            let loaded = side.load(extent.warm, extent.windows, extent.each).await;
-            side.hush().await;
-            let told = side.quiet(extent.lists).await;
-            side.end().await.map(|()| (loaded, told))
+        // The first size again, with a new connection for each start.
+        plans.push(Plan { idle: IDLE_WITHOUT_REUSE, ..plans[0].clone() });
+        let (mut loaded, mut idle) = on_runtime(async {
+            let group = RigGroup::start(&plans).await?;
+            let loaded = group.load(extent.warm, extent.windows, extent.each).await;
+            group.stop_calls().await;
+            let idle = group.measure_idle(extent.lists).await;
+            group.stop().await.map(|()| (loaded, idle))
         })?;
-        let carried = held(proof, "by executors", &loaded);
-        let (dialling, _) = (loaded.pop(), told.pop());
+        let carried = load_carried(proof, "by executors", &loaded);
+        let (dialling, _) = (loaded.pop(), idle.pop());
         if let (Some(dialling), [first, .., last]) = (dialling, &loaded[..]) {
-            growth(first, last, &dialling, carried, proof);
+            check_start_growth(first, last, &dialling, carried, proof);
         }
         all.extend(loaded);
-        quiet.extend(told);
+        all_idle.extend(idle);
     }
-    let (loaded, told) = (by_size(all, |one| one.executors), by_size(quiet, |one| one.executors));
+    let (loaded, idle) = (by_size(all, |one| one.executors), by_size(all_idle, |one| one.executors));
     let most = size::WORKERS as f64;
     let mut slope = |of, fit: Fit| slopes.push(Slope { by: "executors", of, fit, there: fit.at(most) });
-    let executors = |one: &Loaded| one.executors as f64;
-    slope("start_us", line(&loaded, executors, |one| one.start_us));
-    slope("resident_mb", line(&loaded, executors, |one| one.resident_mb));
-    slope("up_cpu_s", line(&loaded, executors, |one| one.up_cpu));
-    let executors = |one: &Quiet| one.executors as f64;
-    slope("idle_cores", line(&told, executors, |one| one.cores));
-    slope("list_bytes", line(&told, executors, |one| one.list_bytes as f64));
-    slope("list_ms", line(&told, executors, |one| one.list_ms));
-    slope("fifth_goes_ms", line(&told, executors, |one| one.fifth_goes_ms));
-    slope("fifth_comes_ms", line(&told, executors, |one| one.fifth_comes_ms));
-    slope("change_ms", line(&told, executors, |one| one.change_ms));
-    slope("reload_ms", line(&told, executors, |one| one.reload_ms));
-    lists(&told, proof);
+    let executors = |one: &LoadFigures| one.executors as f64;
+    slope("start_us", fit_line(&loaded, executors, |one| one.start_us));
+    slope("resident_mb", fit_line(&loaded, executors, |one| one.resident_mb));
+    slope("up_cpu_s", fit_line(&loaded, executors, |one| one.up_cpu));
+    let executors = |one: &IdleFigures| one.executors as f64;
+    slope("idle_cores", fit_line(&idle, executors, |one| one.cores));
+    slope("list_bytes", fit_line(&idle, executors, |one| one.list_bytes as f64));
+    slope("list_ms", fit_line(&idle, executors, |one| one.list_ms));
+    slope("fifth_goes_ms", fit_line(&idle, executors, |one| one.fifth_goes_ms));
+    slope("fifth_comes_ms", fit_line(&idle, executors, |one| one.fifth_comes_ms));
+    slope("change_ms", fit_line(&idle, executors, |one| one.change_ms));
+    slope("reload_ms", fit_line(&idle, executors, |one| one.reload_ms));
+    check_control_cost(&idle, proof);
     proof.note("by_executors", loaded);
-    proof.note("lists", told);
+    proof.note("lists", idle);
     Ok(())
 }
 
-/// One of each size, the first that was measured, from small to large.
+/// The first measurement of each size, in ascending order of size.
 fn by_size<T>(all: Vec<T>, size: impl Fn(&T) -> usize) -> Vec<T> {
     let mut kept: Vec<T> = Vec::new();
     for one in all {
@@ -220,66 +230,87 @@
     kept
 }
 
-/// What a start takes at the most executors over what it takes at the fewest, side by side; and the same without what new
-/// connections take, which a fleet needs that has not called each of many executors yet.
-fn growth(first: &Loaded, last: &Loaded, dialling: &Loaded, carried: bool, proof: &mut Proof) {
-    let raw = times(&last.windows, &first.windows);
+/// Checks the ratio of a start's cost at the most executors to that at the fewest, measured side by side. Also notes the
+/// ratio without the cost of new connections, which nodes open until they have called each of many executors.
+fn check_start_growth(
+    first: &LoadFigures,
+    last: &LoadFigures,
+    dialling: &LoadFigures,
+    carried: bool,
+    proof: &mut Proof,
+) {
+    let raw = median_ratio(&last.windows, &first.windows);
     let dial = (dialling.start_us - first.start_us) / (dialling.dials - first.dials).max(0.1);
-    let without =
-        |one: &Loaded| -> Vec<f64> { one.windows.iter().map(|us| us - dial.max(0.0) * one.dials).collect() };
-    let bare = times(&without(last), &without(first));
+    let without = |one: &LoadFigures| -> Vec<f64> {
+        one.windows.iter().map(|us| us - dial.max(0.0) * one.dials).collect()
+    };
+    let bare = median_ratio(&without(last), &without(first));
     proof.note(
         &format!("start_growth_{}", last.executors),
         json!({ "raw": raw, "dial_us": dial, "without_dials": bare,
                 "share_least": last.share_least, "share_most": last.share_most, "share_chance": last.share_chance }),
     );
     if last.executors == size::WORKERS {
-        let words = format!("a start at {}: {raw:.2} times one at {}", last.executors, first.executors);
-        proof.want(!carried || raw <= START_COST_GROWTH, format!("{words}, {START_COST_GROWTH} wanted"));
+        let words = format!(
+            "a start at {} executors costs {raw:.2} times one at {}",
+            last.executors, first.executors
+        );
+        proof.want(
+            !carried || raw <= START_COST_GROWTH,
+            format!("{words}, at most {START_COST_GROWTH} allowed"),
+        );
         proof.want(
-            last.resident_mb <= size::MEMORY_MB,
-            format!("{:.1} MB at {} executors, {} wanted", last.resident_mb, last.executors, size::MEMORY_MB),
+            last.resident_mb <= size::CONTROL_MEMORY_MB,
+            format!(
+                "{:.1} MB at {} executors, at most {} allowed",
+                last.resident_mb,
+                last.executors,
+                size::CONTROL_MEMORY_MB
+            ),
         );
     }
 }
 
-/// Whole lists, a zone, single changes and new configurations, against what may be spent on control.
-fn lists(told: &[Quiet], proof: &mut Proof) {
-    let [first, .., last] = told else { return };
-    let within = 1e3 * size::CORE * size::IN_FORCE_WITHIN;
-    for (what, ms) in
-        [("a list", last.list_ms), ("a zone", last.fifth_goes_ms), ("a zone back", last.fifth_comes_ms)]
-    {
-        let words = format!("{what}: {ms:.1} ms at {} executors, {within:.0} wanted", last.executors);
+/// Checks the cost of full lists, a zone, single changes and new configurations against the budget for control.
+fn check_control_cost(measured: &[IdleFigures], proof: &mut Proof) {
+    let [first, .., last] = measured else { return };
+    let within = 1e3 * size::CONTROL_CORES * size::CONFIGURATION_WITHIN;
+    for (what, ms) in [
+        ("a full list", last.list_ms),
+        ("loss of a zone", last.fifth_goes_ms),
+        ("return of a zone", last.fifth_comes_ms),
+    ] {
+        let words =
+            format!("{what}: {ms:.1} ms at {} executors, at most {within:.0} allowed", last.executors);
         proof.want(ms <= within, words);
     }
-    // From the next to least, where what a list takes whatever its length no longer counts.
-    let from = told.get(1).unwrap_or(first);
-    let each = |one: &Quiet| one.list_ms / one.executors as f64;
+    // Compares with the second smallest size, where the constant cost of a list no longer matters.
+    let from = measured.get(1).unwrap_or(first);
+    let each = |one: &IdleFigures| one.list_ms / one.executors as f64;
     let grown = each(last) / each(from).max(1e-9);
     proof.note("list_ms_an_executor_grown", grown);
     proof.want(
         grown <= LIST_COST_GROWTH,
-        format!("a list's entry takes {grown:.2} times as long in a long one"),
+        format!("an entry of a long list costs {grown:.2} times one of a short, at most {LIST_COST_GROWTH} allowed"),
     );
-    let part = |ms: f64, a_second: f64| ms / 1e3 * a_second;
-    let changes = part(last.change_ms, size::list_changes());
-    let configurations = part(last.reload_ms, size::CONFIGURATIONS_A_DAY / size::DAY);
+    let cores = |ms: f64, per_second: f64| ms / 1e3 * per_second;
+    let changes = cores(last.change_ms, size::list_changes());
+    let configurations = cores(last.reload_ms, size::CONFIGURATIONS_A_DAY / size::DAY);
     proof.note("changes_cores", changes);
     proof.note("configurations_cores", configurations);
-    proof.want(changes + configurations + last.cores <= size::CORE, format!(
-        "control takes {:.4} of a core: {changes:.4} for changes of the list, {configurations:.4} for configurations, \
-         {:.4} at rest",
+    proof.want(changes + configurations + last.cores <= size::CONTROL_CORES, format!(
+        "control uses {:.4} cores: {changes:.4} for changes of the list, {configurations:.4} for configurations, \
+         {:.4} when idle",
         changes + configurations + last.cores, last.cores
     ));
 }
 
-/// Rigs under load, one after the other's start, then ended.
-fn loads(extent: &Extent, warm: f64, plans: &[Plan]) -> Result<Vec<Loaded>, String> {
+/// Measures a group of rigs under load.
+fn measure_load(extent: &Extent, warm: f64, plans: &[Plan]) -> Result<Vec<LoadFigures>, String> {
     on_runtime(async {
-        let side = Side::begin(plans).await?;
-        let loaded = side.load(warm, extent.windows, extent.each).await;
-        side.end().await.map(|()| loaded)
+        let group = RigGroup::start(plans).await?;
+        let loaded = group.load(warm, extent.windows, extent.each).await;
+        group.stop().await.map(|()| loaded)
     })
 }
 
@@ -290,9 +321,9 @@
     proof: &mut Proof,
 ) -> Result<(), String> {
     let plans: Vec<Plan> = extent.rates.iter().map(|part| plan(1_000, part * size::node_starts())).collect();
-    let all = loads(extent, extent.warm, &plans)?;
-    held(proof, "by rate", &all);
-    let fit = line(&all, |one| one.starts, |one| one.cores);
+    let all = measure_load(extent, extent.warm, &plans)?;
+    load_carried(proof, "by rate", &all);
+    let fit = fit_line(&all, |one| one.starts, |one| one.cores);
     slopes.push(Slope { by: "starts a second", of: "cores", fit, there: fit.at(size::node_starts()) });
     proof.note("by_rate", all);
     Ok(())
@@ -309,21 +340,21 @@
         .running
         .iter()
         .map(|running| {
-            let connections = running + running / 3 + OWN;
+            let connections = running + running / 3 + OWN_DESCRIPTORS;
             let (runs, timeout) = (1e3 * *running as f64 / rate, 60.0);
-            // Each client that waits has a third of the descriptors and half of the memory, of which it may take 192 KiB:
-            // a node takes no more of them than fit (`docs/CAPACITY.md`, Running tasks).
+            // A node accepts no more waiting clients than fit: they may use a third of the descriptors and half of the
+            // memory, with up to 192 KiB each (`docs/CAPACITY.md`, Running tasks).
             let (sockets, memory_mb) = (3 * connections, 64 + connections * 2 * 192 / 1024);
             Plan { connections, sockets, memory_mb, runs, timeout, ..plan(1_000, rate) }
         })
         .collect();
     let longest = plans.iter().map(|plan| plan.runs / 1e3).fold(0.0, f64::max);
-    let all = loads(extent, extent.warm + longest, &plans)?;
-    held(proof, "by running tasks", &all);
+    let all = measure_load(extent, extent.warm + longest, &plans)?;
+    load_carried(proof, "by running tasks", &all);
     let there = size::RUNNING as f64 / size::NODES as f64;
-    let fit = line(&all, |one| one.running, |one| one.start_us);
+    let fit = fit_line(&all, |one| one.running, |one| one.start_us);
     slopes.push(Slope { by: "running tasks", of: "start_us", fit, there: fit.at(there) });
-    let fit = line(&all, |one| one.running, |one| one.resident_mb);
+    let fit = fit_line(&all, |one| one.running, |one| one.resident_mb);
     slopes.push(Slope { by: "running tasks", of: "resident_mb", fit, there: fit.at(there) });
     proof.note("by_running", all);
     Ok(())
@@ -340,40 +371,39 @@
     }
     let plans: Vec<Plan> =
         extent.teams.iter().map(|tenants| Plan { tenants: *tenants, ..plan(1_000, extent.rate) }).collect();
-    let all = loads(extent, extent.warm, &plans)?;
-    held(proof, "by teams", &all);
-    let fit = line(&all, |one| one.tenants as f64, |one| one.start_us);
+    let all = measure_load(extent, extent.warm, &plans)?;
+    load_carried(proof, "by teams", &all);
+    let fit = fit_line(&all, |one| one.tenants as f64, |one| one.start_us);
     slopes.push(Slope { by: "teams", of: "start_us", fit, there: fit.at(size::TEAMS as f64) });
     proof.note("by_teams", all);
     Ok(())
 }
 
-/// Hollow nodes that know each other, in virtual time: at rest, with shares that move, and parted in two halves.
-fn members(extent: &Extent, proof: &mut Proof) {
+/// Checks the traffic of a simulated fleet in virtual time: idle, with shares that move, and partitioned into two halves.
+fn fleet_traffic(extent: &Extent, proof: &mut Proof) {
     let mut all: Vec<(&str, Traffic)> = Vec::new();
     let teams = size::TEAMS as u32;
     for nodes in extent.nodes {
-        for (how, tenants, apart) in
+        for (how, tenants, partitioned) in
             [("at rest", 0, false), ("shares", teams, false), ("parted", teams, true)]
         {
-            let found = traffic(*nodes, tenants, apart);
-            let words = format!("{nodes} nodes, {how}: {:.0} bytes a second", found.bytes);
+            let figures = traffic(*nodes, tenants, partitioned);
+            let words = format!("{nodes} nodes, {how}: {:.0} bytes per second", figures.bytes);
             proof.want(
-                found.bytes <= size::BYTES_A_SECOND,
-                format!("{words}, {} wanted", size::BYTES_A_SECOND),
+                figures.bytes <= size::CONTROL_BYTES_A_SECOND,
+                format!("{words}, at most {} allowed", size::CONTROL_BYTES_A_SECOND),
             );
-            all.push((how, found));
+            all.push((how, figures));
         }
     }
     proof.note("members", all);
 }
 
-/// 21 real nodes that know each other and share 130 teams' shares, before 7,800 workers: as much of the peak as is asked
-/// for, each a while.
+/// Measures a fleet of 21 real nodes with shares for 130 teams and up to 7,800 workers, at rising fractions of the peak.
 fn all_nodes(node: &Plan, bound: usize, proof: &mut Proof) -> Result<(), String> {
-    // This process has a descriptor for each worker, and for the far end of all that nodes have.
-    let sockets = (bound - size::WORKERS - OWN) / size::NODES;
-    let mut found = Vec::new();
+    // This process needs a descriptor for each worker, and one for the other end of each of the nodes' sockets.
+    let sockets = (bound - size::WORKERS - OWN_DESCRIPTORS) / size::NODES;
+    let mut figures = Vec::new();
     let plans: [(usize, &[f64]); 3] = [(1_000, &[0.2, 0.4]), (3_000, &[0.2]), (size::WORKERS, &[0.05, 0.1])];
     for (executors, parts) in plans {
         for part in parts {
@@ -388,44 +418,45 @@
                 ..node.clone()
             };
             let (loaded, turned_away) = on_runtime(async {
-                let side = Side::begin(std::slice::from_ref(&plan)).await?;
-                let loaded = side.load(12.0, 8, 1.0).await;
-                let turned_away = side.turned_away();
-                side.end().await.map(|()| (loaded, turned_away))
+                let group = RigGroup::start(std::slice::from_ref(&plan)).await?;
+                let loaded = group.load(12.0, 8, 1.0).await;
+                let turned_away = group.turned_away();
+                group.stop().await.map(|()| (loaded, turned_away))
             })?;
-            let fits = loaded.iter().all(|one| one.starts >= FITS * one.rate && one.other <= MAY_FAIL);
-            found.push((loaded, turned_away));
-            if !fits {
+            let carried =
+                loaded.iter().all(|one| one.starts >= MIN_ACHIEVED * one.rate && one.other <= MAX_FAILED);
+            figures.push((loaded, turned_away));
+            if !carried {
                 break;
             }
         }
     }
     proof.note("all_nodes_sockets", sockets);
-    proof.note("all_nodes", found);
+    proof.note("all_nodes", figures);
     Ok(())
 }
 
-/// A node under its part of the peak that loses discovery, and goes by what it has.
-fn without_list(plan: &dyn Fn(usize, f64) -> Plan, proof: &mut Proof) -> Result<(), String> {
+/// Measures a node at its share of the peak, before and after it loses discovery and goes on with the list it has.
+fn without_discovery(plan: &dyn Fn(usize, f64) -> Plan, proof: &mut Proof) -> Result<(), String> {
     let plan = plan(size::WORKERS, size::node_starts());
-    let found = on_runtime(async {
-        let side = Side::begin(std::slice::from_ref(&plan)).await?;
-        let mut found = side.load(10.0, 10, 1.0).await;
-        side.part();
-        found.extend(side.go_on(10.0, 10, 1.0).await);
-        side.end().await.map(|()| found)
+    let figures = on_runtime(async {
+        let group = RigGroup::start(std::slice::from_ref(&plan)).await?;
+        let mut figures = group.load(10.0, 10, 1.0).await;
+        group.cut_discovery();
+        figures.extend(group.continue_load(10.0, 10, 1.0).await);
+        group.stop().await.map(|()| figures)
     })?;
-    held(proof, "without discovery", &found);
-    proof.note("with_and_without_discovery", found);
+    load_carried(proof, "without discovery", &figures);
+    proof.note("with_and_without_discovery", figures);
     Ok(())
 }
 
-/// Workers who have no room left: how long a call waits for its start, of whatever urgency it is.
-fn full(plan: &dyn Fn(usize, f64) -> Plan, proof: &mut Proof) -> Result<(), String> {
-    // 320 slots; jobs run as long as 77,000 do of which 6,900 start a second.
+/// Measures how long calls of any urgency wait for their start if the workers have no free slots.
+fn without_free_slots(plan: &dyn Fn(usize, f64) -> Plan, proof: &mut Proof) -> Result<(), String> {
+    // 320 slots; jobs last as long as at the designed size, where 77,000 run and 6,900 start per second.
     let runs = 1e3 * size::RUNNING as f64 / size::STARTS_A_SECOND;
     let most = 320.0 / (runs / 1e3);
-    let mut found = Vec::new();
+    let mut figures = Vec::new();
     let plans: Vec<Plan> = [0.9, 1.1, 1.5]
         .iter()
         .map(|part| Plan {
@@ -437,11 +468,11 @@
             ..plan(20, part * most)
         })
         .collect();
-    found.extend(on_runtime(async {
-        let side = Side::begin(&plans).await?;
-        let loaded = side.load(30.0, 20, 1.0).await;
-        side.end().await.map(|()| loaded)
+    figures.extend(on_runtime(async {
+        let group = RigGroup::start(&plans).await?;
+        let loaded = group.load(30.0, 20, 1.0).await;
+        group.stop().await.map(|()| loaded)
     })?);
-    proof.note("full", found);
+    proof.note("full", figures);
     Ok(())
 }
