--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -243,7 +243,7 @@
             (0..plan.nodes * NEWS).map(|_| mpsc::unbounded_channel()).unzip();
         let scenario = scenario(plan)?;
         let world = crate::world::World::new(scenario.clone(), 1, |worker| at(0, worker));
-        let listing = world.list.whole();
+        let listing = world.list.full_list();
         let whole = settings::hosts(&listing, 0.0);
         let field = Arc::new(Field {
             nodes: (0..plan.nodes).map(|node| at(250, node)).collect(),
--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -33,9 +33,11 @@
 use crate::fleet::processes::{lock, plan_of, relays, text};
 use crate::scenario::Scenario;
 use crate::settings;
-use crate::world::referee::Final;
-use crate::world::worker::Life;
-use crate::world::{call, name, tri_of, NodeId, Order, Out, Outcome, TryId, Way, Word, WorkerId, World};
+use crate::world::invariants::FinalAnswer;
+use crate::world::worker::Liveness;
+use crate::world::{
+    call, name, tri_of, Delivery, JobUpdate, NodeId, Order, Outcome, Output, TryId, WorkerId, World,
+};
 
 /// A forward is seen when it arrives: on a busy machine so much after it was sent.
 const SLIP: f64 = 0.1;
@@ -155,7 +157,7 @@
     // A block of loopback addresses of its own, so that runs beside each other don't meet.
     let block = 16 + (std::process::id() % 200) as u8;
     let mut world = World::new(scenario.clone(), seed, |worker| worker_addr(block, worker));
-    world.referee.slip = SLIP;
+    world.invariants.detection_lag = SLIP;
     let (workers, nodes) = (world.workers.len(), world.nodes.len());
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |unix| unix.as_secs_f64());
     let zones: Vec<String> = world.nodes.iter().map(|node| node.zone.clone()).collect();
@@ -200,7 +202,9 @@
         stage.start(node);
     }
     let up = timeout(UP_WITHIN, async {
-        while !stage.world.borrow().nodes.iter().all(|node| node.fronted) && stage.fault.borrow().is_none() {
+        while !stage.world.borrow().nodes.iter().all(|node| node.in_rotation)
+            && stage.fault.borrow().is_none()
+        {
             sleep(Duration::from_millis(20)).await;
         }
     });
@@ -259,52 +263,52 @@
     }
 
     /// Brings it where it goes, and sees to it that the world is asked anew when it has something to do next.
-    fn bring(self: &Rc<Self>, outs: Vec<Out>) {
+    fn bring(self: &Rc<Self>, outs: Vec<Output>) {
         outs.into_iter().for_each(|out| self.bring_one(out));
         self.stir.notify_one();
     }
 
-    fn bring_one(self: &Rc<Self>, out: Out) {
+    fn bring_one(self: &Rc<Self>, out: Output) {
         match out {
-            Out::Submit { node, tri } => {
+            Output::Submit { node, tri } => {
                 let task = spawn_local(submit(self.clone(), node, tri));
                 self.clients.borrow_mut().insert(tri, task.abort_handle());
             }
-            Out::Leave { tri, .. } => {
+            Output::Leave { tri, .. } => {
                 let task = self.clients.borrow_mut().remove(&tri);
                 task.into_iter().for_each(|task| task.abort());
             }
-            Out::Ack { worker, tri, .. } => self.ack(worker, tri, Ack::Taken),
-            Out::Reject { worker, tri, failed, report, .. } => {
+            Output::Ack { worker, tri, .. } => self.ack(worker, tri, Ack::Taken),
+            Output::Reject { worker, tri, failed, report, .. } => {
                 self.ack(worker, tri, if failed { Ack::Fails } else { Ack::Rejects(report) });
             }
-            Out::Reset { worker, tri: TryId::MAX, .. } => self.lives[worker].notify_one(),
-            Out::Reset { worker, tri, .. } => {
+            Output::Reset { worker, tri: TryId::MAX, .. } => self.lives[worker].notify_one(),
+            Output::Reset { worker, tri, .. } => {
                 self.ack(worker, tri, Ack::Breaks);
                 self.lives[worker].notify_one();
             }
-            Out::News { node, worker, tri, word, report } => {
-                let never = word == Word::Returned;
-                if matches!(word, Word::Returned | Word::Lost) {
+            Output::News { node, worker, tri, word, report } => {
+                let never = word == JobUpdate::Returned;
+                if matches!(word, JobUpdate::Returned | JobUpdate::Lost) {
                     let now = self.now();
                     self.world.borrow_mut().outcome(now, tri, worker, never);
                 }
                 spawn_local(tell_news(self.clone(), node, worker, tri, word, report));
             }
             // The first line is a list, also where nothing has changed.
-            Out::Begun { node, watch, version } => {
+            Output::Begun { node, watch, version } => {
                 let line = format!("{{\"version\":{version},\"full\":false,\"servers\":[]}}\n");
                 self.line(node, watch, line.as_bytes());
             }
-            Out::Listed { node, watch, listing } => {
+            Output::Listed { node, watch, listing } => {
                 let mut line = settings::hosts(&listing, self.base).to_string();
                 line.push('\n');
                 self.line(node, watch, line.as_bytes());
                 let now = self.now();
                 self.world.borrow_mut().listed(now, node, &listing);
             }
-            Out::Lost { node, watch, .. } => drop(self.watches.borrow_mut().remove(&(node, watch))),
-            Out::Node { node, order } => self.order(node, order),
+            Output::Lost { node, watch, .. } => drop(self.watches.borrow_mut().remove(&(node, watch))),
+            Output::Node { node, order } => self.order(node, order),
         }
     }
 
@@ -326,15 +330,15 @@
     }
 
     /// What the client was told, for the figures to be held against.
-    fn count(&self, node: NodeId, tri: TryId, answer: Final) {
+    fn count(&self, node: NodeId, tri: TryId, answer: FinalAnswer) {
         let world = self.world.borrow();
         let operation = world.scenario.operations[world.clients.ask_of(tri).op].name.clone();
         let mut answers = self.answers.borrow_mut();
         let seen = answers.entry((node, operation)).or_default();
         match answer {
-            Final::Served => seen[0] += 1,
-            Final::Refused => seen[1] += 1,
-            Final::Failed | Final::Unfit => seen[2] += 1,
+            FinalAnswer::Served => seen[0] += 1,
+            FinalAnswer::Refused => seen[1] += 1,
+            FinalAnswer::Failed | FinalAnswer::Unfit => seen[2] += 1,
         }
     }
 
@@ -353,8 +357,8 @@
         let now = self.now();
         let known = {
             let mut world = self.world.borrow_mut();
-            let known = world.known(node);
-            world.node_began(now, node, &known);
+            let known = world.known_list(node);
+            world.node_started(now, node, &known);
             known
         };
         self.configure(node, &known, false)?;
@@ -464,7 +468,7 @@
         let Some((pid, door)) = self.processes.borrow()[node].as_ref().map(|p| (p.pid, p.door)) else {
             return;
         };
-        let known = self.world.borrow().known(node);
+        let known = self.world.borrow().known_list(node);
         let path = self.file(node);
         let cut = || std::fs::read(&path).and_then(|text| std::fs::write(&path, &text[..text.len() / 2]));
         for fit in [false, true] {
@@ -555,7 +559,7 @@
             // Before its connections break: what it held is void.
             Order::Kill => self.world.borrow_mut().node_gone(now, node),
             Order::Stop => {
-                self.world.borrow_mut().node_stops(now, node);
+                self.world.borrow_mut().node_stopping(now, node);
                 let stage = self.clone();
                 spawn_local(async move {
                     sleep(KILLED_AFTER).await;
@@ -564,8 +568,8 @@
                     }
                 });
             }
-            Order::Stall => self.world.borrow_mut().referee.stands_still(now, node),
-            Order::Wake => self.world.borrow_mut().referee.goes_on(now, node),
+            Order::Stall => self.world.borrow_mut().invariants.pause_node(now, node),
+            Order::Wake => self.world.borrow_mut().invariants.resume_node(now, node),
             Order::Start | Order::StartBack | Order::Reload | Order::Retune | Order::Replace => {}
         }
         let _ = kill(Pid::from_raw(pid), signal);
@@ -616,7 +620,7 @@
             if let Ok(ask) = ask {
                 let answer = sender.send_request(ask).await;
                 if answer.is_ok_and(|answer| answer.status() == 200) && here() {
-                    stage.world.borrow_mut().node_serves(node);
+                    stage.world.borrow_mut().node_ready(node);
                     return stage.stir.notify_one();
                 }
             }
@@ -682,7 +686,7 @@
             let now = stage.now();
             // What was written to a connection that broke may have been taken: it is not sent to another node.
             match written {
-                true => stage.world.borrow_mut().broke(now, tri),
+                true => stage.world.borrow_mut().connection_lost(now, tri),
                 false => stage.world.borrow_mut().refused(now, tri),
             }
             return stage.stir.notify_one();
@@ -699,16 +703,16 @@
                 // Its end may be told a little later than its connections'.
                 sleep(Duration::from_millis(20)).await;
                 let now = stage.now();
-                stage.world.borrow_mut().broke(now, tri);
+                stage.world.borrow_mut().connection_lost(now, tri);
             }
             Ok((status, pause, body)) => {
                 let now = stage.now();
                 let right = body.as_ref() == call(stage.world.borrow().seed, tri).as_bytes();
                 let answer = match status {
-                    200 if right => Final::Served,
-                    429 | 503 => Final::Refused,
-                    400..=499 => Final::Unfit,
-                    _ => Final::Failed,
+                    200 if right => FinalAnswer::Served,
+                    429 | 503 => FinalAnswer::Refused,
+                    400..=499 => FinalAnswer::Unfit,
+                    _ => FinalAnswer::Failed,
                 };
                 stage.count(node, tri, answer);
                 stage.world.borrow_mut().answered(now, tri, answer, pause);
@@ -740,7 +744,7 @@
     let mut connections = JoinSet::new();
     loop {
         let life = stage.world.borrow().workers[worker].life;
-        if life == Life::Down {
+        if life == Liveness::Down {
             // Nobody listens, and what was open breaks.
             listener = None;
             connections.abort_all();
@@ -813,7 +817,7 @@
             let (mut outs, mut world) = (Vec::new(), stage.world.borrow_mut());
             let node = world.clients.tries.get(tri as usize).map(|tried| tried.node);
             if let Some(node) = node {
-                world.referee.given_up(now, tri, worker);
+                world.invariants.given_up(now, tri, worker);
                 world.give_up(now, node, worker, tri, &mut outs);
             }
             drop(world);
@@ -827,7 +831,7 @@
 
 async fn probed(stage: Rc<Stage>, worker: WorkerId, path: &str) -> Result<Response<Full<Bytes>>, Broken> {
     let now = stage.now();
-    if stage.world.borrow().workers[worker].life == Life::Vanished {
+    if stage.world.borrow().workers[worker].life == Liveness::Vanished {
         return std::future::pending().await;
     }
     let told = stage.world.borrow_mut().probe(now, worker);
@@ -855,7 +859,7 @@
         if !self.over && waited {
             let (now, mut outs) = (self.stage.now(), Vec::new());
             let mut world = self.stage.world.borrow_mut();
-            world.referee.given_up(now, self.tri, self.worker);
+            world.invariants.given_up(now, self.tri, self.worker);
             world.give_up(now, self.node, self.worker, self.tri, &mut outs);
             drop(world);
             self.stage.bring(outs);
@@ -874,12 +878,14 @@
     let (node, way) = {
         let world = stage.world.borrow();
         let node = world.clients.tries[tri as usize].node;
-        (node, world.way(node, worker, tri, worker))
+        (node, world.delivery(node, worker, tri, worker))
     };
     match way {
-        Way::BreaksBefore(_) | Way::Refused(_) => return Err(Broken),
-        Way::Cut => return std::future::pending().await,
-        Way::Arrives(takes) | Way::BreaksAfter(takes) => sleep(Duration::from_secs_f64(takes)).await,
+        Delivery::BreaksBefore(_) | Delivery::Refused(_) => return Err(Broken),
+        Delivery::Cut => return std::future::pending().await,
+        Delivery::Arrives(takes) | Delivery::BreaksAfter(takes) => {
+            sleep(Duration::from_secs_f64(takes)).await
+        }
     }
     request.into_body().collect().await.map_err(|_| Broken)?;
     let (taken, told) = oneshot::channel();
@@ -888,7 +894,7 @@
     let (now, mut outs) = (stage.now(), Vec::new());
     stage.world.borrow_mut().job(now, node, worker, tri, now, &mut outs);
     stage.bring(outs);
-    if matches!(way, Way::BreaksAfter(_)) {
+    if matches!(way, Delivery::BreaksAfter(_)) {
         stage.ack(worker, tri, Ack::Breaks);
     }
     let ack = told.await;
@@ -907,30 +913,37 @@
     }
 }
 
-async fn tell_news(stage: Rc<Stage>, node: NodeId, worker: WorkerId, tri: TryId, word: Word, report: Report) {
+async fn tell_news(
+    stage: Rc<Stage>,
+    node: NodeId,
+    worker: WorkerId,
+    tri: TryId,
+    word: JobUpdate,
+    report: Report,
+) {
     let id = call(stage.world.borrow().seed, tri);
     let state = match word {
-        Word::Started => "started",
-        Word::Running => "running",
-        Word::Done => "done",
-        Word::Returned => "returned",
-        Word::Lost => "lost",
+        JobUpdate::Started => "started",
+        JobUpdate::Running => "running",
+        JobUpdate::Done => "done",
+        JobUpdate::Returned => "returned",
+        JobUpdate::Lost => "lost",
     };
     let mut line = json!({ "id": id, "from": name(worker), "state": state });
-    if word == Word::Done {
+    if word == JobUpdate::Done {
         line["result"] = json!(id);
     }
-    if !matches!(word, Word::Started | Word::Running) {
+    if !matches!(word, JobUpdate::Started | JobUpdate::Running) {
         line["load"] = load(&report);
     }
     let text = Bytes::from(line.to_string());
     for _ in 0..NEWS_TRIES {
-        let way = stage.world.borrow().way(node, worker, tri, 200);
-        let vanished = stage.world.borrow().workers[worker].life == Life::Vanished;
+        let way = stage.world.borrow().delivery(node, worker, tri, 200);
+        let vanished = stage.world.borrow().workers[worker].life == Liveness::Vanished;
         if vanished {
             return;
         }
-        if way != Way::Cut && told(&stage, node, &text).await {
+        if way != Delivery::Cut && told(&stage, node, &text).await {
             return;
         }
         sleep(NEWS_AGAIN).await;
@@ -993,7 +1006,7 @@
     let mut outs = Vec::new();
     let now = stage.now();
     stage.world.borrow_mut().watch(now, node, watch, version, &mut outs);
-    let lost = outs.iter().any(|out| matches!(out, Out::Lost { .. }));
+    let lost = outs.iter().any(|out| matches!(out, Output::Lost { .. }));
     stage.bring(outs);
     if lost {
         return Err(Broken);
--- a/crates/coveroute-emu/src/queue.rs
+++ b/crates/coveroute-emu/src/queue.rs
@@ -1,4 +1,4 @@
-//! What comes when: by time, and at the same time in the order in which it was put there.
+//! A queue of events ordered by time; events of the same time keep their insertion order.
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
@@ -28,17 +28,17 @@
 #[derive(Debug)]
 pub struct Queue<T> {
     heap: BinaryHeap<Reverse<Timed<T>>>,
-    put: u64,
+    pushed: u64,
 }
 
 impl<T> Queue<T> {
     pub fn new() -> Self {
-        Queue { heap: BinaryHeap::new(), put: 0 }
+        Queue { heap: BinaryHeap::new(), pushed: 0 }
     }
 
     pub fn push(&mut self, at: f64, what: T) {
-        self.put += 1;
-        self.heap.push(Reverse(Timed(at, self.put, what)));
+        self.pushed += 1;
+        self.heap.push(Reverse(Timed(at, self.pushed, what)));
     }
 
     pub fn next_at(&self) -> Option<f64> {
@@ -49,9 +49,9 @@
         self.heap.pop().map(|Reverse(Timed(at, _, what))| (at, what))
     }
 
-    /// Moves all of it.
+    /// Postpones every event by `by` seconds.
     pub fn delay(&mut self, by: f64) {
-        let later = |Reverse(Timed(at, put, what))| Reverse(Timed(at + by, put, what));
+        let later = |Reverse(Timed(at, pushed, what))| Reverse(Timed(at + by, pushed, what));
         self.heap = std::mem::take(&mut self.heap).into_iter().map(later).collect();
     }
 }
@@ -67,7 +67,7 @@
     use super::*;
 
     #[test]
-    fn what_is_put_there_comes_in_its_order() {
+    fn events_pop_by_time_then_insertion_order() {
         let mut queue = Queue::new();
         [(2.0, 'c'), (1.0, 'a'), (2.0, 'd'), (1.0, 'b')]
             .into_iter()
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -20,9 +20,11 @@
 use crate::scenario::{Scenario, What};
 use crate::settings;
 use crate::sink::Sink;
-use crate::world::referee::Final;
-use crate::world::worker::Life;
-use crate::world::{call, name, tri_of, NodeId, Order, Out, Outcome, TryId, Way, Word, WorkerId, World};
+use crate::world::invariants::FinalAnswer;
+use crate::world::worker::Liveness;
+use crate::world::{
+    call, name, tri_of, Delivery, JobUpdate, NodeId, Order, Outcome, Output, TryId, WorkerId, World,
+};
 
 /// The engines' clock at the scenario's start: any time long after zero, which says "long ago".
 pub const BASE: f64 = 1e6;
@@ -52,51 +54,51 @@
 }
 
 /// The decisions of one engine here.
-enum Mind {
+enum Decisions {
     Node(Box<Node>),
     Baseline(Box<Baseline>),
 }
 
-impl Decide for Mind {
+impl Decide for Decisions {
     fn handle(&mut self, now: f64, input: coveroute::types::Input, out: &mut Vec<coveroute::types::Output>) {
         match self {
-            Mind::Node(node) => Decide::handle(node.as_mut(), now, input, out),
-            Mind::Baseline(baseline) => baseline.handle(now, input, out),
+            Decisions::Node(node) => Decide::handle(node.as_mut(), now, input, out),
+            Decisions::Baseline(baseline) => baseline.handle(now, input, out),
         }
     }
 
     fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]) {
         match self {
-            Mind::Node(node) => Decide::adopt(node.as_mut(), settings, moved, tenants),
-            Mind::Baseline(baseline) => baseline.adopt(settings, moved, tenants),
+            Decisions::Node(node) => Decide::adopt(node.as_mut(), settings, moved, tenants),
+            Decisions::Baseline(baseline) => baseline.adopt(settings, moved, tenants),
         }
     }
 
     fn has(&self, operation: usize) -> bool {
         match self {
-            Mind::Node(node) => Decide::has(node.as_ref(), operation),
-            Mind::Baseline(baseline) => baseline.has(operation),
+            Decisions::Node(node) => Decide::has(node.as_ref(), operation),
+            Decisions::Baseline(baseline) => baseline.has(operation),
         }
     }
 
     fn share(&mut self, factor: f64, budget: Option<Budget>) {
         match self {
-            Mind::Node(node) => Decide::share(node.as_mut(), factor, budget),
-            Mind::Baseline(baseline) => baseline.share(factor, budget),
+            Decisions::Node(node) => Decide::share(node.as_mut(), factor, budget),
+            Decisions::Baseline(baseline) => baseline.share(factor, budget),
         }
     }
 
     fn avoided(&self, now: f64) -> usize {
         match self {
-            Mind::Node(node) => Decide::avoided(node.as_ref(), now),
-            Mind::Baseline(baseline) => baseline.avoided(now),
+            Decisions::Node(node) => Decide::avoided(node.as_ref(), now),
+            Decisions::Baseline(baseline) => baseline.avoided(now),
         }
     }
 }
 
 /// What is on its way.
 #[derive(Clone, Debug)]
-enum Ev {
+enum HostEvent {
     Submit(TryId),
     Leave(TryId),
     /// A job's last byte arrives at a worker; whether the connection then breaks.
@@ -122,7 +124,7 @@
     News {
         tri: TryId,
         worker: WorkerId,
-        word: Word,
+        word: JobUpdate,
         report: Report,
         tries: u32,
     },
@@ -157,18 +159,22 @@
     },
     Answered {
         tri: TryId,
-        answer: Final,
+        answer: FinalAnswer,
         pause: f64,
     },
     Wake,
 }
 
-impl Ev {
+impl HostEvent {
     /// Whether a node's process must do something about it; the rest is on its way elsewhere.
     fn is_for_the_node(&self) -> bool {
         !matches!(
             self,
-            Ev::Job { .. } | Ev::GiveUp { .. } | Ev::Probe { .. } | Ev::Follow { .. } | Ev::Answered { .. }
+            HostEvent::Job { .. }
+                | HostEvent::GiveUp { .. }
+                | HostEvent::Probe { .. }
+                | HostEvent::Follow { .. }
+                | HostEvent::Answered { .. }
         )
     }
 }
@@ -177,32 +183,32 @@
 struct Queued {
     node: NodeId,
     process: u64,
-    ev: Ev,
+    ev: HostEvent,
 }
 
 /// A forward that waits for its worker's first answer.
 #[derive(Clone, Copy, Debug)]
-struct Waits {
+struct PendingForward {
     id: InvId,
     forward: usize,
 }
 
 /// Connections of a node to a worker.
 #[derive(Clone, Copy, Debug, Default)]
-struct Links {
+struct Connections {
     open: usize,
-    lent: usize,
+    in_use: usize,
 }
 
-struct Host {
-    engine: Engine<Mind>,
+struct NodeHost {
+    engine: Engine<Decisions>,
     /// Counts processes: what is on its way to an earlier one arrives nowhere.
     process: u64,
     wake: f64,
     ids: BTreeMap<InvId, TryId>,
     next: InvId,
-    waits: BTreeMap<(TryId, WorkerId), Waits>,
-    links: BTreeMap<WorkerId, Links>,
+    waits: BTreeMap<(TryId, WorkerId), PendingForward>,
+    links: BTreeMap<WorkerId, Connections>,
     /// Probes that are out, by their number.
     probes: BTreeMap<u64, WorkerId>,
     served: bool,
@@ -218,9 +224,9 @@
 
 pub struct Run<'a> {
     world: World,
-    hosts: Vec<Option<Host>>,
+    hosts: Vec<Option<NodeHost>>,
     /// What has come to nodes that stand still.
-    still: Vec<Option<Vec<Queued>>>,
+    paused: Vec<Option<Vec<Queued>>>,
     /// What nodes know of each other, where they do.
     fleet: Option<Stage>,
     queue: Queue<Queued>,
@@ -254,15 +260,15 @@
     policy: Policy,
     sink: Option<&mut dyn Sink>,
 ) -> Result<(Outcome, Pace), String> {
-    played(scenario, seed, policy, sink, None)
+    run_inner(scenario, seed, policy, sink, None)
 }
 
 /// The same with the node's decisions, looked at each second.
 pub fn sampled(scenario: &Scenario, seed: u64, samples: &mut Vec<Sample>) -> Result<(Outcome, Pace), String> {
-    played(scenario, seed, Policy::Node, None, Some(samples))
+    run_inner(scenario, seed, Policy::Node, None, Some(samples))
 }
 
-fn played<'a>(
+fn run_inner<'a>(
     scenario: &Scenario,
     seed: u64,
     policy: Policy,
@@ -282,7 +288,7 @@
     let mut run = Run {
         world,
         hosts: (0..nodes).map(|_| None).collect(),
-        still: (0..nodes).map(|_| None).collect(),
+        paused: (0..nodes).map(|_| None).collect(),
         fleet,
         queue: Queue::new(),
         policy,
@@ -305,7 +311,7 @@
     }
     let wall = began.elapsed().as_secs_f64();
     for (words, stage) in run.fleet.iter().flat_map(|f| f.witness.breaches.iter().map(move |w| (w, f))) {
-        run.world.referee.fleet_breach(words.clone(), stage.witness.broken);
+        run.world.invariants.fleet_breach(words.clone(), stage.witness.broken);
     }
     Ok((run.world.result(), Pace { events: run.events, seconds: now, wall }))
 }
@@ -332,13 +338,13 @@
                 (Some(at), its) if its.is_none_or(|its| at <= its) => {
                     now = at;
                     let Some((_, queued)) = self.queue.pop() else { break };
-                    self.arrives(now, queued);
+                    self.deliver(now, queued);
                 }
                 (_, Some(at)) => {
                     now = at;
                     self.events += 1;
                     self.world.advance(now, &mut outs);
-                    self.bring(now, &mut outs);
+                    self.deliver_outputs(now, &mut outs);
                 }
                 (_, None) => break,
             }
@@ -353,7 +359,7 @@
         let nodes = self.hosts.iter().flatten().count().max(1) as f64;
         let number: BTreeMap<u32, WorkerId> = (0..workers.len()).map(|at| (mark(&name(at)), at)).collect();
         for mind in minds {
-            if let Mind::Node(node) = mind {
+            if let Decisions::Node(node) = mind {
                 for (mark, share) in node.shares() {
                     number.get(&mark).into_iter().for_each(|&at| beta[at] += share / nodes);
                 }
@@ -364,20 +370,20 @@
         self.samples.iter_mut().for_each(|samples| samples.push(sample.clone()));
     }
 
-    fn put(&mut self, at: f64, node: NodeId, ev: Ev) {
+    fn schedule(&mut self, at: f64, node: NodeId, ev: HostEvent) {
         let process = self.hosts[node].as_ref().map_or(0, |host| host.process);
         self.queue.push(at, Queued { node, process, ev });
     }
 
-    fn mind(&self, setup: &coveroute_engine::Setup) -> Mind {
+    fn mind(&self, setup: &coveroute_engine::Setup) -> Decisions {
         match self.policy {
-            Policy::Node => Mind::Node(Box::new(Node::new(setup.settings.clone(), setup.seed))),
+            Policy::Node => Decisions::Node(Box::new(Node::new(setup.settings.clone(), setup.seed))),
             Policy::Wrong(wrong) => {
-                Mind::Baseline(Box::new(Baseline::wrong(setup.settings.clone(), setup.seed, wrong)))
+                Decisions::Baseline(Box::new(Baseline::wrong(setup.settings.clone(), setup.seed, wrong)))
             }
             Policy::Baseline(choice) => {
                 let baseline = Baseline::new(setup.settings.clone(), setup.seed, choice, self.truth.clone());
-                Mind::Baseline(Box::new(baseline))
+                Decisions::Baseline(Box::new(baseline))
             }
         }
     }
@@ -387,11 +393,11 @@
             return;
         }
         self.processes += 1;
-        let (zone, known) = (self.world.nodes[node].zone.clone(), self.world.known(node));
+        let (zone, known) = (self.world.nodes[node].zone.clone(), self.world.known_list(node));
         let seed = self.world.seed.wrapping_mul(7919).wrapping_add(self.processes);
         // What a node is told to have known counts as told, and so does what changed longer ago.
-        self.world.node_began(now, node, &known);
-        let setup = match settings::setup(&self.world.scenario, node, &zone, seed, shifted(known)) {
+        self.world.node_started(now, node, &known);
+        let setup = match settings::setup(&self.world.scenario, node, &zone, seed, on_engine_clock(known)) {
             Ok(setup) => setup,
             Err(words) => return self.fault = Some(words),
         };
@@ -402,7 +408,7 @@
         let (process, wake) = (self.processes, f64::INFINITY);
         self.fleet.iter_mut().for_each(|fleet| fleet.start(now, node, false));
         self.hosts[node] =
-            Some(Host { engine, process, wake, ids, next: 0, waits, links, probes, served: false });
+            Some(NodeHost { engine, process, wake, ids, next: 0, waits, links, probes, served: false });
         self.actions = actions;
         self.carry_out(now, node);
     }
@@ -410,7 +416,7 @@
     /// Its process ends: connections are reset, and nothing of it is left.
     fn end(&mut self, now: f64, node: NodeId) {
         let Some(host) = self.hosts[node].take() else { return };
-        self.still[node] = None;
+        self.paused[node] = None;
         self.fleet.iter_mut().for_each(|fleet| fleet.kill(node));
         self.world.node_gone(now, node);
         let mut outs = Vec::new();
@@ -418,9 +424,9 @@
             self.world.give_up(now, node, *worker, *tri, &mut outs);
         }
         for tri in host.ids.values() {
-            self.world.broke(now, *tri);
+            self.world.connection_lost(now, *tri);
         }
-        self.bring(now, &mut outs);
+        self.deliver_outputs(now, &mut outs);
     }
 
     fn order(&mut self, now: f64, node: NodeId, order: Order) {
@@ -434,31 +440,31 @@
                 self.fleet.iter_mut().for_each(|fleet| fleet.order(now, node, order));
                 self.start(now, node);
             }
-            Order::Stall if self.hosts[node].is_some() && self.still[node].is_none() => {
-                self.still[node] = Some(Vec::new());
-                self.world.referee.stands_still(now, node);
+            Order::Stall if self.hosts[node].is_some() && self.paused[node].is_none() => {
+                self.paused[node] = Some(Vec::new());
+                self.world.invariants.pause_node(now, node);
             }
             Order::Stall => {}
             Order::Wake => {
-                for queued in self.still[node].take().unwrap_or_default() {
-                    self.arrives(now, queued);
+                for queued in self.paused[node].take().unwrap_or_default() {
+                    self.deliver(now, queued);
                 }
                 self.wake(now, node);
-                self.world.referee.goes_on(now, node);
+                self.world.invariants.resume_node(now, node);
             }
             Order::Kill => self.end(now, node),
             Order::Stop if self.hosts[node].is_some() => {
-                self.world.node_stops(now, node);
-                self.tell(now, node, Event::Stop);
+                self.world.node_stopping(now, node);
+                self.notify(now, node, Event::Stop);
             }
             Order::Stop => {}
-            Order::Reload => self.tell(now, node, Event::Reread { tuning: None, moved: true }),
+            Order::Reload => self.notify(now, node, Event::Reread { tuning: None, moved: true }),
             Order::Retune => {
                 let world = &self.world;
                 let tuning = settings::tuning(&world.scenario, node, &world.nodes[node].zone, true);
-                self.tell(now, node, Event::NotReread); // The file that is cut off.
+                self.notify(now, node, Event::NotReread); // The file that is cut off.
                 if let Ok(tuning) = tuning {
-                    self.tell(now, node, Event::Reread { tuning: Some(Box::new(tuning)), moved: false });
+                    self.notify(now, node, Event::Reread { tuning: Some(Box::new(tuning)), moved: false });
                 }
             }
             // Refused at the start.
@@ -467,104 +473,107 @@
     }
 
     /// What the world says goes on its way to nodes.
-    fn bring(&mut self, now: f64, outs: &mut Vec<Out>) {
+    fn deliver_outputs(&mut self, now: f64, outs: &mut Vec<Output>) {
         while !outs.is_empty() {
             for out in std::mem::take(outs) {
-                self.bring_one(now, out, outs);
+                self.deliver_output(now, out, outs);
             }
         }
     }
 
-    fn bring_one(&mut self, now: f64, out: Out, outs: &mut Vec<Out>) {
+    fn deliver_output(&mut self, now: f64, out: Output, outs: &mut Vec<Output>) {
         let at = now + self.world.scenario.network.latency.0;
         match out {
-            Out::Submit { node, tri } => {
-                self.put(at, node, Ev::Submit(tri));
+            Output::Submit { node, tri } => {
+                self.schedule(at, node, HostEvent::Submit(tri));
             }
-            Out::Leave { node, tri } => {
-                self.put(at, node, Ev::Leave(tri));
+            Output::Leave { node, tri } => {
+                self.schedule(at, node, HostEvent::Leave(tri));
             }
-            Out::Ack { node, worker, tri } => self.reply(now, node, worker, tri, Reply::Taken),
-            Out::Reject { node, worker, tri, failed, report } => {
+            Output::Ack { node, worker, tri } => self.reply(now, node, worker, tri, Reply::Taken),
+            Output::Reject { node, worker, tri, failed, report } => {
                 let outcome = if failed { Ended::Errored } else { Ended::Full };
                 self.reply(now, node, worker, tri, Reply::Ended(outcome, report));
             }
-            Out::Reset { node, worker, tri: TryId::MAX } => {
-                let of =
-                    |host: &Host| host.waits.keys().filter(|key| key.1 == worker).map(|key| key.0).collect();
+            Output::Reset { node, worker, tri: TryId::MAX } => {
+                let of = |host: &NodeHost| {
+                    host.waits.keys().filter(|key| key.1 == worker).map(|key| key.0).collect()
+                };
                 let waiting: Vec<TryId> = self.hosts[node].as_ref().map(of).unwrap_or_default();
-                outs.extend(waiting.into_iter().map(|tri| Out::Reset { node, worker, tri }));
+                outs.extend(waiting.into_iter().map(|tri| Output::Reset { node, worker, tri }));
             }
-            Out::Reset { node, worker, tri } => {
+            Output::Reset { node, worker, tri } => {
                 self.reply(now, node, worker, tri, Reply::Ended(Ended::Reset, Report::default()));
             }
-            Out::News { node, worker, tri, word, report } => {
-                self.news(now, node, Ev::News { tri, worker, word, report, tries: 0 });
+            Output::News { node, worker, tri, word, report } => {
+                self.news(now, node, HostEvent::News { tri, worker, word, report, tries: 0 });
             }
-            Out::Begun { node, watch, .. } => {
-                self.put(at, node, Ev::Watched { watch, watched: Watched::Begun });
+            Output::Begun { node, watch, .. } => {
+                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Begun });
             }
-            Out::Listed { node, watch, listing } => {
-                self.put(at, node, Ev::Watched { watch, watched: Watched::Listed(listing) });
+            Output::Listed { node, watch, listing } => {
+                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Listed(listing) });
             }
-            Out::Lost { node, watch, loss } => {
-                self.put(at, node, Ev::Watched { watch, watched: Watched::Lost(loss) });
+            Output::Lost { node, watch, loss } => {
+                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Lost(loss) });
             }
-            Out::Node { node, order } => self.order(now, node, order),
+            Output::Node { node, order } => self.order(now, node, order),
         }
     }
 
     /// An answer to a forward that still waits for one goes back.
     fn reply(&mut self, now: f64, node: NodeId, worker: WorkerId, tri: TryId, reply: Reply) {
         let waits = self.hosts[node].as_ref().and_then(|host| host.waits.get(&(tri, worker))).copied();
-        let Some(Waits { forward, .. }) = waits else { return };
-        match self.world.way(node, worker, tri, 100 + forward) {
-            Way::Cut => {}
+        let Some(PendingForward { forward, .. }) = waits else { return };
+        match self.world.delivery(node, worker, tri, 100 + forward) {
+            Delivery::Cut => {}
             // Once its connection is up, what breaks is the connection's: told by the way there.
-            Way::Arrives(takes)
-            | Way::Refused(takes)
-            | Way::BreaksBefore(takes)
-            | Way::BreaksAfter(takes) => {
-                self.put(now + takes, node, Ev::Replied { tri, worker, forward, reply });
+            Delivery::Arrives(takes)
+            | Delivery::Refused(takes)
+            | Delivery::BreaksBefore(takes)
+            | Delivery::BreaksAfter(takes) => {
+                self.schedule(now + takes, node, HostEvent::Replied { tri, worker, forward, reply });
             }
         }
     }
 
-    fn news(&mut self, now: f64, node: NodeId, ev: Ev) {
-        let Ev::News { tri, worker, tries, .. } = &ev else { return };
-        if self.world.workers[*worker].life == Life::Vanished {
+    fn news(&mut self, now: f64, node: NodeId, ev: HostEvent) {
+        let HostEvent::News { tri, worker, tries, .. } = &ev else { return };
+        if self.world.workers[*worker].life == Liveness::Vanished {
             return;
         }
-        match self.world.way(node, *worker, *tri, 200 + *tries as usize) {
-            Way::Arrives(takes) | Way::Refused(takes) => self.put(now + takes, node, ev),
-            Way::Cut | Way::BreaksBefore(_) | Way::BreaksAfter(_) => self.news_again(now, node, ev),
+        match self.world.delivery(node, *worker, *tri, 200 + *tries as usize) {
+            Delivery::Arrives(takes) | Delivery::Refused(takes) => self.schedule(now + takes, node, ev),
+            Delivery::Cut | Delivery::BreaksBefore(_) | Delivery::BreaksAfter(_) => {
+                self.news_again(now, node, ev)
+            }
         }
     }
 
-    fn news_again(&mut self, now: f64, node: NodeId, ev: Ev) {
-        let Ev::News { tri, worker, word, report, tries } = ev else { return };
+    fn news_again(&mut self, now: f64, node: NodeId, ev: HostEvent) {
+        let HostEvent::News { tri, worker, word, report, tries } = ev else { return };
         if tries + 1 < NEWS_TRIES {
-            let again = Ev::News { tri, worker, word, report, tries: tries + 1 };
-            self.put(now + NEWS_AGAIN, node, again);
+            let again = HostEvent::News { tri, worker, word, report, tries: tries + 1 };
+            self.schedule(now + NEWS_AGAIN, node, again);
         }
     }
 
-    fn arrives(&mut self, now: f64, queued: Queued) {
-        if let Some(held) = self.still[queued.node].as_mut().filter(|_| queued.ev.is_for_the_node()) {
+    fn deliver(&mut self, now: f64, queued: Queued) {
+        if let Some(held) = self.paused[queued.node].as_mut().filter(|_| queued.ev.is_for_the_node()) {
             return held.push(queued);
         }
         let Queued { node, process, ev } = queued;
         let here = self.hosts[node].as_ref().is_some_and(|host| host.process == process);
-        if let Some(sink) = self.sink.as_deref_mut().filter(|_| !matches!(ev, Ev::Wake)) {
+        if let Some(sink) = self.sink.as_deref_mut().filter(|_| !matches!(ev, HostEvent::Wake)) {
             sink.event(now, node, &format!("{ev:?}"));
         }
         self.events += 1;
         let mut outs = Vec::new();
         match ev {
-            Ev::Submit(tri) if self.hosts[node].is_some() => self.submit(now, node, tri),
-            Ev::Submit(tri) => self.world.refused(now, tri),
+            HostEvent::Submit(tri) if self.hosts[node].is_some() => self.submit(now, node, tri),
+            HostEvent::Submit(tri) => self.world.refused(now, tri),
             // What has left its node arrives, whatever becomes of that.
-            Ev::Job { tri, worker, forward, sent, breaks } => {
+            HostEvent::Job { tri, worker, forward, sent, breaks } => {
                 let waits =
                     self.hosts[node].as_ref().filter(|_| here).and_then(|h| h.waits.get(&(tri, worker)));
                 // A connection that was closed meanwhile brings no job.
@@ -572,50 +581,50 @@
                     self.world.job(now, node, worker, tri, sent, &mut outs);
                     if breaks {
                         let reply = Reply::Ended(Ended::Reset, Report::default());
-                        self.put(now, node, Ev::Replied { tri, worker, forward, reply });
+                        self.schedule(now, node, HostEvent::Replied { tri, worker, forward, reply });
                     }
                 }
             }
-            Ev::GiveUp { tri, worker } => self.world.give_up(now, node, worker, tri, &mut outs),
-            Ev::Probe { worker, tgt, asked } if here => self.probe(now, node, worker, tgt, asked),
-            Ev::Answered { tri, answer, pause } => self.world.answered(now, tri, answer, pause),
-            Ev::News { tri, worker, word, report, .. } if self.hosts[node].is_some() => {
-                self.told(now, node, tri, worker, word, report);
+            HostEvent::GiveUp { tri, worker } => self.world.give_up(now, node, worker, tri, &mut outs),
+            HostEvent::Probe { worker, tgt, asked } if here => self.probe(now, node, worker, tgt, asked),
+            HostEvent::Answered { tri, answer, pause } => self.world.answered(now, tri, answer, pause),
+            HostEvent::News { tri, worker, word, report, .. } if self.hosts[node].is_some() => {
+                self.deliver_news(now, node, tri, worker, word, report);
             }
-            ev @ Ev::News { .. } => self.news_again(now, node, ev),
+            ev @ HostEvent::News { .. } => self.news_again(now, node, ev),
             _ if !here => {}
-            Ev::Leave(tri) => self.leave(now, node, tri),
-            Ev::Replied { tri, worker, forward, reply } => {
+            HostEvent::Leave(tri) => self.leave(now, node, tri),
+            HostEvent::Replied { tri, worker, forward, reply } => {
                 self.replied(now, node, tri, worker, forward, reply)
             }
-            Ev::Patience { tri, worker, forward, last } => {
+            HostEvent::Patience { tri, worker, forward, last } => {
                 self.patience(now, node, tri, worker, forward, last)
             }
-            Ev::Probed { tgt, asked, outcome, report } => {
+            HostEvent::Probed { tgt, asked, outcome, report } => {
                 let worker = self.hosts[node].as_mut().and_then(|host| host.probes.remove(&asked));
                 if let Some(worker) = worker {
-                    self.give_back(node, worker);
-                    self.tell(now, node, Event::Probed(tgt, outcome, report));
+                    self.return_connection(node, worker);
+                    self.notify(now, node, Event::Probed(tgt, outcome, report));
                 }
             }
-            Ev::Follow { watch, version } => self.world.watch(now, node, watch, version, &mut outs),
-            Ev::Watched { watch, watched } => {
+            HostEvent::Follow { watch, version } => self.world.watch(now, node, watch, version, &mut outs),
+            HostEvent::Watched { watch, watched } => {
                 if let Watched::Listed(listing) = &watched {
                     self.world.listed(now, node, listing);
                 }
                 let watched = match watched {
-                    Watched::Listed(listing) => Watched::Listed(shifted(listing)),
+                    Watched::Listed(listing) => Watched::Listed(on_engine_clock(listing)),
                     other => other,
                 };
-                self.tell(now, node, Event::Watch(watch, watched));
+                self.notify(now, node, Event::Watch(watch, watched));
             }
-            Ev::Heard { from, told, mark, count } => {
-                self.tell(now, node, Event::Heard { from, told, mark, count });
+            HostEvent::Heard { from, told, mark, count } => {
+                self.notify(now, node, Event::Heard { from, told, mark, count });
             }
-            Ev::Wake => self.wake(now, node),
-            Ev::Probe { .. } => {}
+            HostEvent::Wake => self.wake(now, node),
+            HostEvent::Probe { .. } => {}
         }
-        self.bring(now, &mut outs);
+        self.deliver_outputs(now, &mut outs);
     }
 
     fn wake(&mut self, now: f64, node: NodeId) {
@@ -650,7 +659,7 @@
             again: false,
             came: BASE + now,
         };
-        self.tell(now, node, Event::Taken(id, &told));
+        self.notify(now, node, Event::Taken(id, &told));
     }
 
     fn leave(&mut self, now: f64, node: NodeId, tri: TryId) {
@@ -658,7 +667,7 @@
         let id = host.ids.iter().find(|(_, held)| **held == tri).map(|(id, _)| *id);
         if let Some(id) = id {
             host.ids.remove(&id);
-            self.tell(now, node, Event::Left(id));
+            self.notify(now, node, Event::Left(id));
         }
     }
 
@@ -676,11 +685,11 @@
             return;
         };
         host.waits.remove(&(tri, worker));
-        self.give_back(node, worker);
+        self.return_connection(node, worker);
         if let Reply::Ended(outcome, _) = reply {
             self.world.outcome(now, tri, worker, outcome.never_ran());
         }
-        self.tell(now, node, Event::Replied(waits.id, forward, reply));
+        self.notify(now, node, Event::Replied(waits.id, forward, reply));
     }
 
     /// The worker has not said in time that it has the job: first told, then given up.
@@ -688,40 +697,48 @@
         let waits = self.hosts[node].as_ref().and_then(|host| host.waits.get(&(tri, worker))).copied();
         let Some(waits) = waits.filter(|waits| waits.forward == forward) else { return };
         if !last {
-            return self.tell(now, node, Event::Replied(waits.id, forward, Reply::Unheard));
+            return self.notify(now, node, Event::Replied(waits.id, forward, Reply::Unheard));
         }
-        self.put(now + self.world.scenario.network.latency.0, node, Ev::GiveUp { tri, worker });
+        self.schedule(now + self.world.scenario.network.latency.0, node, HostEvent::GiveUp { tri, worker });
         let reply = Reply::Ended(Ended::TimedOut, Report::default());
         self.replied(now, node, tri, worker, forward, reply);
     }
 
-    fn told(&mut self, now: f64, node: NodeId, tri: TryId, worker: WorkerId, word: Word, report: Report) {
+    fn deliver_news(
+        &mut self,
+        now: f64,
+        node: NodeId,
+        tri: TryId,
+        worker: WorkerId,
+        word: JobUpdate,
+        report: Report,
+    ) {
         let done = call(self.world.seed, tri);
         let heard = match word {
-            Word::Started | Word::Running => Heard::Alive,
-            Word::Done => Heard::Succeeded(Bytes::copy_from_slice(done.as_bytes())),
-            Word::Returned => Heard::Ended(Ended::Full),
-            Word::Lost => Heard::Ended(Ended::Reset),
+            JobUpdate::Started | JobUpdate::Running => Heard::Alive,
+            JobUpdate::Done => Heard::Succeeded(Bytes::copy_from_slice(done.as_bytes())),
+            JobUpdate::Returned => Heard::Ended(Ended::Full),
+            JobUpdate::Lost => Heard::Ended(Ended::Reset),
         };
         if let Heard::Ended(outcome) = heard {
             self.world.outcome(now, tri, worker, outcome.never_ran());
         }
         let news = News { call: done, from: name(worker), word: heard, report };
-        self.tell(now, node, Event::News(news));
+        self.notify(now, node, Event::News(news));
     }
 
     fn probe(&mut self, now: f64, node: NodeId, worker: WorkerId, tgt: Tgt, asked: u64) {
         let Some((up, report)) = self.world.probe(now, worker) else { return };
         let outcome = if up { Ended::Succeeded } else { Ended::Full };
-        if let Way::Arrives(takes) = self.world.way(node, worker, asked as TryId, 301) {
-            self.put(now + takes, node, Ev::Probed { tgt, asked, outcome, report });
+        if let Delivery::Arrives(takes) = self.world.delivery(node, worker, asked as TryId, 301) {
+            self.schedule(now + takes, node, HostEvent::Probed { tgt, asked, outcome, report });
         }
     }
 
-    fn tell(&mut self, now: f64, node: NodeId, event: Event) {
+    fn notify(&mut self, now: f64, node: NodeId, event: Event) {
         if self.truth.is_some() && now > self.truth_at {
             self.truth_at = now;
-            self.look_at_the_truth(now);
+            self.update_oracle(now);
         }
         let Some(host) = self.hosts[node].as_mut() else { return };
         let mut actions = std::mem::take(&mut self.actions);
@@ -731,20 +748,22 @@
     }
 
     /// What the oracle sees: when a job that comes now would start at each worker, and how fast it would run.
-    fn look_at_the_truth(&self, now: f64) {
+    fn update_oracle(&self, now: f64) {
         let Some(truth) = &self.truth else { return };
         let mut truth = truth.borrow_mut();
         for (at, worker) in self.world.workers.iter().enumerate() {
-            let ails = &worker.ails;
-            let serves =
-                worker.life == Life::Up && !ails.silent && !ails.paused && ails.errors + ails.loses < 0.5;
-            let capacity = worker.capacity(now) * (1.0 - ails.stolen);
+            let faults = &worker.faults;
+            let serves = worker.life == Liveness::Up
+                && !faults.silent
+                && !faults.paused
+                && faults.errors + faults.loses < 0.5;
+            let capacity = worker.capacity(now) * (1.0 - faults.stolen);
             let waits =
-                if worker.held() < worker.make.slots.0 { 0.0 } else { worker.backlog() / capacity.max(1e-3) };
-            let slots = worker.make.slots.0 as f64;
-            let pace = (capacity / (worker.held() as f64 + 1.0).min(slots)).min(worker.make.speed.0);
+                if worker.held() < worker.spec.slots.0 { 0.0 } else { worker.backlog() / capacity.max(1e-3) };
+            let slots = worker.spec.slots.0 as f64;
+            let pace = (capacity / (worker.held() as f64 + 1.0).min(slots)).min(worker.spec.speed.0);
             let known =
-                (serves && worker.queued() < worker.make.queue.0 && pace > 0.0).then_some((waits, pace));
+                (serves && worker.queued() < worker.spec.queue.0 && pace > 0.0).then_some((waits, pace));
             truth.insert(mark(&name(at)), known);
         }
     }
@@ -752,13 +771,13 @@
     fn carry_out(&mut self, now: f64, node: NodeId) {
         while !self.actions.is_empty() {
             for action in std::mem::take(&mut self.actions) {
-                self.act(now, node, action);
+                self.perform(now, node, action);
             }
         }
         let Some(host) = self.hosts[node].as_mut() else { return };
         let phase = host.engine.phase();
         if phase.is_up() && !std::mem::replace(&mut host.served, true) {
-            self.world.node_serves(node);
+            self.world.node_ready(node);
         }
         if phase == Phase::Ended {
             return self.end(now, node);
@@ -772,11 +791,11 @@
         let due = host.engine.next_due().map_or(f64::INFINITY, |due| (due - BASE).max(now));
         if due < host.wake {
             host.wake = due;
-            self.put(due, node, Ev::Wake);
+            self.schedule(due, node, HostEvent::Wake);
         }
     }
 
-    fn act(&mut self, now: f64, node: NodeId, action: Action) {
+    fn perform(&mut self, now: f64, node: NodeId, action: Action) {
         let latency = self.world.scenario.network.latency.0;
         match action {
             Action::Send { id, forward, tgt, .. } => self.send(now, node, id, forward, tgt),
@@ -786,16 +805,16 @@
             Action::GiveUp { tgt, call } => {
                 let (worker, tri) = (self.worker(node, tgt), tri_of(&call));
                 if let Some((worker, tri)) = worker.zip(tri) {
-                    self.world.referee.given_up(now, tri, worker);
-                    self.put(now + latency, node, Ev::GiveUp { tri, worker });
+                    self.world.invariants.given_up(now, tri, worker);
+                    self.schedule(now + latency, node, HostEvent::GiveUp { tri, worker });
                 }
             }
             Action::Answer { id, answer } => self.answer(now, node, id, answer),
-            Action::Probe(tgt) => self.ask(now, node, tgt),
+            Action::Probe(tgt) => self.send_probe(now, node, tgt),
             Action::Release(tgt) => {
                 let worker = self.worker(node, tgt);
                 let links = worker.and_then(|worker| self.hosts[node].as_mut()?.links.get_mut(&worker));
-                links.into_iter().for_each(|links| links.open = links.lent);
+                links.into_iter().for_each(|links| links.open = links.in_use);
             }
             Action::At(..) => {}
             Action::Gone(tgt) => {
@@ -803,10 +822,12 @@
                 let host = self.hosts[node].as_mut();
                 worker.zip(host).map(|(worker, host)| host.links.remove(&worker));
             }
-            Action::Follow { watch, version } => self.put(now + latency, node, Ev::Follow { watch, version }),
+            Action::Follow { watch, version } => {
+                self.schedule(now + latency, node, HostEvent::Follow { watch, version })
+            }
             Action::Tell { to, told, mark, count } => {
                 if to != node && to < self.hosts.len() {
-                    self.put(now + latency, to, Ev::Heard { from: node, told, mark, count });
+                    self.schedule(now + latency, to, HostEvent::Heard { from: node, told, mark, count });
                 }
             }
         }
@@ -820,29 +841,29 @@
     /// A connection to the worker: how long it takes to come up, or none where the node or the worker has no more.
     fn lease(&mut self, node: NodeId, worker: WorkerId) -> Option<f64> {
         let links = self.hosts[node].as_mut()?.links.entry(worker).or_default();
-        let idle = links.lent < links.open;
+        let idle = links.in_use < links.open;
         // Only a new connection is held against the bounds: counting goes over all nodes.
         if !idle && !self.may_open(node, worker) {
             return None;
         }
         let links = self.hosts[node].as_mut()?.links.entry(worker).or_default();
-        links.lent += 1;
-        links.open = links.open.max(links.lent);
+        links.in_use += 1;
+        links.open = links.open.max(links.in_use);
         Some(if idle { 0.0 } else { 2.0 * self.world.scenario.network.latency.0 })
     }
 
     /// Whether neither the node's bound nor the worker's is reached.
     fn may_open(&self, node: NodeId, worker: WorkerId) -> bool {
-        let at = |host: &Host| host.links.get(&worker).map_or(0, |links| links.open);
+        let at = |host: &NodeHost| host.links.get(&worker).map_or(0, |links| links.open);
         let total: usize = self.hosts.iter().flatten().map(at).sum();
-        let own = |host: &Host| host.links.values().map(|links| links.open).sum::<usize>();
+        let own = |host: &NodeHost| host.links.values().map(|links| links.open).sum::<usize>();
         let own = self.hosts[node].as_ref().map_or(0, own);
         own < self.world.scenario.nodes.sockets.0 / 3 && total < self.world.workers[worker].connections()
     }
 
-    fn give_back(&mut self, node: NodeId, worker: WorkerId) {
+    fn return_connection(&mut self, node: NodeId, worker: WorkerId) {
         let links = self.hosts[node].as_mut().and_then(|host| host.links.get_mut(&worker));
-        links.into_iter().for_each(|links| links.lent = links.lent.saturating_sub(1));
+        links.into_iter().for_each(|links| links.in_use = links.in_use.saturating_sub(1));
     }
 
     fn send(&mut self, now: f64, node: NodeId, id: InvId, forward: usize, tgt: Tgt) {
@@ -855,41 +876,61 @@
             return host.engine.handle(BASE + now, Event::Replied(id, forward, moot), &mut self.actions);
         };
         let Some(host) = self.hosts[node].as_mut() else { return };
-        host.waits.insert((tri, worker), Waits { id, forward });
+        host.waits.insert((tri, worker), PendingForward { id, forward });
         let dial = self.world.scenario.platform.dial.0;
         let unreachable = Reply::Ended(Ended::Unreachable, Report::default());
-        let way = self.world.way(node, worker, tri, forward);
+        let way = self.world.delivery(node, worker, tri, forward);
         match way {
-            Way::Arrives(takes) | Way::BreaksAfter(takes) => {
-                let breaks = matches!(way, Way::BreaksAfter(_));
+            Delivery::Arrives(takes) | Delivery::BreaksAfter(takes) => {
+                let breaks = matches!(way, Delivery::BreaksAfter(_));
                 let sent = now + dials;
-                self.put(sent + takes, node, Ev::Job { tri, worker, forward, sent, breaks });
-                self.put(now + dial, node, Ev::Patience { tri, worker, forward, last: false });
-                self.put(now + 10.0 * dial, node, Ev::Patience { tri, worker, forward, last: true });
-            }
-            Way::Refused(takes) | Way::BreaksBefore(takes) => {
-                self.put(now + dials + takes, node, Ev::Replied { tri, worker, forward, reply: unreachable });
+                self.schedule(sent + takes, node, HostEvent::Job { tri, worker, forward, sent, breaks });
+                self.schedule(now + dial, node, HostEvent::Patience { tri, worker, forward, last: false });
+                self.schedule(
+                    now + 10.0 * dial,
+                    node,
+                    HostEvent::Patience { tri, worker, forward, last: true },
+                );
+            }
+            Delivery::Refused(takes) | Delivery::BreaksBefore(takes) => {
+                self.schedule(
+                    now + dials + takes,
+                    node,
+                    HostEvent::Replied { tri, worker, forward, reply: unreachable },
+                );
             }
             // A new connection never comes up; on one that is kept, silence is all that is heard.
-            Way::Cut if dials > 0.0 => {
-                self.put(now + dial, node, Ev::Replied { tri, worker, forward, reply: unreachable });
+            Delivery::Cut if dials > 0.0 => {
+                self.schedule(
+                    now + dial,
+                    node,
+                    HostEvent::Replied { tri, worker, forward, reply: unreachable },
+                );
             }
-            Way::Cut => {
-                self.put(now + dial, node, Ev::Patience { tri, worker, forward, last: false });
-                self.put(now + 10.0 * dial, node, Ev::Patience { tri, worker, forward, last: true });
+            Delivery::Cut => {
+                self.schedule(now + dial, node, HostEvent::Patience { tri, worker, forward, last: false });
+                self.schedule(
+                    now + 10.0 * dial,
+                    node,
+                    HostEvent::Patience { tri, worker, forward, last: true },
+                );
             }
         }
     }
 
     fn abort(&mut self, now: f64, node: NodeId, id: InvId, forward: usize) {
         let Some(host) = self.hosts[node].as_mut() else { return };
-        let of = |w: &(&(TryId, WorkerId), &Waits)| w.1.id == id && w.1.forward == forward;
+        let of = |w: &(&(TryId, WorkerId), &PendingForward)| w.1.id == id && w.1.forward == forward;
         let key = host.waits.iter().find(of).map(|(key, _)| *key);
         if let Some((tri, worker)) = key {
             host.waits.remove(&(tri, worker));
-            self.give_back(node, worker);
-            self.world.referee.given_up(now, tri, worker);
-            self.put(now + self.world.scenario.network.latency.0, node, Ev::GiveUp { tri, worker });
+            self.return_connection(node, worker);
+            self.world.invariants.given_up(now, tri, worker);
+            self.schedule(
+                now + self.world.scenario.network.latency.0,
+                node,
+                HostEvent::GiveUp { tri, worker },
+            );
         }
     }
 
@@ -899,21 +940,21 @@
         let (told, pause) = match answer {
             Answer::Succeeded(result) => {
                 let right = result == call(self.world.seed, tri).as_bytes();
-                (if right { Final::Served } else { Final::Failed }, 0.0)
+                (if right { FinalAnswer::Served } else { FinalAnswer::Failed }, 0.0)
             }
-            Answer::Throttled { pause } => (Final::Refused, pause),
-            Answer::Errored => (Final::Failed, 0.0),
-            Answer::Unfit(_) => (Final::Unfit, 0.0),
+            Answer::Throttled { pause } => (FinalAnswer::Refused, pause),
+            Answer::Errored => (FinalAnswer::Failed, 0.0),
+            Answer::Unfit(_) => (FinalAnswer::Unfit, 0.0),
         };
         // Judged by when it leaves the node; the client acts on it when it has come.
-        self.put(
+        self.schedule(
             now + self.world.scenario.network.latency.0,
             node,
-            Ev::Answered { tri, answer: told, pause },
+            HostEvent::Answered { tri, answer: told, pause },
         );
     }
 
-    fn ask(&mut self, now: f64, node: NodeId, tgt: Tgt) {
+    fn send_probe(&mut self, now: f64, node: NodeId, tgt: Tgt) {
         let worker = self.worker(node, tgt);
         let lease = worker.and_then(|worker| self.lease(node, worker));
         let (Some(worker), Some(dials)) = (worker, lease) else {
@@ -925,22 +966,22 @@
         let (asked, dial) = (self.asked, self.world.scenario.platform.dial.0);
         let Some(host) = self.hosts[node].as_mut() else { return };
         host.probes.insert(asked, worker);
-        let told = |outcome| Ev::Probed { tgt, asked, outcome, report: Report::default() };
-        match self.world.way(node, worker, asked as TryId, 300) {
-            Way::Refused(takes) => self.put(now + takes, node, told(Ended::Unreachable)),
-            Way::Cut if dials > 0.0 => self.put(now + dial, node, told(Ended::Unreachable)),
-            Way::Cut => {}
+        let told = |outcome| HostEvent::Probed { tgt, asked, outcome, report: Report::default() };
+        match self.world.delivery(node, worker, asked as TryId, 300) {
+            Delivery::Refused(takes) => self.schedule(now + takes, node, told(Ended::Unreachable)),
+            Delivery::Cut if dials > 0.0 => self.schedule(now + dial, node, told(Ended::Unreachable)),
+            Delivery::Cut => {}
             // A probe whose connection breaks is sent again.
-            Way::Arrives(takes) | Way::BreaksBefore(takes) | Way::BreaksAfter(takes) => {
-                self.put(now + dials + takes, node, Ev::Probe { worker, tgt, asked });
+            Delivery::Arrives(takes) | Delivery::BreaksBefore(takes) | Delivery::BreaksAfter(takes) => {
+                self.schedule(now + dials + takes, node, HostEvent::Probe { worker, tgt, asked });
             }
         }
-        self.put(now + 2.0 * dial, node, told(Ended::TimedOut));
+        self.schedule(now + 2.0 * dial, node, told(Ended::TimedOut));
     }
 }
 
 /// Start times on the engines' clock.
-fn shifted(mut listing: Listing) -> Listing {
+fn on_engine_clock(mut listing: Listing) -> Listing {
     for host in &mut listing.hosts {
         host.started = if host.started > 0.0 { BASE + host.started } else { 0.0 };
     }
--- a/crates/coveroute-emu/src/virtual_time/tests.rs
+++ b/crates/coveroute-emu/src/virtual_time/tests.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{Amount, Count, Effect, Fault, Positive, What};
 use crate::search::drawn;
 use crate::sink::Digest;
-use crate::world::referee::Rule;
+use crate::world::invariants::Rule;
 
 fn fault(at: f64, lasts: f64, what: What, by: Option<f64>, count: Option<usize>) -> Fault {
     let (by, count) = (by.map(Amount), count.map(Count));
--- a/crates/coveroute-emu/src/world/clients.rs
+++ b/crates/coveroute-emu/src/world/clients.rs
@@ -1,29 +1,29 @@
-//! Clients: what they ask for, when, and what they do with an answer. Arrivals follow the seed alone, so that two
-//! runs of one seed with other decisions are asked for the same.
+//! Clients: what they request, when, and how they react to an answer. Arrivals depend on the seed alone, so
+//! that two runs of one seed under different policies get the same requests.
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, StandardNormal};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
 use crate::scenario::{Effect, Group, Operation, Scenario, What};
-use crate::world::referee::{Final, Terms};
-use crate::world::{luck, NodeId, TryId};
+use crate::world::invariants::{FinalAnswer, Terms};
+use crate::world::{uniform_draw, NodeId, TryId};
 
 pub type AskId = usize;
 
-/// What a client wants; its tries are joined to it.
+/// One operation that a client wants done. Its tries refer to it.
 #[derive(Clone, Debug)]
 pub struct Ask {
     pub op: usize,
     pub tenant: Option<usize>,
     pub work: f64,
     pub hint: Option<f64>,
-    pub born: f64,
+    pub created_at: f64,
     pub tries: usize,
-    /// Connections that were refused in a row.
+    /// Consecutive refused connections.
     pub refused: usize,
     pub done: bool,
-    /// Times that a worker ran it to its end.
+    /// How many times a worker ran it to its end.
     pub effects: u32,
 }
 
@@ -49,12 +49,12 @@
 
 /// What a client does after an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Then {
+pub enum NextStep {
     Over(End),
     Again { at: f64 },
 }
 
-/// Asked for and served, in value; and how the asks ended.
+/// Requested and served value, and the number of asks by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Sums {
     pub asked: f64,
@@ -82,7 +82,7 @@
             End::Late => late_value,
             End::Refused | End::Failed | End::Left => 0.0,
         };
-        // Who leaves of his own will has not been failed.
+        // A client that left by its own choice was not failed by the service.
         self.asked += if end == End::Left { 0.0 } else { value };
         self.served += part * value;
         self.asks += 1;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Service of the whole, by operation, by tenant and by ten seconds.
+/// Service in total, by operation, by tenant and by interval of ten seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Service {
     pub whole: Sums,
@@ -113,11 +113,11 @@
     pub service: Service,
     pub open: usize,
     streams: Vec<Pcg64Mcg>,
-    most: f64,
+    peak_surge: f64,
 }
 
-/// A try with less time than this is not worth sending.
-const LEAST: f64 = 0.1;
+/// A try with less time left than this is not sent.
+const MIN_TRY_TIME: f64 = 0.1;
 
 impl Clients {
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
@@ -129,26 +129,27 @@
             ..Service::default()
         };
         let surges = scenario.faults.iter().filter(|f| f.what == What::Surge);
-        let most = surges.map(|f| f.strength().max(1.0)).product::<f64>().max(1.0);
+        let peak_surge = surges.map(|f| f.strength().max(1.0)).product::<f64>().max(1.0);
         let streams = (0..scenario.operations.len()).map(stream).collect();
-        Clients { asks: Vec::new(), tries: Vec::new(), service, open: 0, streams, most }
+        Clients { asks: Vec::new(), tries: Vec::new(), service, open: 0, streams, peak_surge }
     }
 
-    /// The next moment at which one may come.
+    /// The next candidate arrival of an operation, at the peak rate; `ask` thins the candidates.
     pub fn next(&mut self, scenario: &Scenario, now: f64, op: usize) -> Option<f64> {
-        let rate = scenario.operations[op].rate.0 * self.most;
+        let rate = scenario.operations[op].rate.0 * self.peak_surge;
         let gap: f64 = Exp1.sample(&mut self.streams[op]);
         Some(now + gap / rate).filter(|at| rate > 0.0 && *at < scenario.seconds.0)
     }
 
-    /// One comes, unless there is no surge now that it would have been of.
+    /// Accepts a candidate arrival, unless it belongs to a surge that is not active now.
     pub fn ask(&mut self, scenario: &Scenario, now: f64, op: usize, surge: f64, heavy: f64) -> Option<AskId> {
         let stream = &mut self.streams[op];
         let terms = &scenario.operations[op];
-        // All draws are made, whether or not it comes: the rest of the stream stays the same.
+        // Every draw is made even if the candidate is rejected, so that the rest of the stream stays the
+        // same.
         let (comes, heavier, part): (f64, f64, f64) = (stream.random(), stream.random(), stream.random());
         let (spread, noise): (f64, f64) = (StandardNormal.sample(stream), StandardNormal.sample(stream));
-        if comes >= surge / self.most {
+        if comes >= surge / self.peak_surge {
             return None;
         }
         let times = heavy * if heavier < terms.heavy.0 { terms.heavy_times.0 } else { 1.0 };
@@ -160,15 +161,15 @@
             part < sum
         });
         let (tries, refused, done, effects) = (0, 0, false, 0);
-        self.asks.push(Ask { op, tenant, work, hint, born: now, tries, refused, done, effects });
+        self.asks.push(Ask { op, tenant, work, hint, created_at: now, tries, refused, done, effects });
         self.open += 1;
         Some(self.asks.len() - 1)
     }
 
-    /// A try of an ask at a node; none where too little time is left.
+    /// Creates a try of an ask at a node; none if too little time is left.
     pub fn attempt(&mut self, scenario: &Scenario, now: f64, ask: AskId, node: NodeId) -> Option<TryId> {
-        let deadline = self.asks[ask].born + scenario.operations[self.asks[ask].op].timeout.0;
-        if deadline - now < LEAST {
+        let deadline = self.asks[ask].created_at + scenario.operations[self.asks[ask].op].timeout.0;
+        if deadline - now < MIN_TRY_TIME {
             return None;
         }
         self.asks[ask].tries += 1;
@@ -180,43 +181,45 @@
         &self.asks[self.tries[tri as usize].ask]
     }
 
-    /// What the client does with an answer, or with a connection that broke (none).
-    pub fn then(
+    /// What the client does after an answer, or after a broken connection (none).
+    pub fn next_step(
         &self,
         scenario: &Scenario,
         seed: u64,
         now: f64,
         tri: TryId,
-        answer: Option<Final>,
+        answer: Option<FinalAnswer>,
         pause: f64,
-    ) -> Then {
+    ) -> NextStep {
         let Try { ask, deadline, .. } = self.tries[tri as usize];
         let (ask, terms) = (&self.asks[ask], &scenario.operations[self.asks[ask].op]);
         let repeats = match (terms.effect, terms.group) {
             (Effect::Idempotent, _) => true,
-            (Effect::Deduplicated, Group::All) => now - ask.born < terms.window.0,
+            (Effect::Deduplicated, Group::All) => now - ask.created_at < terms.window.0,
             _ => false,
         };
         let (again, end) = match answer {
-            Some(Final::Served) if now <= ask.born + terms.objective.0 + terms.stretch.0 * ask.work => {
-                return Then::Over(End::InTime);
+            Some(FinalAnswer::Served)
+                if now <= ask.created_at + terms.objective.0 + terms.stretch.0 * ask.work =>
+            {
+                return NextStep::Over(End::InTime);
             }
-            Some(Final::Served) => return Then::Over(End::Late),
-            Some(Final::Unfit) => return Then::Over(End::Failed),
-            Some(Final::Refused) => (true, End::Refused),
-            Some(Final::Failed) | None => (repeats, End::Failed),
+            Some(FinalAnswer::Served) => return NextStep::Over(End::Late),
+            Some(FinalAnswer::Unfit) => return NextStep::Over(End::Failed),
+            Some(FinalAnswer::Refused) => (true, End::Refused),
+            Some(FinalAnswer::Failed) | None => (repeats, End::Failed),
         };
-        let wait = scenario.clients.wait.0 * (1.0 + luck(seed, tri, 1));
+        let wait = scenario.clients.wait.0 * (1.0 + uniform_draw(seed, tri, 1));
         let at = now + wait.max(pause);
-        let fits = again && ask.tries < scenario.clients.tries.0 && deadline - at >= LEAST;
+        let fits = again && ask.tries < scenario.clients.tries.0 && deadline - at >= MIN_TRY_TIME;
         if fits {
-            Then::Again { at }
+            NextStep::Again { at }
         } else {
-            Then::Over(end)
+            NextStep::Over(end)
         }
     }
 
-    /// An ask has ended, once; the scenario began at `began`.
+    /// Records the end of an ask, once. The scenario began at `began`.
     pub fn end(&mut self, scenario: &Scenario, began: f64, ask: AskId, end: End) {
         let asked = &mut self.asks[ask];
         if std::mem::replace(&mut asked.done, true) {
@@ -225,7 +228,7 @@
         self.open -= 1;
         let terms = &scenario.operations[asked.op];
         let (value, late) = (terms.value.0, terms.late_value.0);
-        let ten = ((asked.born - began).max(0.0) / 10.0) as usize;
+        let ten = ((asked.created_at - began).max(0.0) / 10.0) as usize;
         if self.service.tens.len() <= ten {
             self.service.tens.resize(ten + 1, Sums::default());
         }
@@ -236,7 +239,7 @@
     }
 }
 
-/// The mean work of what is asked for, as the scenario states it.
+/// The mean work of a request under the scenario's nominal rates.
 pub fn mean_work(scenario: &Scenario) -> f64 {
     let mean = |op: &Operation| {
         let heavy = 1.0 + op.heavy.0 * (op.heavy_times.0 - 1.0);
--- a/crates/coveroute-emu/src/world/referee.rs
+++ b/crates/coveroute-emu/src/world/invariants.rs
@@ -1,12 +1,12 @@
-//! The referee sees only what crosses between nodes and the world, never a node's own word, and judges the four
-//! rules: one final answer in time and nothing sent after it; no effect twice; nothing new to who drains or has gone;
-//! no cold worker pushed over by nodes that knew.
+//! Checks four invariants from the messages that cross between nodes and the world, without relying on a
+//! node's own account: one final answer in time and no forward after it; no effect twice; no new forward to
+//! a worker that drains or has gone; no cold worker overloaded by nodes that knew that it was cold.
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
 use crate::scenario::{Effect, Group};
-use crate::world::worker::Fall;
+use crate::world::worker::Overload;
 use crate::world::{NodeId, TryId, WorkerId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -16,11 +16,12 @@
     NoEffectTwice,
     NothingToTheGone,
     NoColdWorkerPushedOver,
-    /// Of nodes that know each other: what they hold was written so, and is no older than told.
+    /// In a fleet: every entry that a node holds was written as such, and is no older than what the node was
+    /// told.
     OneTable,
 }
 
-/// A rule that was broken, with what led there.
+/// A broken rule, with the events that led to it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
     pub rule: Rule,
@@ -32,16 +33,16 @@
 
 /// A node's final answer, as the client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalAnswer {
     Served,
-    /// Trying again is said to be harmless.
+    /// The answer says that a repeat is harmless.
     Refused,
     Failed,
-    /// Turned away as wrong in itself.
+    /// Rejected as an invalid request.
     Unfit,
 }
 
-/// What the referee knows of an operation.
+/// The properties of an operation that the rules depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
     pub effect: Effect,
@@ -49,7 +50,7 @@
     pub window: f64,
 }
 
-/// What an outcome that came to the node proves.
+/// What an outcome that reached the node proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
     NeverRan,
@@ -64,65 +65,66 @@
 }
 
 #[derive(Clone, Debug)]
-struct Case {
+struct TrackedTry {
     node: NodeId,
     terms: Terms,
     taken: f64,
     deadline: f64,
-    answer: Option<(f64, Final)>,
+    answer: Option<(f64, FinalAnswer)>,
     forwards: Vec<Forward>,
-    /// The client went away, or the node died under it: nothing is owed.
+    /// The client left, or its node died: no answer is owed.
     void: bool,
-    /// The body that would be a right answer: what some worker made for it.
+    /// Some worker ran it to its end, so that a correct answer exists.
     ran: bool,
 }
 
-/// Where a worker stands, as a node was told.
+/// A worker's state as last announced to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct KnownState {
     pub at: f64,
     pub wanted: bool,
     pub started: f64,
 }
 
 #[derive(Clone, Debug)]
-pub struct Referee {
+pub struct InvariantChecker {
     slack: f64,
     grace: f64,
-    /// A forward counts as sent by so much before it is seen: on sockets it is seen when it arrives.
-    pub slip: f64,
+    /// How much earlier a forward counts as sent than it is seen: on sockets it is seen only when it
+    /// arrives.
+    pub detection_lag: f64,
     places: Vec<(String, i64)>,
-    cases: BTreeMap<TryId, Case>,
-    /// Nodes that stand still, and since when.
-    still: BTreeMap<NodeId, f64>,
-    /// By node and worker; none before it was told anything.
-    told: Vec<Vec<Option<Told>>>,
+    tracked: BTreeMap<TryId, TrackedTry>,
+    /// Paused nodes, and since when.
+    paused: BTreeMap<NodeId, f64>,
+    /// By node and worker; none until the node was told anything.
+    told: Vec<Vec<Option<KnownState>>>,
     pub breaches: Vec<Breach>,
-    /// How many there were, also beyond those that are kept.
+    /// Total number of breaches, including those not kept.
     pub broken: u64,
     pub second_copies: u64,
     pub judged: u64,
 }
 
-/// Breaches that are kept in full.
-const KEPT: usize = 50;
-/// Nothing is heard of a case so long after its deadline: it is closed.
-const CLOSED_AFTER: f64 = 30.0;
-/// Times that the hosts read of two clocks may part by this much.
-const CLOCKS: f64 = 1e-6;
+/// Breaches kept in full.
+const MAX_KEPT_BREACHES: usize = 50;
+/// A try is dropped this long after its deadline.
+const RETENTION: f64 = 30.0;
+/// Tolerance between times read from two clocks.
+const CLOCK_TOLERANCE: f64 = 1e-6;
 
-impl Referee {
-    /// `places`: each worker's zone and cell.
+impl InvariantChecker {
+    /// `places` holds each worker's zone and cell.
     pub fn new(nodes: usize, places: Vec<(String, i64)>, slack: f64, grace: f64) -> Self {
         let told = vec![vec![None; places.len()]; nodes];
-        let (cases, breaches) = (BTreeMap::new(), Vec::new());
-        Referee {
+        let (tracked, breaches) = (BTreeMap::new(), Vec::new());
+        InvariantChecker {
             slack,
             grace,
-            slip: 0.0,
+            detection_lag: 0.0,
             places,
-            cases,
-            still: BTreeMap::new(),
+            tracked,
+            paused: BTreeMap::new(),
             told,
             breaches,
             broken: 0,
@@ -133,31 +135,32 @@
 
     fn breach(&mut self, rule: Rule, at: f64, node: NodeId, tri: Option<TryId>, words: String) {
         self.broken += 1;
-        if self.breaches.len() < KEPT {
-            let trace = tri.and_then(|tri| self.cases.get(&tri)).map_or(Vec::new(), Case::trace);
+        if self.breaches.len() < MAX_KEPT_BREACHES {
+            let trace = tri.and_then(|tri| self.tracked.get(&tri)).map_or(Vec::new(), TrackedTry::trace);
             self.breaches.push(Breach { rule, at, node, words, trace });
         }
     }
 
-    /// A node has taken a request: its last byte was written to a live node.
-    /// What the fleet's own referee has found; `all`: how many there were.
+    /// Records a breach that the fleet's own witness found; `all` is the witness's total.
     pub fn fleet_breach(&mut self, words: String, all: u64) {
         self.broken = self.broken.max(all);
-        if self.breaches.len() < KEPT {
+        if self.breaches.len() < MAX_KEPT_BREACHES {
             self.breaches.push(Breach { rule: Rule::OneTable, at: 0.0, node: 0, words, trace: Vec::new() });
         }
     }
 
+    /// A node has received a request: its last byte was written to a live node.
     pub fn taken(&mut self, now: f64, tri: TryId, node: NodeId, terms: Terms, deadline: f64) {
         let (answer, forwards, void, ran) = (None, Vec::new(), false, false);
-        self.cases.insert(tri, Case { node, terms, taken: now, deadline, answer, forwards, void, ran });
+        self.tracked
+            .insert(tri, TrackedTry { node, terms, taken: now, deadline, answer, forwards, void, ran });
         self.judged += 1;
     }
 
-    /// A worker has a job's last byte; it was sent at `sent`, at the latest.
+    /// A worker has received a job's last byte, which was sent at `sent` at the latest.
     pub fn forwarded(&mut self, tri: TryId, node: NodeId, worker: WorkerId, sent: f64) {
-        self.told_of(sent, node, worker, tri);
-        let Some(case) = self.cases.get_mut(&tri) else {
+        self.check_destination(sent, node, worker, tri);
+        let Some(tried) = self.tracked.get_mut(&tri) else {
             return self.breach(
                 Rule::OneAnswer,
                 sent,
@@ -166,22 +169,24 @@
                 format!("a forward of nothing taken, {tri:08x}"),
             );
         };
-        if let Some((at, _)) = case.answer.filter(|(at, _)| sent - self.slip > *at + CLOCKS) {
+        if let Some((at, _)) =
+            tried.answer.filter(|(at, _)| sent - self.detection_lag > *at + CLOCK_TOLERANCE)
+        {
             let words = format!("a forward to worker {worker} {:.3} s after the final answer", sent - at);
             return self.breach(Rule::OneAnswer, sent, node, Some(tri), words);
         }
         let out = |f: &Forward| f.told.is_none();
-        self.second_copies += u64::from(case.forwards.iter().any(out));
-        let fault = case.repeat_fault(sent, &self.places, worker);
-        case.forwards.push(Forward { worker, sent, told: None });
+        self.second_copies += u64::from(tried.forwards.iter().any(out));
+        let fault = tried.repeat_violation(sent, &self.places, worker);
+        tried.forwards.push(Forward { worker, sent, told: None });
         if let Some(words) = fault {
             self.breach(Rule::NoEffectTwice, sent, node, Some(tri), words);
         }
     }
 
-    fn told_of(&mut self, sent: f64, node: NodeId, worker: WorkerId, tri: TryId) {
+    fn check_destination(&mut self, sent: f64, node: NodeId, worker: WorkerId, tri: TryId) {
         let told = self.told[node][worker];
-        let late = told.filter(|told| !told.wanted && sent - self.slip > told.at + self.grace);
+        let late = told.filter(|told| !told.wanted && sent - self.detection_lag > told.at + self.grace);
         if let Some(told) = late {
             let words =
                 format!("worker {worker} got a forward {:.3} s after it was told as leaving", sent - told.at);
@@ -189,36 +194,36 @@
         }
     }
 
-    /// What became of a forward has come to its node.
+    /// The outcome of a forward has reached its node.
     pub fn outcome(&mut self, now: f64, tri: TryId, worker: WorkerId, proof: Proof) {
-        let forwards = self.cases.get_mut(&tri).map(|case| &mut case.forwards);
+        let forwards = self.tracked.get_mut(&tri).map(|tried| &mut tried.forwards);
         let open = |f: &&mut Forward| f.worker == worker && f.told.is_none();
         let forward = forwards.and_then(|forwards| forwards.iter_mut().rev().find(open));
         forward.into_iter().for_each(|forward| forward.told = Some((now, proof)));
     }
 
-    /// The node gave a forward up.
+    /// The node gave up on a forward.
     pub fn given_up(&mut self, now: f64, tri: TryId, worker: WorkerId) {
         self.outcome(now, tri, worker, Proof::MayHaveRun);
     }
 
-    /// A worker has run it to its end.
+    /// A worker has run the try to its end.
     pub fn ran(&mut self, tri: TryId) {
-        self.cases.entry(tri).and_modify(|case| case.ran = true);
+        self.tracked.entry(tri).and_modify(|tried| tried.ran = true);
     }
 
-    pub fn answered(&mut self, now: f64, tri: TryId, answer: Final) {
-        let Some(case) = self.cases.get_mut(&tri) else { return };
-        let node = case.node;
-        if let Some((at, _)) = case.answer {
+    pub fn answered(&mut self, now: f64, tri: TryId, answer: FinalAnswer) {
+        let Some(tried) = self.tracked.get_mut(&tri) else { return };
+        let node = tried.node;
+        if let Some((at, _)) = tried.answer {
             let words = format!("a second answer, {:.3} s after the first", now - at);
             return self.breach(Rule::OneAnswer, now, node, Some(tri), words);
         }
-        case.answer = Some((now, answer));
-        let late = now - case.deadline;
-        let unmade = answer == Final::Served && !case.ran;
-        let refused = (answer == Final::Refused).then(|| case.refusal_fault(now)).flatten();
-        let void = case.void;
+        tried.answer = Some((now, answer));
+        let late = now - tried.deadline;
+        let unmade = answer == FinalAnswer::Served && !tried.ran;
+        let refused = (answer == FinalAnswer::Refused).then(|| tried.refusal_violation(now)).flatten();
+        let void = tried.void;
         if late > self.slack && !void {
             self.breach(
                 Rule::OneAnswer,
@@ -236,29 +241,29 @@
         }
     }
 
-    /// The connection ended without an answer, under a node that lives.
+    /// The connection ended without an answer although the node is alive.
     pub fn dropped(&mut self, now: f64, tri: TryId) {
-        let Some(case) = self.cases.get(&tri).filter(|case| case.answer.is_none() && !case.void) else {
+        let Some(tried) = self.tracked.get(&tri).filter(|tried| tried.answer.is_none() && !tried.void) else {
             return;
         };
-        let node = case.node;
+        let node = tried.node;
         self.breach(Rule::OneAnswer, now, node, Some(tri), "the connection ended without an answer".into());
         self.void(tri);
     }
 
-    /// Nothing is owed any more: the client went away, or its node died.
+    /// No answer is owed any more: the client left, or its node died.
     pub fn void(&mut self, tri: TryId) {
-        self.cases.entry(tri).and_modify(|case| case.void = true);
+        self.tracked.entry(tri).and_modify(|tried| tried.void = true);
     }
 
-    /// The client's time is over.
+    /// The client's deadline has passed.
     pub fn expired(&mut self, now: f64, tri: TryId) {
-        let Some(case) = self.cases.get(&tri).filter(|case| case.answer.is_none() && !case.void) else {
+        let Some(tried) = self.tracked.get(&tri).filter(|tried| tried.answer.is_none() && !tried.void) else {
             return;
         };
-        let (node, late) = (case.node, now - case.deadline);
-        if self.still.contains_key(&node) {
-            return self.void(tri); // What stands still can't answer.
+        let (node, late) = (tried.node, now - tried.deadline);
+        if self.paused.contains_key(&node) {
+            return self.void(tri); // A paused node can't answer.
         }
         self.breach(
             Rule::OneAnswer,
@@ -270,34 +275,34 @@
         self.void(tri);
     }
 
-    /// A node starts anew: it knows nothing, and what it held is void.
+    /// The node's process died: it knows nothing any more, and its open tries are void.
     pub fn node_died(&mut self, node: NodeId) {
-        self.still.remove(&node);
+        self.paused.remove(&node);
         self.told[node].iter_mut().for_each(|told| *told = None);
-        let its = self.cases.values_mut().filter(|case| case.node == node && case.answer.is_none());
-        its.for_each(|case| case.void = true);
+        let its = self.tracked.values_mut().filter(|tried| tried.node == node && tried.answer.is_none());
+        its.for_each(|tried| tried.void = true);
     }
 
-    pub fn stands_still(&mut self, now: f64, node: NodeId) {
-        self.still.insert(node, now);
+    pub fn pause_node(&mut self, now: f64, node: NodeId) {
+        self.paused.insert(node, now);
     }
 
-    /// It goes on: what was due meanwhile, or came meanwhile and has waited for it unseen, is not owed.
-    pub fn goes_on(&mut self, now: f64, node: NodeId) {
-        let Some(since) = self.still.remove(&node) else { return };
+    /// Resumes a node. Tries that were due during the pause, or that arrived during it unseen, are void.
+    pub fn resume_node(&mut self, now: f64, node: NodeId) {
+        let Some(since) = self.paused.remove(&node) else { return };
         let slack = self.slack;
-        let its = self.cases.values_mut().filter(|case| case.node == node && case.answer.is_none());
-        let due = its.filter(|case| case.deadline <= now + slack || case.taken >= since);
-        due.for_each(|case| case.void = true);
+        let its = self.tracked.values_mut().filter(|tried| tried.node == node && tried.answer.is_none());
+        let due = its.filter(|tried| tried.deadline <= now + slack || tried.taken >= since);
+        due.for_each(|tried| tried.void = true);
     }
 
-    /// Discovery has told a node of a worker, or counts as having done so.
+    /// Discovery has told a node of a worker, or is taken to have done so.
     pub fn told(&mut self, now: f64, node: NodeId, worker: WorkerId, wanted: bool, started: f64) {
         let told = &mut self.told[node][worker];
-        // To be told the same again gives no new grace.
-        let same = |told: &Told| told.wanted == wanted && told.started == started;
+        // A repeated announcement doesn't restart the grace period.
+        let same = |told: &KnownState| told.wanted == wanted && told.started == started;
         if !told.as_ref().is_some_and(same) {
-            *told = Some(Told { at: now, wanted, started });
+            *told = Some(KnownState { at: now, wanted, started });
         }
     }
 
@@ -306,14 +311,14 @@
         self.told[node][worker].is_some_and(|told| told.started >= started)
     }
 
-    /// Whether a node has been told of a worker's process that started after that.
-    pub fn knows_later(&self, node: NodeId, worker: WorkerId, started: f64) -> bool {
+    /// Whether a node knows of a process of the worker that started later than `started`.
+    pub fn knows_later_start(&self, node: NodeId, worker: WorkerId, started: f64) -> bool {
         self.told[node][worker].is_some_and(|told| told.started > started)
     }
 
-    pub fn fell(&mut self, now: f64, node: NodeId, worker: WorkerId, fall: Fall) {
+    pub fn worker_overloaded(&mut self, now: f64, node: NodeId, worker: WorkerId, fall: Overload) {
         if fall.informed > 2.0 / 3.0 {
-            let Fall { informed, sent, most } = fall;
+            let Overload { informed, sent, most } = fall;
             let words = format!(
                 "cold worker {worker} fell: {sent:.2} requests of mean work on {most:.2}, {informed:.2} knowing"
             );
@@ -321,20 +326,22 @@
         }
     }
 
-    /// Forgets what nothing can come of any more: its memory is bounded by the rate, not by the day.
-    pub fn tidy(&mut self, now: f64) {
-        self.cases.retain(|_, case| now - case.deadline < CLOSED_AFTER);
+    /// Drops tries that can no longer change, so that memory is bounded by the rate and not by the length of
+    /// the run.
+    pub fn prune(&mut self, now: f64) {
+        self.tracked.retain(|_, tried| now - tried.deadline < RETENTION);
     }
 }
 
-impl Case {
-    /// Forwards that have not been proved never to have run, as the node could know at `now`.
+impl TrackedTry {
+    /// Forwards not proved to have never run, as far as the node could know at `now`.
     fn may_have_run(&self, now: f64) -> impl Iterator<Item = &Forward> {
-        let never = move |f: &&Forward| matches!(f.told, Some((at, Proof::NeverRan)) if at <= now + CLOCKS);
+        let never =
+            move |f: &&Forward| matches!(f.told, Some((at, Proof::NeverRan)) if at <= now + CLOCK_TOLERANCE);
         self.forwards.iter().filter(move |f| !never(f))
     }
 
-    fn repeat_fault(&self, now: f64, places: &[(String, i64)], worker: WorkerId) -> Option<String> {
+    fn repeat_violation(&self, now: f64, places: &[(String, i64)], worker: WorkerId) -> Option<String> {
         let first = self.may_have_run(now).next()?;
         let there = first.worker;
         match (self.terms.effect, self.terms.group) {
@@ -342,7 +349,7 @@
             (Effect::NonIdempotent, _) => {
                 Some(format!("sent to worker {worker} though it may have run at {there}"))
             }
-            (Effect::Deduplicated, _) if now - first.sent > self.terms.window + CLOCKS => {
+            (Effect::Deduplicated, _) if now - first.sent > self.terms.window + CLOCK_TOLERANCE => {
                 Some(format!("sent to worker {worker} {:.3} s on, after the window", now - first.sent))
             }
             (Effect::Deduplicated, group) => {
@@ -356,7 +363,7 @@
         }
     }
 
-    fn refusal_fault(&self, now: f64) -> Option<String> {
+    fn refusal_violation(&self, now: f64) -> Option<String> {
         let there = self.may_have_run(now).next()?.worker;
         let harmless = matches!(
             (self.terms.effect, self.terms.group),
--- a/crates/coveroute-emu/src/world/mod.rs
+++ b/crates/coveroute-emu/src/world/mod.rs
@@ -1,8 +1,9 @@
-//! The world round the nodes: everything that is not a node, as one state machine. A host carries what it says to the
-//! nodes and what they say to it, in virtual time or on sockets; the world keeps no clock of its own.
+//! The simulated environment of the nodes (clients, workers, discovery, network and faults) as one
+//! deterministic state machine. A host delivers its messages to the nodes and theirs to it, in virtual time
+//! or over sockets; the world itself keeps no clock.
 pub mod clients;
 pub mod discovery;
-pub mod referee;
+pub mod invariants;
 pub mod worker;
 
 use std::collections::VecDeque;
@@ -16,24 +17,26 @@
 
 use crate::queue::Queue;
 use crate::scenario::{Fault, Place, Scenario, What};
-use clients::{AskId, Clients, End, Service, Then};
+use clients::{AskId, Clients, End, NextStep, Service};
 use discovery::Discovery;
-use referee::{Breach, Final, Proof, Referee};
-use worker::{Arrival, Deed, Life, Luck, Said, Worker};
+use invariants::{Breach, FinalAnswer, InvariantChecker, Proof};
+use worker::{Arrival, FaultDraw, JobAction, Liveness, Worker, WorkerMessage};
 
 pub type NodeId = usize;
 pub type WorkerId = usize;
+/// Number of a try. Variables and fields are called `tri`, since `try` is a reserved word.
 pub type TryId = u32;
 
-/// An even draw that is the same for the same seed, try and purpose, whatever else happens.
-pub fn luck(seed: u64, tri: TryId, purpose: u64) -> f64 {
+/// A uniform draw in [0, 1) that depends only on the seed, the try and the purpose, never on the order of
+/// events.
+pub fn uniform_draw(seed: u64, tri: TryId, purpose: u64) -> f64 {
     Pcg64Mcg::seed_from_u64(seed ^ (u64::from(tri) << 20) ^ (purpose << 56)).random()
 }
 
-/// What the world tells a node, or does to it; the host brings it there.
+/// A message or command from the world to a node, which the host delivers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    /// A client's request.
+pub enum Output {
+    /// A client's request arrives.
     Submit {
         node: NodeId,
         tri: TryId,
@@ -43,13 +46,13 @@
         node: NodeId,
         tri: TryId,
     },
-    /// A worker has the job.
+    /// A worker acknowledges the job.
     Ack {
         node: NodeId,
         worker: WorkerId,
         tri: TryId,
     },
-    /// It turns the job away, or answers at once that it failed.
+    /// The worker rejects the job, or answers at once that it failed (`failed`).
     Reject {
         node: NodeId,
         worker: WorkerId,
@@ -57,7 +60,7 @@
         failed: bool,
         report: Report,
     },
-    /// The connection broke under the job, if it still waits.
+    /// The connection broke while the node still waited for an answer to the job.
     Reset {
         node: NodeId,
         worker: WorkerId,
@@ -67,10 +70,10 @@
         node: NodeId,
         worker: WorkerId,
         tri: TryId,
-        word: Word,
+        word: JobUpdate,
         report: Report,
     },
-    /// A watch has begun, and what changed up to this version has been told.
+    /// A watch is established; every change up to this version has been sent.
     Begun {
         node: NodeId,
         watch: u64,
@@ -93,7 +96,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum JobUpdate {
     Started,
     Running,
     Done,
@@ -109,89 +112,90 @@
     Reload,
     Retune,
     Replace,
-    /// It stands still, and goes on.
+    /// Suspends the process and resumes it.
     Stall,
     Wake,
-    /// It starts with a clock that has gone back.
+    /// Starts the process with its clock set back.
     StartBack,
 }
 
-/// How a message fares between a node and a worker.
+/// The fate of a message between a node and a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
-    /// It arrives after so long.
+pub enum Delivery {
+    /// Delivered after this many seconds.
     Arrives(f64),
-    /// Nobody listens there: told after so long.
+    /// The connection is refused, which the sender learns after this many seconds.
     Refused(f64),
-    /// Nothing arrives, and nothing is told.
+    /// The message is lost without any error.
     Cut,
-    /// The connection breaks before the last byte, or after it has arrived.
+    /// The connection breaks before the last byte arrives, or after it.
     BreaksBefore(f64),
     BreaksAfter(f64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Due {
+enum Event {
     Arrival(usize),
     Attempt(AskId),
     Deadline(TryId),
     Leave(TryId),
     Worker(WorkerId, u64),
     Ack(WorkerId, NodeId, TryId, u64),
-    News(WorkerId, NodeId, TryId, Word),
-    Tell(NodeId),
-    /// A call for a watch of this number gets its answer: a refusal or not.
-    Turn(NodeId, u64, bool),
-    Deem(WorkerId, u64, bool),
-    Begin(usize),
-    Cease(usize),
+    News(WorkerId, NodeId, TryId, JobUpdate),
+    SendList(NodeId),
+    /// Answers a call for the watch of this number; true refuses it.
+    WatchAnswer(NodeId, u64, bool),
+    AssumeTold(WorkerId, u64, bool),
+    FaultBegins(usize),
+    FaultEnds(usize),
     Drain(WorkerId),
-    End(WorkerId),
+    StopDrained(WorkerId),
     Restart(WorkerId),
-    Front(NodeId, bool, u64),
-    Order(NodeId, Order),
-    Tidy,
+    SetRotation(NodeId, bool, u64),
+    NodeOrder(NodeId, Order),
+    Prune,
 }
 
-/// A node as the world sees it from outside.
+/// A node as seen from outside.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct NodeState {
     pub zone: String,
-    /// Its process is there.
+    /// Its process exists.
     pub alive: bool,
-    /// The front sends clients to it.
-    pub fronted: bool,
-    turn: u64,
-    start: Start,
+    /// The front end sends clients to it.
+    pub in_rotation: bool,
+    rotation_change: u64,
+    start: StartPhase,
 }
 
-/// A change of a worker's entry that counts as told, since then.
+/// A change to a worker's entry that every node is taken to know since `at`.
 #[derive(Clone, Copy, Debug)]
-struct Deemed {
+struct AssumedTold {
     at: f64,
     wanted: bool,
     started: f64,
 }
 
-/// How far a node's process has come since it started.
+/// How far a node's process has come since its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Start {
-    Begins,
-    /// Discovery has not answered it since.
-    Asks(f64),
-    Follows,
+enum StartPhase {
+    Loading,
+    /// It has called discovery since this time and has had no answer.
+    AwaitingDiscovery(f64),
+    Following,
 }
 
-/// What happened over a run, beside service.
+/// Event counts of a run, apart from the service figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
     pub tries: u64,
     pub forwards: u64,
     pub second_copies: u64,
-    /// Operations that must not run twice and did, whoever asked for it again.
+    /// Non-idempotent operations that ran more than once, also when the client itself repeated them.
     pub duplicates: u64,
     pub falls: u64,
-    /// The most that a cold worker was sent in a span, as a part of what pushes it over; over 1 it fell.
+    /// The largest load sent to a cold worker within a span, relative to its overload limit; above 1 it
+    /// failed.
     pub cold_most: f64,
     /// Work done by cold workers, in seconds of a standard core.
     pub cold_work: f64,
@@ -205,23 +209,23 @@
     pub workers: Vec<Worker>,
     pub clients: Clients,
     pub list: Discovery,
-    pub referee: Referee,
-    pub nodes: Vec<Seen>,
+    pub invariants: InvariantChecker,
+    pub nodes: Vec<NodeState>,
     pub counts: Counts,
-    /// Forwards that came to each worker.
+    /// Forwards that arrived at each worker.
     pub forwards: Vec<u64>,
-    /// What each node was last told of the list, for its next start.
+    /// The list that each node last received, which its next process starts with.
     had: Vec<Listing>,
-    /// By worker: what counts as told to every node, also to one that starts later.
-    deemed: Vec<Option<Deemed>>,
-    /// When each process started, and how long after discovery answered it.
+    /// By worker: the change that every node is taken to know, including nodes that start later.
+    assumed_told: Vec<Option<AssumedTold>>,
+    /// When each node process started, and how long after that discovery answered it.
     follows: Vec<(f64, f64)>,
-    due: Queue<Due>,
+    due: Queue<Event>,
     generations: Vec<u64>,
-    /// By fault: whom it strikes now.
-    struck: Vec<Vec<usize>>,
+    /// By fault: the workers or nodes that it affects now.
+    fault_targets: Vec<Vec<usize>>,
     draw: Pcg64Mcg,
-    said: VecDeque<(WorkerId, Said)>,
+    messages: VecDeque<(WorkerId, WorkerMessage)>,
     surge: f64,
     heavy: f64,
     latency: f64,
@@ -230,12 +234,12 @@
     delayed: f64,
 }
 
-/// Worker `worker`'s name, as the list and its news give it.
+/// The name of worker `worker` in the list and in its news.
 pub fn name(worker: WorkerId) -> String {
     format!("w-{worker:04}")
 }
 
-/// A try's id on the wire. The seed makes it another's in another run against the same node.
+/// A try's id on the wire. It includes the seed, so that two runs against the same node use different ids.
 pub fn call(seed: u64, tri: TryId) -> String {
     format!("{:06x}-{tri:08x}", seed & 0xff_ffff)
 }
@@ -245,21 +249,21 @@
 }
 
 impl World {
-    /// `addr`: where the worker of that number listens.
+    /// `addr` gives the listening address of a worker.
     pub fn new(scenario: Scenario, seed: u64, addr: impl Fn(WorkerId) -> std::net::SocketAddr) -> Self {
         let (cold, platform) = ((&scenario.platform.cold, clients::mean_work(&scenario)), &scenario.platform);
         let mut workers = Vec::new();
-        for make in &scenario.workers {
-            for at in 0..make.count.0 {
-                let cell = (at % make.cells.0) as i64;
-                workers.push(Worker::new(make, cell, cold, platform.progress.0, platform.tells_start));
+        for spec in &scenario.workers {
+            for at in 0..spec.count.0 {
+                let cell = (at % spec.cells.0) as i64;
+                workers.push(Worker::new(spec, cell, cold, platform.progress.0, platform.tells_start));
             }
         }
         let host = |(at, worker): (usize, &Worker)| Host {
             id: name(at),
             addr: Some(addr(at)),
-            zone: worker.make.zone.clone(),
-            kind: worker.make.kind.clone(),
+            zone: worker.spec.zone.clone(),
+            kind: worker.spec.kind.clone(),
             cell: worker.cell,
             started: 0.0,
             size: 1.0,
@@ -267,27 +271,27 @@
         };
         let zones =
             if scenario.nodes.zones.is_empty() { scenario.zones() } else { scenario.nodes.zones.clone() };
-        let seen = |at: usize| Seen {
+        let seen = |at: usize| NodeState {
             zone: zones[at % zones.len()].clone(),
             alive: false,
-            fronted: false,
-            turn: 0,
-            start: Start::Follows,
+            in_rotation: false,
+            rotation_change: 0,
+            start: StartPhase::Following,
         };
-        let nodes: Vec<Seen> = (0..scenario.nodes.count.0).map(seen).collect();
-        let places = workers.iter().map(|w| (w.make.zone.clone(), w.cell)).collect();
-        let referee = Referee::new(nodes.len(), places, platform.slack.0, platform.grace.0);
+        let nodes: Vec<NodeState> = (0..scenario.nodes.count.0).map(seen).collect();
+        let places = workers.iter().map(|w| (w.spec.zone.clone(), w.cell)).collect();
+        let invariants = InvariantChecker::new(nodes.len(), places, platform.slack.0, platform.grace.0);
         let list = Discovery::new(workers.iter().enumerate().map(host).collect(), nodes.len());
         let mut world = World {
             clients: Clients::new(&scenario, seed),
-            had: vec![list.whole(); nodes.len()],
-            deemed: vec![None; workers.len()],
+            had: vec![list.full_list(); nodes.len()],
+            assumed_told: vec![None; workers.len()],
             follows: Vec::new(),
             generations: vec![0; workers.len()],
-            struck: vec![Vec::new(); scenario.faults.len()],
+            fault_targets: vec![Vec::new(); scenario.faults.len()],
             draw: Pcg64Mcg::seed_from_u64(seed ^ 0xfa17),
             due: Queue::new(),
-            said: VecDeque::new(),
+            messages: VecDeque::new(),
             counts: Counts::default(),
             forwards: vec![0; workers.len()],
             surge: 1.0,
@@ -300,26 +304,27 @@
             seed,
             workers,
             list,
-            referee,
+            invariants,
             nodes,
         };
         for op in 0..world.scenario.operations.len() {
             let first = world.clients.next(&world.scenario, 0.0, op);
-            first.into_iter().for_each(|at| world.at(at, Due::Arrival(op)));
+            first.into_iter().for_each(|at| world.schedule(at, Event::Arrival(op)));
         }
         for at in 0..world.scenario.faults.len() {
             let fault = &world.scenario.faults[at];
             let (begins, ends) = (fault.at.0, fault.until());
-            world.at(begins, Due::Begin(at));
+            world.schedule(begins, Event::FaultBegins(at));
             if ends.is_finite() {
-                world.at(ends, Due::Cease(at));
+                world.schedule(ends, Event::FaultEnds(at));
             }
         }
-        world.at(TIDY_EVERY, Due::Tidy);
+        world.schedule(PRUNE_INTERVAL, Event::Prune);
         world
     }
 
-    /// Moves all that is still to come, before anything has: the time until the nodes are ready is not the scenario's.
+    /// Postpones every scheduled event and the scenario's times by `by` seconds. Called before the first
+    /// event, so that the time until the nodes are ready doesn't count towards the scenario.
     pub fn delay(&mut self, by: f64) {
         self.due.delay(by);
         self.scenario.seconds.0 += by;
@@ -327,7 +332,7 @@
         self.delayed = by;
     }
 
-    fn at(&mut self, at: f64, due: Due) {
+    fn schedule(&mut self, at: f64, due: Event) {
         self.due.push(at, due);
     }
 
@@ -335,80 +340,82 @@
         self.due.next_at()
     }
 
-    /// Whether all that was asked for has ended, and nothing more comes.
+    /// Whether every request has ended and no more will arrive.
     pub fn is_over(&self, now: f64) -> bool {
         now >= self.scenario.seconds.0 && self.clients.open == 0
     }
 
-    /// By then every client has given up.
+    /// The time by which every client has given up.
     pub fn end(&self) -> f64 {
         let longest = self.scenario.operations.iter().map(|op| op.timeout.0).fold(0.0, f64::max);
         self.scenario.seconds.0 + longest + 1.0
     }
 
-    pub fn advance(&mut self, now: f64, out: &mut Vec<Out>) {
+    pub fn advance(&mut self, now: f64, out: &mut Vec<Output>) {
         while self.due.next_at().is_some_and(|at| at <= now) {
             let Some((at, due)) = self.due.pop() else { return };
-            // What comes next follows from when this was due: a host that is late must not thin arrivals out.
-            let now = if matches!(due, Due::Arrival(_)) { at } else { now };
-            self.happens(now, due, out);
-            self.hear(now, out);
+            // The next arrival is drawn from the time when this one was due: a late host must not lower the
+            // arrival rate.
+            let now = if matches!(due, Event::Arrival(_)) { at } else { now };
+            self.handle_event(now, due, out);
+            self.dispatch_messages(now, out);
         }
     }
 
-    fn happens(&mut self, now: f64, due: Due, out: &mut Vec<Out>) {
+    fn handle_event(&mut self, now: f64, due: Event, out: &mut Vec<Output>) {
         match due {
-            Due::Arrival(op) => self.arrival(now, op, out),
-            Due::Attempt(ask) => self.attempt(now, ask, out),
-            Due::Deadline(tri) => self.deadline(now, tri, out),
-            Due::Leave(tri) => self.leave(tri, out),
-            Due::Worker(worker, generation) if generation == self.generations[worker] => {
-                self.work(now, worker)
+            Event::Arrival(op) => self.arrival(now, op, out),
+            Event::Attempt(ask) => self.attempt(now, ask, out),
+            Event::Deadline(tri) => self.deadline(now, tri, out),
+            Event::Leave(tri) => self.leave(tri, out),
+            Event::Worker(worker, generation) if generation == self.generations[worker] => {
+                self.advance_worker(now, worker)
             }
-            Due::Worker(..) => {}
-            Due::Ack(worker, node, tri, process) => self.ack(worker, node, tri, process, out),
-            Due::News(worker, node, tri, word) => self.news(now, worker, node, tri, word, out),
-            Due::Tell(node) => self.tell(now, node, out),
-            Due::Turn(node, watch, refused) => self.turn(now, node, watch, refused, out),
-            Due::Deem(worker, version, again) => self.deem(now, worker, version, again),
-            Due::Begin(fault) => self.begin(now, fault, out),
-            Due::Cease(fault) => self.cease(now, fault, out),
-            Due::Drain(worker) => self.drain(now, worker),
-            Due::End(worker) => self.ends(now, worker),
-            Due::Restart(worker) => self.restart(now, worker),
-            Due::Front(node, fronted, turn) if turn == self.nodes[node].turn => {
-                self.nodes[node].fronted = fronted;
+            Event::Worker(..) => {}
+            Event::Ack(worker, node, tri, process) => self.ack(worker, node, tri, process, out),
+            Event::News(worker, node, tri, word) => self.news(now, worker, node, tri, word, out),
+            Event::SendList(node) => self.send_list(now, node, out),
+            Event::WatchAnswer(node, watch, refused) => self.answer_watch(now, node, watch, refused, out),
+            Event::AssumeTold(worker, version, again) => self.assume_told(now, worker, version, again),
+            Event::FaultBegins(fault) => self.begin_fault(now, fault, out),
+            Event::FaultEnds(fault) => self.end_fault(now, fault, out),
+            Event::Drain(worker) => self.drain(now, worker),
+            Event::StopDrained(worker) => self.stop_drained(now, worker),
+            Event::Restart(worker) => self.restart(now, worker),
+            Event::SetRotation(node, in_rotation, turn) if turn == self.nodes[node].rotation_change => {
+                self.nodes[node].in_rotation = in_rotation;
             }
-            Due::Front(..) => {}
-            Due::Order(node, order) => out.push(Out::Node { node, order }),
-            Due::Tidy => {
-                self.referee.tidy(now);
-                self.at(now + TIDY_EVERY, Due::Tidy);
+            Event::SetRotation(..) => {}
+            Event::NodeOrder(node, order) => out.push(Output::Node { node, order }),
+            Event::Prune => {
+                self.invariants.prune(now);
+                self.schedule(now + PRUNE_INTERVAL, Event::Prune);
             }
         }
     }
 
-    // Clients.
+    // Clients
 
-    fn arrival(&mut self, now: f64, op: usize, out: &mut Vec<Out>) {
+    fn arrival(&mut self, now: f64, op: usize, out: &mut Vec<Output>) {
         let next = self.clients.next(&self.scenario, now, op);
-        next.into_iter().for_each(|at| self.at(at, Due::Arrival(op)));
+        next.into_iter().for_each(|at| self.schedule(at, Event::Arrival(op)));
         let ask = self.clients.ask(&self.scenario, now, op, self.surge, self.heavy);
         ask.into_iter().for_each(|ask| self.attempt(now, ask, out));
     }
 
-    fn attempt(&mut self, now: f64, ask: AskId, out: &mut Vec<Out>) {
-        let fronted: Vec<NodeId> = (0..self.nodes.len()).filter(|&node| self.nodes[node].fronted).collect();
+    fn attempt(&mut self, now: f64, ask: AskId, out: &mut Vec<Output>) {
+        let in_rotation: Vec<NodeId> =
+            (0..self.nodes.len()).filter(|&node| self.nodes[node].in_rotation).collect();
         let asked = &self.clients.asks[ask];
         if asked.done {
             return;
         }
-        let deadline = asked.born + self.scenario.operations[asked.op].timeout.0;
-        let draw = luck(self.seed, ask as TryId, 2 + 8 * (asked.tries + asked.refused) as u64);
-        let Some(&node) = fronted.get((draw * fronted.len() as f64) as usize) else {
-            // The front has nobody to send it to.
-            return if now + NOBODY < deadline {
-                self.at(now + NOBODY, Due::Attempt(ask));
+        let deadline = asked.created_at + self.scenario.operations[asked.op].timeout.0;
+        let draw = uniform_draw(self.seed, ask as TryId, 2 + 8 * (asked.tries + asked.refused) as u64);
+        let Some(&node) = in_rotation.get((draw * in_rotation.len() as f64) as usize) else {
+            // The front end has no node to send it to.
+            return if now + NO_NODE_RETRY < deadline {
+                self.schedule(now + NO_NODE_RETRY, Event::Attempt(ask));
             } else {
                 self.clients.end(&self.scenario, self.delayed, ask, End::Failed);
             };
@@ -417,107 +424,107 @@
             return self.clients.end(&self.scenario, self.delayed, ask, End::Failed);
         };
         self.counts.tries += 1;
-        self.at(deadline + self.scenario.platform.slack.0 + 0.01, Due::Deadline(tri));
-        if luck(self.seed, ask as TryId, 3) < self.scenario.clients.leave.0 {
-            self.at(now + 0.5 * luck(self.seed, tri, 4) * (deadline - now), Due::Leave(tri));
+        self.schedule(deadline + self.scenario.platform.slack.0 + 0.01, Event::Deadline(tri));
+        if uniform_draw(self.seed, ask as TryId, 3) < self.scenario.clients.leave.0 {
+            self.schedule(now + 0.5 * uniform_draw(self.seed, tri, 4) * (deadline - now), Event::Leave(tri));
         }
-        out.push(Out::Submit { node, tri });
+        out.push(Output::Submit { node, tri });
     }
 
-    /// A node has taken the request of a try: its last byte was written to it.
+    /// A node has received a try's request: its last byte was written to the node.
     pub fn taken(&mut self, now: f64, tri: TryId) {
         let clients::Try { node, deadline, .. } = self.clients.tries[tri as usize];
         let terms = clients::terms(&self.scenario, self.clients.ask_of(tri).op);
-        self.referee.taken(now, tri, node, terms, deadline);
+        self.invariants.taken(now, tri, node, terms, deadline);
     }
 
-    /// No connection to the node came up, or it broke before the request was written.
+    /// The connection to the node failed, or broke before the request was written.
     pub fn refused(&mut self, now: f64, tri: TryId) {
-        let (ask, over) = self.over(tri);
+        let (ask, over) = self.close_try(tri);
         if over {
             return;
         }
         let asked = &mut self.clients.asks[ask];
         (asked.tries, asked.refused) = (asked.tries - 1, asked.refused + 1);
-        self.at(now + REDIALS, Due::Attempt(ask));
+        self.schedule(now + REDIAL_DELAY, Event::Attempt(ask));
     }
 
-    fn over(&mut self, tri: TryId) -> (AskId, bool) {
+    fn close_try(&mut self, tri: TryId) -> (AskId, bool) {
         let tried = &mut self.clients.tries[tri as usize];
         (tried.ask, std::mem::replace(&mut tried.over, true))
     }
 
-    /// The node's whole answer has come to the client.
-    pub fn answered(&mut self, now: f64, tri: TryId, answer: Final, pause: f64) {
-        self.referee.answered(now, tri, answer);
-        self.ended(now, tri, Some(answer), pause);
+    /// The client has received the node's complete answer.
+    pub fn answered(&mut self, now: f64, tri: TryId, answer: FinalAnswer, pause: f64) {
+        self.invariants.answered(now, tri, answer);
+        self.try_ended(now, tri, Some(answer), pause);
     }
 
-    /// The connection broke without a whole answer.
-    pub fn broke(&mut self, now: f64, tri: TryId) {
+    /// The connection broke before a complete answer arrived.
+    pub fn connection_lost(&mut self, now: f64, tri: TryId) {
         if self.nodes[self.clients.tries[tri as usize].node].alive {
-            self.referee.dropped(now, tri);
+            self.invariants.dropped(now, tri);
         }
-        self.referee.void(tri);
-        self.ended(now, tri, None, 0.0);
+        self.invariants.void(tri);
+        self.try_ended(now, tri, None, 0.0);
     }
 
-    fn ended(&mut self, now: f64, tri: TryId, answer: Option<Final>, pause: f64) {
-        let (ask, over) = self.over(tri);
+    fn try_ended(&mut self, now: f64, tri: TryId, answer: Option<FinalAnswer>, pause: f64) {
+        let (ask, over) = self.close_try(tri);
         if over {
             return;
         }
-        match self.clients.then(&self.scenario, self.seed, now, tri, answer, pause) {
-            Then::Over(end) => self.clients.end(&self.scenario, self.delayed, ask, end),
-            Then::Again { at } => self.at(at, Due::Attempt(ask)),
+        match self.clients.next_step(&self.scenario, self.seed, now, tri, answer, pause) {
+            NextStep::Over(end) => self.clients.end(&self.scenario, self.delayed, ask, end),
+            NextStep::Again { at } => self.schedule(at, Event::Attempt(ask)),
         }
     }
 
-    fn deadline(&mut self, now: f64, tri: TryId, out: &mut Vec<Out>) {
-        let (ask, over) = self.over(tri);
+    fn deadline(&mut self, now: f64, tri: TryId, out: &mut Vec<Output>) {
+        let (ask, over) = self.close_try(tri);
         if over {
             return;
         }
-        self.referee.expired(now, tri);
+        self.invariants.expired(now, tri);
         self.clients.end(&self.scenario, self.delayed, ask, End::Failed);
-        out.push(Out::Leave { node: self.clients.tries[tri as usize].node, tri });
+        out.push(Output::Leave { node: self.clients.tries[tri as usize].node, tri });
     }
 
-    fn leave(&mut self, tri: TryId, out: &mut Vec<Out>) {
-        let (ask, over) = self.over(tri);
+    fn leave(&mut self, tri: TryId, out: &mut Vec<Output>) {
+        let (ask, over) = self.close_try(tri);
         if over {
             return;
         }
-        self.referee.void(tri);
+        self.invariants.void(tri);
         self.clients.end(&self.scenario, self.delayed, ask, End::Left);
-        out.push(Out::Leave { node: self.clients.tries[tri as usize].node, tri });
+        out.push(Output::Leave { node: self.clients.tries[tri as usize].node, tri });
     }
 
-    // Workers.
+    // Workers
 
-    /// How a message of a node to a worker fares, sent now.
-    pub fn way(&self, node: NodeId, worker: WorkerId, tri: TryId, nth: usize) -> Way {
-        let (from, to) = (&self.nodes[node].zone, &self.workers[worker].make.zone);
+    /// Draws the fate of message `nth` of a try, sent now from a node to a worker.
+    pub fn delivery(&self, node: NodeId, worker: WorkerId, tri: TryId, nth: usize) -> Delivery {
+        let (from, to) = (&self.nodes[node].zone, &self.workers[worker].spec.zone);
         let cut = |zone: &String| (zone == from) != (zone == to);
-        if self.workers[worker].life == Life::Vanished || self.partitions.iter().any(cut) {
-            return Way::Cut;
+        if self.workers[worker].life == Liveness::Vanished || self.partitions.iter().any(cut) {
+            return Delivery::Cut;
         }
         let base =
             if from == to { self.scenario.network.latency.0 } else { self.scenario.network.crossing.0 };
-        let spread = luck(self.seed, tri, 5 + 8 * nth as u64);
+        let spread = uniform_draw(self.seed, tri, 5 + 8 * nth as u64);
         let takes = base * (0.75 + 0.5 * spread) + self.latency;
-        if self.workers[worker].life == Life::Down {
-            return Way::Refused(2.0 * takes);
+        if self.workers[worker].life == Liveness::Down {
+            return Delivery::Refused(2.0 * takes);
         }
-        let breaks = luck(self.seed, tri, 6 + 8 * nth as u64);
+        let breaks = uniform_draw(self.seed, tri, 6 + 8 * nth as u64);
         match self.resets {
-            (before, _) if breaks < before => Way::BreaksBefore(takes),
-            (before, after) if breaks < before + after => Way::BreaksAfter(takes),
-            _ => Way::Arrives(takes),
+            (before, _) if breaks < before => Delivery::BreaksBefore(takes),
+            (before, after) if breaks < before + after => Delivery::BreaksAfter(takes),
+            _ => Delivery::Arrives(takes),
         }
     }
 
-    /// A job's last byte has come to a worker; the node sent it at `sent`.
+    /// A job's last byte has arrived at a worker; the node sent it at `sent`.
     pub fn job(
         &mut self,
         now: f64,
@@ -525,110 +532,121 @@
         worker: WorkerId,
         tri: TryId,
         sent: f64,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         self.counts.forwards += 1;
         self.forwards[worker] += 1;
-        self.referee.forwarded(tri, node, worker, sent);
+        self.invariants.forwarded(tri, node, worker, sent);
         let Some(work) = self.clients.tries.get(tri as usize).map(|_| self.clients.ask_of(tri).work) else {
             return;
         };
         let memory = self.scenario.operations[self.clients.ask_of(tri).op].memory.0;
-        let informed = self.referee.informed(node, worker, self.workers[worker].started);
-        let fate = luck(self.seed, tri, 7 + 8 * worker as u64);
-        let (mut said, at) = (Vec::new(), &mut self.workers[worker]);
-        if matches!(at.life, Life::Down | Life::Vanished) {
-            return out.push(Out::Reset { node, worker, tri });
+        let informed = self.invariants.informed(node, worker, self.workers[worker].started);
+        let fate = uniform_draw(self.seed, tri, 7 + 8 * worker as u64);
+        let (mut messages, at) = (Vec::new(), &mut self.workers[worker]);
+        if matches!(at.life, Liveness::Down | Liveness::Vanished) {
+            return out.push(Output::Reset { node, worker, tri });
         }
-        let fall = at.arrive(now, Arrival { tri, node, work, memory, informed }, Luck { fate }, &mut said);
-        self.says(worker, said);
+        let fall =
+            at.arrive(now, Arrival { tri, node, work, memory, informed }, FaultDraw { fate }, &mut messages);
+        self.queue_messages(worker, messages);
         if let Some(fall) = fall {
             self.counts.falls += 1;
-            self.referee.fell(now, node, worker, fall);
-            out.push(Out::Reset { node, worker, tri });
-            self.dies(now, worker, Life::Down);
+            self.invariants.worker_overloaded(now, node, worker, fall);
+            out.push(Output::Reset { node, worker, tri });
+            self.stop_worker(now, worker, Liveness::Down);
         }
-        self.stir(now, worker);
-        self.hear(now, out);
+        self.schedule_worker(now, worker);
+        self.dispatch_messages(now, out);
     }
 
-    /// A node gives a job up, in words or by closing the connection on which it waited.
-    pub fn give_up(&mut self, now: f64, node: NodeId, worker: WorkerId, tri: TryId, out: &mut Vec<Out>) {
-        let mut said = Vec::new();
-        self.workers[worker].give_up(now, tri, node, &mut said);
-        self.says(worker, said);
-        self.stir(now, worker);
-        self.hear(now, out);
+    /// A node cancels a job, by a request or by closing the connection on which it waited.
+    pub fn give_up(&mut self, now: f64, node: NodeId, worker: WorkerId, tri: TryId, out: &mut Vec<Output>) {
+        let mut messages = Vec::new();
+        self.workers[worker].give_up(now, tri, node, &mut messages);
+        self.queue_messages(worker, messages);
+        self.schedule_worker(now, worker);
+        self.dispatch_messages(now, out);
     }
 
-    /// A probe has come: the answer, if there is one.
+    /// A probe has arrived; returns the worker's answer, if it gives one.
     pub fn probe(&mut self, now: f64, worker: WorkerId) -> Option<(bool, Report)> {
         self.counts.probes += 1;
         let at = &self.workers[worker];
-        at.hears().then(|| (at.life == Life::Up, at.report(now, self.scenario.platform.report_age.0)))
+        at.answers_probes()
+            .then(|| (at.life == Liveness::Up, at.report(now, self.scenario.platform.report_age.0)))
     }
 
-    fn work(&mut self, now: f64, worker: WorkerId) {
-        let mut said = Vec::new();
-        self.workers[worker].advance(now, &mut said);
-        self.says(worker, said);
-        self.stir(now, worker);
+    fn advance_worker(&mut self, now: f64, worker: WorkerId) {
+        let mut messages = Vec::new();
+        self.workers[worker].advance(now, &mut messages);
+        self.queue_messages(worker, messages);
+        self.schedule_worker(now, worker);
     }
 
-    /// Sees to it that the worker is looked at when something is due there next.
-    fn stir(&mut self, now: f64, worker: WorkerId) {
+    /// Schedules the worker's next event and invalidates the one scheduled before.
+    fn schedule_worker(&mut self, now: f64, worker: WorkerId) {
         self.generations[worker] += 1;
         let generation = self.generations[worker];
         let next = self.workers[worker].next(now);
-        next.into_iter().for_each(|at| self.at(at, Due::Worker(worker, generation)));
+        next.into_iter().for_each(|at| self.schedule(at, Event::Worker(worker, generation)));
     }
 
-    fn says(&mut self, worker: WorkerId, said: Vec<Said>) {
-        self.said.extend(said.into_iter().map(|said| (worker, said)));
+    fn queue_messages(&mut self, worker: WorkerId, messages: Vec<WorkerMessage>) {
+        self.messages.extend(messages.into_iter().map(|messages| (worker, messages)));
     }
 
-    /// What workers say goes on its way.
-    fn hear(&mut self, now: f64, out: &mut Vec<Out>) {
-        while let Some((worker, Said { tri, node, deed })) = self.said.pop_front() {
+    /// Delivers the messages that workers have queued, applying late and duplicate news.
+    fn dispatch_messages(&mut self, now: f64, out: &mut Vec<Output>) {
+        while let Some((worker, WorkerMessage { tri, node, action })) = self.messages.pop_front() {
             let report = self.workers[worker].report(now, self.scenario.platform.report_age.0);
-            let word = match deed {
-                Deed::Acks { after } => {
+            let word = match action {
+                JobAction::Acks { after } => {
                     let process = self.workers[worker].started.to_bits();
-                    self.at(now + after, Due::Ack(worker, node, tri, process));
+                    self.schedule(now + after, Event::Ack(worker, node, tri, process));
                     continue;
                 }
-                Deed::Rejects | Deed::Fails => {
-                    out.push(Out::Reject { node, worker, tri, failed: deed == Deed::Fails, report });
+                JobAction::Rejects | JobAction::Fails => {
+                    out.push(Output::Reject {
+                        node,
+                        worker,
+                        tri,
+                        failed: action == JobAction::Fails,
+                        report,
+                    });
                     continue;
                 }
-                Deed::Ran => {
-                    self.effect(tri);
+                JobAction::Ran => {
+                    self.record_effect(tri);
                     continue;
                 }
-                Deed::Started => Word::Started,
-                Deed::Running => Word::Running,
-                Deed::Done => Word::Done,
-                Deed::GivesBack => Word::Returned,
-                Deed::Lost => {
-                    out.push(Out::Reset { node, worker, tri });
-                    Word::Lost
+                JobAction::Started => JobUpdate::Started,
+                JobAction::Running => JobUpdate::Running,
+                JobAction::Done => JobUpdate::Done,
+                JobAction::GivesBack => JobUpdate::Returned,
+                JobAction::Lost => {
+                    out.push(Output::Reset { node, worker, tri });
+                    JobUpdate::Lost
                 }
             };
-            let ails = &self.workers[worker].ails;
-            let (late, doubled) = (ails.late_news, ails.doubled_news);
+            let faults = &self.workers[worker].faults;
+            let (late, doubled) = (faults.late_news, faults.doubled_news);
             if late > 0.0 {
-                self.at(now + late * luck(self.seed, tri, 8), Due::News(worker, node, tri, word));
+                self.schedule(
+                    now + late * uniform_draw(self.seed, tri, 8),
+                    Event::News(worker, node, tri, word),
+                );
             } else {
-                out.push(Out::News { node, worker, tri, word, report });
+                out.push(Output::News { node, worker, tri, word, report });
             }
             if doubled {
-                self.at(now + late + DOUBLED, Due::News(worker, node, tri, word));
+                self.schedule(now + late + DUPLICATE_DELAY, Event::News(worker, node, tri, word));
             }
         }
     }
 
-    fn effect(&mut self, tri: TryId) {
-        self.referee.ran(tri);
+    fn record_effect(&mut self, tri: TryId) {
+        self.invariants.ran(tri);
         let ask = self.clients.tries[tri as usize].ask;
         let asked = &mut self.clients.asks[ask];
         asked.effects += 1;
@@ -636,194 +654,208 @@
         self.counts.duplicates += u64::from(once && asked.effects > 1);
     }
 
-    fn ack(&mut self, worker: WorkerId, node: NodeId, tri: TryId, process: u64, out: &mut Vec<Out>) {
+    fn ack(&mut self, worker: WorkerId, node: NodeId, tri: TryId, process: u64, out: &mut Vec<Output>) {
         let at = &self.workers[worker];
-        let same = at.started.to_bits() == process && matches!(at.life, Life::Up | Life::Draining);
-        if same && !at.ails.silent && !at.ails.paused {
-            out.push(Out::Ack { node, worker, tri });
+        let same = at.started.to_bits() == process && matches!(at.life, Liveness::Up | Liveness::Draining);
+        if same && !at.faults.silent && !at.faults.paused {
+            out.push(Output::Ack { node, worker, tri });
         }
     }
 
-    fn news(&mut self, now: f64, worker: WorkerId, node: NodeId, tri: TryId, word: Word, out: &mut Vec<Out>) {
-        if self.workers[worker].life != Life::Vanished {
+    fn news(
+        &mut self,
+        now: f64,
+        worker: WorkerId,
+        node: NodeId,
+        tri: TryId,
+        word: JobUpdate,
+        out: &mut Vec<Output>,
+    ) {
+        if self.workers[worker].life != Liveness::Vanished {
             let report = self.workers[worker].report(now, self.scenario.platform.report_age.0);
-            out.push(Out::News { node, worker, tri, word, report });
+            out.push(Output::News { node, worker, tri, word, report });
         }
     }
 
-    fn dies(&mut self, now: f64, worker: WorkerId, life: Life) {
-        let mut said = Vec::new();
-        self.workers[worker].end(now, life, &mut said);
-        self.says(worker, said);
-        self.stir(now, worker);
-        self.change(now, worker, Standing::Gone);
+    fn stop_worker(&mut self, now: f64, worker: WorkerId, life: Liveness) {
+        let mut messages = Vec::new();
+        self.workers[worker].end(now, life, &mut messages);
+        self.queue_messages(worker, messages);
+        self.schedule_worker(now, worker);
+        self.change_standing(now, worker, Standing::Gone);
     }
 
     fn drain(&mut self, now: f64, worker: WorkerId) {
-        if self.workers[worker].life == Life::Up {
+        if self.workers[worker].life == Liveness::Up {
             self.workers[worker].drain();
-            self.change(now, worker, Standing::Draining);
-            self.at(now + self.scenario.discovery.drains.0, Due::End(worker));
+            self.change_standing(now, worker, Standing::Draining);
+            self.schedule(now + self.scenario.discovery.drains.0, Event::StopDrained(worker));
         }
     }
 
-    fn ends(&mut self, now: f64, worker: WorkerId) {
-        if self.workers[worker].life == Life::Draining {
-            self.dies(now, worker, Life::Down);
+    fn stop_drained(&mut self, now: f64, worker: WorkerId) {
+        if self.workers[worker].life == Liveness::Draining {
+            self.stop_worker(now, worker, Liveness::Down);
         }
     }
 
     fn restart(&mut self, now: f64, worker: WorkerId) {
-        if matches!(self.workers[worker].life, Life::Down | Life::Vanished) {
+        if matches!(self.workers[worker].life, Liveness::Down | Liveness::Vanished) {
             self.workers[worker].start(now);
-            self.stir(now, worker);
-            self.change(now, worker, Standing::Ready);
+            self.schedule_worker(now, worker);
+            self.change_standing(now, worker, Standing::Ready);
         }
     }
 
-    // The list.
+    // Discovery
 
-    fn change(&mut self, now: f64, worker: WorkerId, standing: Standing) {
+    fn change_standing(&mut self, now: f64, worker: WorkerId, standing: Standing) {
         let version = self.list.change(worker, standing, self.workers[worker].started);
-        self.spread(now);
-        self.at(now + self.scenario.platform.told_latest.0, Due::Deem(worker, version, self.list.is_well()));
+        self.schedule_list_updates(now);
+        self.schedule(
+            now + self.scenario.platform.told_latest.0,
+            Event::AssumeTold(worker, version, self.list.is_healthy()),
+        );
     }
 
-    /// Each watch is told in its own time.
-    fn spread(&mut self, now: f64) {
+    /// Schedules an update to each watch, with a lag drawn for each.
+    fn schedule_list_updates(&mut self, now: f64) {
         let (lag, late) = (self.scenario.discovery.lag.0, self.list.late);
         for node in 0..self.nodes.len() {
             let spread: f64 = self.draw.random();
-            self.at(now + lag * (1.0 + spread) + late, Due::Tell(node));
+            self.schedule(now + lag * (1.0 + spread) + late, Event::SendList(node));
         }
     }
 
-    fn tell(&mut self, now: f64, node: NodeId, out: &mut Vec<Out>) {
-        let bound = &self.scenario.discovery;
-        let later = self.list.at_work(now).filter(|_| self.list.watched(node));
+    fn send_list(&mut self, now: f64, node: NodeId, out: &mut Vec<Output>) {
+        let limits = &self.scenario.discovery;
+        let later = self.list.busy_until(now).filter(|_| self.list.watched(node));
         if let Some(later) = later {
-            return self.at(later, Due::Tell(node));
+            return self.schedule(later, Event::SendList(node));
         }
-        let told = self.list.news(node);
+        let told = self.list.pending_update(node);
         let lines = told.as_ref().map_or(0, |(_, listing)| listing.hosts.len());
-        self.list.work(now, lines as f64, bound);
-        out.extend(told.map(|(watch, listing)| Out::Listed { node, watch, listing }));
+        self.list.occupy(now, lines as f64, limits);
+        out.extend(told.map(|(watch, listing)| Output::Listed { node, watch, listing }));
     }
 
-    /// What the list could have told by now counts as told, unless it ailed.
-    fn deem(&mut self, now: f64, worker: WorkerId, version: u64, well: bool) {
-        let (standing, started, current) = self.list.of(worker);
+    /// Takes a change as known to every node once the longest allowed delay has passed, unless discovery was
+    /// degraded meanwhile.
+    fn assume_told(&mut self, now: f64, worker: WorkerId, version: u64, healthy: bool) {
+        let (standing, started, current) = self.list.entry(worker);
         let since = now - self.scenario.platform.told_latest.0;
-        if !well || !self.list.is_well() || self.list.ailed >= since || current != version {
+        if !healthy || !self.list.is_healthy() || self.list.last_degraded >= since || current != version {
             return;
         }
         let wanted = standing == Standing::Ready;
-        self.deemed[worker] = Some(Deemed { at: now, wanted, started });
+        self.assumed_told[worker] = Some(AssumedTold { at: now, wanted, started });
         for node in (0..self.nodes.len()).filter(|&node| self.nodes[node].alive) {
-            self.referee.told(now, node, worker, wanted, started);
+            self.invariants.told(now, node, worker, wanted, started);
         }
     }
 
-    /// A node that starts is held to what counted as told while it was dead, but of workers of whose later process its own list
-    /// tells.
-    fn deem_at_start(&mut self, node: NodeId) {
-        for (worker, deemed) in self.deemed.iter().enumerate() {
-            let Some(Deemed { at, wanted, started }) = *deemed else { continue };
-            if !self.referee.knows_later(node, worker, started) {
-                self.referee.told(at, node, worker, wanted, started);
+    /// A starting node is taken to know what was assumed known while it was down, except for workers of
+    /// which its own list already has a later process.
+    fn assume_told_at_start(&mut self, node: NodeId) {
+        for (worker, assumed_told) in self.assumed_told.iter().enumerate() {
+            let Some(AssumedTold { at, wanted, started }) = *assumed_told else { continue };
+            if !self.invariants.knows_later_start(node, worker, started) {
+                self.invariants.told(at, node, worker, wanted, started);
             }
         }
     }
 
-    /// A node begins to watch, as soon as the list's service comes to it.
-    pub fn watch(&mut self, now: f64, node: NodeId, watch: u64, version: u64, out: &mut Vec<Out>) {
+    /// A node asks for a watch; discovery answers when it is no longer busy.
+    pub fn watch(&mut self, now: f64, node: NodeId, watch: u64, version: u64, out: &mut Vec<Output>) {
         self.counts.watches += 1;
-        let (at, refused) = self.list.ask(now, node, (watch, version), &self.scenario.discovery);
+        let (at, refused) = self.list.request_watch(now, node, (watch, version), &self.scenario.discovery);
         if at > now {
-            return self.at(at, Due::Turn(node, watch, refused));
+            return self.schedule(at, Event::WatchAnswer(node, watch, refused));
         }
-        self.turn(now, node, watch, refused, out);
+        self.answer_watch(now, node, watch, refused, out);
     }
 
-    fn turn(&mut self, now: f64, node: NodeId, watch: u64, refused: bool, out: &mut Vec<Out>) {
-        // Its node has died since, or asked anew.
-        let Some((watch, version)) = self.list.turn(node, watch) else { return };
+    fn answer_watch(&mut self, now: f64, node: NodeId, watch: u64, refused: bool, out: &mut Vec<Output>) {
+        // The node has ended since, or has asked again.
+        let Some((watch, version)) = self.list.take_waiting(node, watch) else { return };
         match self.list.watch(node, watch, version).filter(|_| !refused) {
             None => {
                 self.list.unwatch(node);
                 let loss = if refused { Loss::Waited } else { Loss::Closed };
-                out.push(Out::Lost { node, watch, loss });
+                out.push(Output::Lost { node, watch, loss });
             }
             Some(listing) => {
-                if let Start::Asks(since) = std::mem::replace(&mut self.nodes[node].start, Start::Follows) {
+                if let StartPhase::AwaitingDiscovery(since) =
+                    std::mem::replace(&mut self.nodes[node].start, StartPhase::Following)
+                {
                     self.follows.push((since, now - since));
                 }
                 let version = listing.as_ref().map_or(version, |listing| listing.version);
-                out.extend(listing.map(|listing| Out::Listed { node, watch, listing }));
-                out.push(Out::Begun { node, watch, version });
+                out.extend(listing.map(|listing| Output::Listed { node, watch, listing }));
+                out.push(Output::Begun { node, watch, version });
             }
         }
     }
 
-    /// A list has been written to a node.
+    /// A list or an update has been written to a node.
     pub fn listed(&mut self, now: f64, node: NodeId, listing: &Listing) {
         let number = |host: &Host| host.id.strip_prefix("w-").and_then(|id| id.parse::<usize>().ok());
         let hosts: Vec<(usize, &Host)> = listing.hosts.iter().filter_map(|h| Some((number(h)?, h))).collect();
         if listing.full {
             let named: Vec<usize> = hosts.iter().map(|host| host.0).collect();
             let lacking = (0..self.workers.len()).filter(|worker| !named.contains(worker));
-            lacking.for_each(|worker| self.referee.told(now, node, worker, false, f64::NEG_INFINITY));
+            lacking.for_each(|worker| self.invariants.told(now, node, worker, false, f64::NEG_INFINITY));
         }
         for (worker, host) in hosts {
-            self.referee.told(now, node, worker, host.standing == Standing::Ready, host.started);
+            self.invariants.told(now, node, worker, host.standing == Standing::Ready, host.started);
         }
-        self.had[node] = self.list.whole();
+        self.had[node] = self.list.full_list();
         let start = &mut self.nodes[node].start;
-        if *start == Start::Begins {
-            *start = Start::Asks(now);
+        if *start == StartPhase::Loading {
+            *start = StartPhase::AwaitingDiscovery(now);
         }
     }
 
-    /// What a node that starts is told to have known.
-    pub fn known(&self, node: NodeId) -> Listing {
+    /// The list that a starting node begins with.
+    pub fn known_list(&self, node: NodeId) -> Listing {
         match self.scenario.discovery.known {
             true => self.had[node].clone(),
             false => Listing::default(),
         }
     }
 
-    // Nodes.
+    // Nodes
 
-    /// A node starts, with the list that it last had.
-    pub fn node_began(&mut self, now: f64, node: NodeId, known: &Listing) {
+    /// A node's process starts, with the list that it last had.
+    pub fn node_started(&mut self, now: f64, node: NodeId, known: &Listing) {
         let seen = &mut self.nodes[node];
-        (seen.alive, seen.start) = (true, Start::Begins);
+        (seen.alive, seen.start) = (true, StartPhase::Loading);
         self.listed(now, node, &Listing { full: false, ..known.clone() });
-        self.deem_at_start(node);
+        self.assume_told_at_start(node);
     }
 
-    /// It says that it is up: the front takes it in.
-    pub fn node_serves(&mut self, node: NodeId) {
+    /// The node reports that it is ready: the front end takes it into rotation.
+    pub fn node_ready(&mut self, node: NodeId) {
         let seen = &mut self.nodes[node];
-        (seen.turn, seen.fronted) = (seen.turn + 1, true);
+        (seen.rotation_change, seen.in_rotation) = (seen.rotation_change + 1, true);
     }
 
     pub fn node_gone(&mut self, now: f64, node: NodeId) {
-        self.referee.node_died(node);
+        self.invariants.node_died(node);
         self.list.unwatch(node);
         let seen = &mut self.nodes[node];
-        (seen.alive, seen.turn) = (false, seen.turn + 1);
-        let turn = seen.turn;
-        self.at(now + self.scenario.clients.notices.0, Due::Front(node, false, turn));
+        (seen.alive, seen.rotation_change) = (false, seen.rotation_change + 1);
+        let turn = seen.rotation_change;
+        self.schedule(now + self.scenario.clients.notices.0, Event::SetRotation(node, false, turn));
     }
 
-    /// It has been asked to stop: the front soon sends no new clients there.
-    pub fn node_stops(&mut self, now: f64, node: NodeId) {
-        let turn = self.nodes[node].turn;
-        self.at(now + STOP_NOTICED, Due::Front(node, false, turn));
+    /// The node was asked to stop: after a short delay the front end sends it no new clients.
+    pub fn node_stopping(&mut self, now: f64, node: NodeId) {
+        let turn = self.nodes[node].rotation_change;
+        self.schedule(now + STOP_NOTICE_DELAY, Event::SetRotation(node, false, turn));
     }
 
-    // Faults.
+    // Faults
 
     fn targets(&mut self, fault: &Fault) -> Vec<usize> {
         let fits = |zone: &String, kind: Option<&String>| {
@@ -832,7 +864,7 @@
         };
         let mut fit: Vec<usize> = match fault.what.place() {
             Place::Workers => {
-                let fits = |w: &Worker| fits(&w.make.zone, Some(&w.make.kind));
+                let fits = |w: &Worker| fits(&w.spec.zone, Some(&w.spec.kind));
                 (0..self.workers.len()).filter(|&at| fits(&self.workers[at])).collect()
             }
             Place::Nodes => (0..self.nodes.len())
@@ -848,99 +880,101 @@
         fit
     }
 
-    fn begin(&mut self, now: f64, at: usize, out: &mut Vec<Out>) {
+    fn begin_fault(&mut self, now: f64, at: usize, out: &mut Vec<Output>) {
         let fault = self.scenario.faults[at].clone();
         let targets = self.targets(&fault);
-        self.struck[at] = targets.clone();
+        self.fault_targets[at] = targets.clone();
         let spread = if fault.lasts.0 > 0.0 { fault.lasts.0 / targets.len().max(1) as f64 } else { 0.0 };
         for (nth, target) in targets.into_iter().enumerate() {
             match fault.what {
-                What::Dies => self.dies(now, target, Life::Down),
-                What::Vanishes => self.dies(now, target, Life::Vanished),
+                What::Dies => self.stop_worker(now, target, Liveness::Down),
+                What::Vanishes => self.stop_worker(now, target, Liveness::Vanished),
                 What::Drains => self.drain(now, target),
                 What::Release => {
                     let (drained, begun) = (self.scenario.discovery.drains.0, now + nth as f64 * spread);
-                    self.at(begun, Due::Drain(target));
-                    self.at(begun + drained + RESTARTS, Due::Restart(target));
+                    self.schedule(begun, Event::Drain(target));
+                    self.schedule(begun + drained + RESTART_DELAY, Event::Restart(target));
                 }
-                What::NodesKilled => self.at(now, Due::Order(target, Order::Kill)),
-                What::NodesStop => self.at(now, Due::Order(target, Order::Stop)),
-                What::NodesReload => self.at(now, Due::Order(target, Order::Reload)),
-                What::NodesRetune => self.at(now, Due::Order(target, Order::Retune)),
-                What::NodesReplace => self.at(now, Due::Order(target, Order::Replace)),
-                What::NodesSetBack => self.at(now, Due::Order(target, Order::Kill)),
-                What::NodesStall => self.at(now, Due::Order(target, Order::Stall)),
-                _ => self.ail(now, target),
+                What::NodesKilled => self.schedule(now, Event::NodeOrder(target, Order::Kill)),
+                What::NodesStop => self.schedule(now, Event::NodeOrder(target, Order::Stop)),
+                What::NodesReload => self.schedule(now, Event::NodeOrder(target, Order::Reload)),
+                What::NodesRetune => self.schedule(now, Event::NodeOrder(target, Order::Retune)),
+                What::NodesReplace => self.schedule(now, Event::NodeOrder(target, Order::Replace)),
+                What::NodesSetBack => self.schedule(now, Event::NodeOrder(target, Order::Kill)),
+                What::NodesStall => self.schedule(now, Event::NodeOrder(target, Order::Stall)),
+                _ => self.update_worker_faults(now, target),
             }
         }
-        self.weather(now);
+        self.update_global_faults(now);
         match fault.what {
             What::ListDown => {
                 self.list.down = true;
                 for node in 0..self.nodes.len() {
                     let lost = self.list.unwatch(node);
-                    out.extend(lost.map(|watch| Out::Lost { node, watch, loss: Loss::Closed }));
+                    out.extend(lost.map(|watch| Output::Lost { node, watch, loss: Loss::Closed }));
                 }
             }
             What::ListEmpty => {
                 self.list.set_empty(true);
-                self.spread(now);
+                self.schedule_list_updates(now);
             }
             _ => {}
         }
     }
 
-    fn cease(&mut self, now: f64, at: usize, out: &mut Vec<Out>) {
+    fn end_fault(&mut self, now: f64, at: usize, out: &mut Vec<Output>) {
         let fault = self.scenario.faults[at].clone();
-        let targets = std::mem::take(&mut self.struck[at]);
+        let targets = std::mem::take(&mut self.fault_targets[at]);
         for target in targets {
             match fault.what {
-                What::Dies | What::Drains => self.at(now, Due::Restart(target)),
+                What::Dies | What::Drains => self.schedule(now, Event::Restart(target)),
                 What::Vanishes => {
-                    // Its machine is back: what stood open there is reset.
-                    out.extend((0..self.nodes.len()).map(|node| Out::Reset {
+                    // The machine is back: connections that were open there are reset.
+                    out.extend((0..self.nodes.len()).map(|node| Output::Reset {
                         node,
                         worker: target,
                         tri: TryId::MAX,
                     }));
-                    self.at(now, Due::Restart(target));
+                    self.schedule(now, Event::Restart(target));
                 }
                 What::SilentThenDies => {
-                    self.ail(now, target);
-                    self.dies(now, target, Life::Down);
-                    self.at(now + RESTARTS, Due::Restart(target));
+                    self.update_worker_faults(now, target);
+                    self.stop_worker(now, target, Liveness::Down);
+                    self.schedule(now + RESTART_DELAY, Event::Restart(target));
+                }
+                What::NodesKilled | What::NodesStop => {
+                    self.schedule(now, Event::NodeOrder(target, Order::Start))
                 }
-                What::NodesKilled | What::NodesStop => self.at(now, Due::Order(target, Order::Start)),
-                What::NodesSetBack => self.at(now, Due::Order(target, Order::StartBack)),
-                What::NodesStall => self.at(now, Due::Order(target, Order::Wake)),
+                What::NodesSetBack => self.schedule(now, Event::NodeOrder(target, Order::StartBack)),
+                What::NodesStall => self.schedule(now, Event::NodeOrder(target, Order::Wake)),
                 What::Release | What::NodesReload | What::NodesRetune | What::NodesReplace => {}
-                _ => self.ail(now, target),
+                _ => self.update_worker_faults(now, target),
             }
         }
-        self.weather(now);
+        self.update_global_faults(now);
         if fault.what == What::ListEmpty {
             self.list.set_empty(false);
         }
         if fault.what.place() == Place::List {
-            self.spread(now);
+            self.schedule_list_updates(now);
         }
     }
 
-    /// The strongest of the faults of a kind that strike now.
+    /// The greatest strength among the faults of a kind that are active now.
     fn strongest(&self, now: f64, what: What, target: Option<usize>) -> Option<f64> {
         let strikes = |(at, fault): &(usize, &Fault)| {
             fault.what == what
                 && (fault.at.0..fault.until()).contains(&now)
-                && target.is_none_or(|target| self.struck[*at].contains(&target))
+                && target.is_none_or(|target| self.fault_targets[*at].contains(&target))
         };
         let faults = self.scenario.faults.iter().enumerate().filter(strikes);
         faults.map(|(_, fault)| fault.strength()).reduce(f64::max)
     }
 
-    /// What ails a worker, of all that strikes it now.
-    fn ail(&mut self, now: f64, worker: WorkerId) {
+    /// Recomputes a worker's faults from all that are active now.
+    fn update_worker_faults(&mut self, now: f64, worker: WorkerId) {
         let by = |what| self.strongest(now, what, Some(worker));
-        let ails = worker::Ails {
+        let faults = worker::ActiveFaults {
             silent: by(What::Silent).or(by(What::SilentThenDies)).is_some(),
             paused: by(What::Pause).is_some(),
             stolen: by(What::Stolen).unwrap_or(0.0),
@@ -953,23 +987,23 @@
             old_reports: by(What::OldReports).unwrap_or(0.0),
             connections: by(What::Connections).map(|most| most as usize),
         };
-        let (mut said, at) = (Vec::new(), &mut self.workers[worker]);
-        at.steal(now, ails.stolen);
-        let (silent, paused) = (ails.silent, ails.paused);
-        let (was_silent, was_paused) = (at.ails.silent, at.ails.paused);
-        at.ails = worker::Ails { silent: was_silent, paused: was_paused, ..ails };
+        let (mut messages, at) = (Vec::new(), &mut self.workers[worker]);
+        at.steal(now, faults.stolen);
+        let (silent, paused) = (faults.silent, faults.paused);
+        let (was_silent, was_paused) = (at.faults.silent, at.faults.paused);
+        at.faults = worker::ActiveFaults { silent: was_silent, paused: was_paused, ..faults };
         if silent != was_silent {
-            at.silence(silent, &mut said);
+            at.set_silent(silent, &mut messages);
         }
         if paused != was_paused {
-            at.pause(now, paused, &mut said);
+            at.set_paused(now, paused, &mut messages);
         }
-        self.says(worker, said);
-        self.stir(now, worker);
+        self.queue_messages(worker, messages);
+        self.schedule_worker(now, worker);
     }
 
-    /// What strikes clients, the network and the list as a whole.
-    fn weather(&mut self, now: f64) {
+    /// Recomputes the faults that affect clients, the network and discovery as a whole.
+    fn update_global_faults(&mut self, now: f64) {
         let by = |what| self.strongest(now, what, None);
         let (surge, heavy) = (by(What::Surge).unwrap_or(1.0), by(What::Heavy).unwrap_or(1.0));
         let latency = by(What::Latency).unwrap_or(0.0);
@@ -979,49 +1013,49 @@
         let cut = |f: &&Fault| f.what == What::Partition && (f.at.0..f.until()).contains(&now);
         self.partitions = self.scenario.faults.iter().filter(cut).filter_map(|f| f.zone.clone()).collect();
         (self.surge, self.heavy, self.latency, self.resets) = (surge, heavy, latency, resets);
-        if !self.list.is_well() {
-            self.list.ailed = now;
+        if !self.list.is_healthy() {
+            self.list.last_degraded = now;
         }
         (self.list.down, self.list.stale, self.list.late) = (down, stale, late);
-        if !self.list.is_well() {
-            self.list.ailed = now;
+        if !self.list.is_healthy() {
+            self.list.last_degraded = now;
         }
     }
 
-    // What is left at the end.
+    // Results
 
     pub fn result(&mut self) -> Outcome {
         for ask in 0..self.clients.asks.len() {
             self.clients.end(&self.scenario, self.delayed, ask, End::Failed);
         }
-        self.counts.second_copies = self.referee.second_copies;
+        self.counts.second_copies = self.invariants.second_copies;
         self.counts.watches = self.list.calls;
-        self.counts.cold_most = self.workers.iter().map(|w| w.borne.most).fold(0.0, f64::max);
-        self.counts.cold_work = self.workers.iter().map(|w| w.borne.work).sum();
+        self.counts.cold_most = self.workers.iter().map(|w| w.cold_load.most).fold(0.0, f64::max);
+        self.counts.cold_work = self.workers.iter().map(|w| w.cold_load.work).sum();
         Outcome {
             service: self.clients.service.clone(),
             counts: self.counts,
-            broken: self.referee.broken,
-            breaches: self.referee.breaches.clone(),
+            broken: self.invariants.broken,
+            breaches: self.invariants.breaches.clone(),
             follows: std::mem::take(&mut self.follows),
         }
     }
 
-    /// A forward's outcome has come to its node.
+    /// A forward's outcome has reached its node.
     pub fn outcome(&mut self, now: f64, tri: TryId, worker: WorkerId, never_ran: bool) {
         let proof = if never_ran { Proof::NeverRan } else { Proof::MayHaveRun };
-        self.referee.outcome(now, tri, worker, proof);
+        self.invariants.outcome(now, tri, worker, proof);
     }
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Outcome {
     pub service: Service,
     pub counts: Counts,
     pub broken: u64,
     pub breaches: Vec<Breach>,
-    /// When each process of a node started, and how long after discovery answered its call.
+    /// When each node process started, and how long after that discovery answered its call.
     #[serde(skip)]
     pub follows: Vec<(f64, f64)>,
 }
@@ -1032,14 +1066,14 @@
     }
 }
 
-const TIDY_EVERY: f64 = 10.0;
-/// The front has nobody: asked again after this.
-const NOBODY: f64 = 0.1;
-/// A refused connection: the next node is tried after this.
-const REDIALS: f64 = 0.02;
-/// The front sends new clients to a node that was asked to stop for this long.
-const STOP_NOTICED: f64 = 0.3;
-/// A process that ended starts again after this.
-const RESTARTS: f64 = 1.0;
-/// What is told twice is told again after this.
-const DOUBLED: f64 = 0.05;
+const PRUNE_INTERVAL: f64 = 10.0;
+/// Delay before a client tries again when no node is in rotation.
+const NO_NODE_RETRY: f64 = 0.1;
+/// Delay before a client tries another node after a refused connection.
+const REDIAL_DELAY: f64 = 0.02;
+/// For this long the front end still sends new clients to a node that was asked to stop.
+const STOP_NOTICE_DELAY: f64 = 0.3;
+/// Delay before an ended process starts again.
+const RESTART_DELAY: f64 = 1.0;
+/// Delay before duplicated news is sent a second time.
+const DUPLICATE_DELAY: f64 = 0.05;
--- a/crates/coveroute-emu/src/world/worker.rs
+++ b/crates/coveroute-emu/src/world/worker.rs
@@ -1,5 +1,5 @@
-//! One worker: slots, cores that running jobs share, a queue in order, warm-up, and what ails it. It keeps no clock:
-//! it is told the time, and tells when it has something to do next.
+//! One worker: slots, cores shared by the running jobs, a FIFO queue, warm-up and injected faults. It keeps
+//! no clock: the caller passes the time in and asks when the next event is due.
 use std::collections::VecDeque;
 
 use coveroute::types::Report;
@@ -8,19 +8,19 @@
 use crate::world::{NodeId, TryId};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Life {
+pub enum Liveness {
     Up,
-    /// Finishes what it has, turns away what comes.
+    /// Finishes its jobs and rejects new ones.
     Draining,
-    /// Its process is not there: connections are refused.
+    /// The process is gone: connections are refused.
     Down,
-    /// Its machine is not there: nothing answers, nothing is refused.
+    /// The machine is gone: nothing is answered and nothing is refused.
     Vanished,
 }
 
-/// What ails it now; all of it may at once.
+/// The faults that affect a worker now; any combination may be active.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ails {
+pub struct ActiveFaults {
     pub silent: bool,
     pub paused: bool,
     pub stolen: f64,
@@ -48,139 +48,141 @@
     memory: f64,
     stage: Stage,
     acked: bool,
-    noted: f64,
+    last_progress: f64,
 }
 
-/// What a job is to a worker.
+/// A job as it arrives at a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub tri: TryId,
     pub node: NodeId,
     pub work: f64,
     pub memory: f64,
-    /// Whether its node had been told of this worker's start.
+    /// Whether the sending node had been told of this worker's start.
     pub informed: bool,
 }
 
-/// What a worker does about one of its jobs.
+/// What a worker does with one of its jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Deed {
-    /// Says that it has the job, after so long.
+pub enum JobAction {
+    /// Acknowledges the job after this many seconds.
     Acks {
         after: f64,
     },
     Rejects,
-    /// Answers that it failed.
+    /// Answers at once that the job failed.
     Fails,
     Started,
     Running,
-    /// It has run to its end: here its effect is.
+    /// The job has run to its end; its effect takes place here.
     Ran,
-    /// Tells the result.
+    /// Sends the result.
     Done,
     GivesBack,
-    /// The agent of its machine has seen the process die.
+    /// The agent on the worker's machine reports that the process died.
     Lost,
 }
 
-/// A deed, and the job that it is about.
+/// An action and the job that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said {
+pub struct WorkerMessage {
     pub tri: TryId,
     pub node: NodeId,
-    pub deed: Deed,
+    pub action: JobAction,
 }
 
-/// What is sent to a cold worker counts for so long; its work in means of a request, and by whom it came.
+/// A job recently sent to a cold worker: when it arrived, its work relative to a mean request, and whether
+/// its node knew of the worker's start.
 #[derive(Clone, Copy, Debug)]
-struct Pressure {
+struct RecentJob {
     at: f64,
     work: f64,
     informed: bool,
 }
 
-/// What pushed a cold worker over, in requests of mean work: the part of it from nodes that knew that it was cold.
+/// An overload that makes a cold worker fail, in requests of mean work. `informed` is the share sent by
+/// nodes that knew that it was cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fall {
+pub struct Overload {
     pub informed: f64,
     pub sent: f64,
     pub most: f64,
 }
 
-/// What a cold worker has borne, of all its starts.
+/// The load on a worker while it was cold, over all its starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Borne {
-    /// The most that was sent in a span, as a part of what would have pushed it over.
+pub struct ColdLoad {
+    /// The largest load within a span, relative to the overload limit.
     pub most: f64,
-    /// Work done while it was cold.
+    /// Work done while cold.
     pub work: f64,
 }
 
-/// Draws for a job's fate come from the world, in order of arrival.
+/// The random draw that decides a job's fate; the world makes it in order of arrival.
 #[derive(Clone, Copy, Debug)]
-pub struct Luck {
+pub struct FaultDraw {
     pub fate: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Worker {
-    pub make: Workers,
+    pub spec: Workers,
     pub cell: i64,
-    pub life: Life,
-    /// 0 for long ago.
+    pub life: Liveness,
+    /// Start time of the process; 0 means long ago.
     pub started: f64,
-    pub ails: Ails,
+    pub faults: ActiveFaults,
     cold: Cold,
     /// The mean work of a request.
-    mean: f64,
-    pub borne: Borne,
+    mean_work: f64,
+    pub cold_load: ColdLoad,
     jobs: Vec<Job>,
-    /// What came while it stood still.
-    inbox: Vec<(Arrival, Luck)>,
-    /// What it would have said while it was silent.
-    unsaid: Vec<Said>,
-    pressure: VecDeque<Pressure>,
+    /// Jobs that arrived while the process was paused.
+    inbox: Vec<(Arrival, FaultDraw)>,
+    /// Messages held back while the worker is silent.
+    withheld: Vec<WorkerMessage>,
+    recent_jobs: VecDeque<RecentJob>,
     reports: VecDeque<(f64, Report)>,
-    moved: f64,
+    updated_at: f64,
     progress: f64,
     tells_start: bool,
 }
 
-/// While it warms up, its speed is taken anew this often.
-const WARMING: f64 = 0.25;
-/// Reports kept, for those that are told late.
-const REPORTS_KEPT: usize = 256;
+/// Interval at which the speed is recomputed during warm-up.
+const WARMING_INTERVAL: f64 = 0.25;
+/// Reports kept, to serve those that are sent late.
+const MAX_REPORTS: usize = 256;
 
-/// The operators' term: more requests of mean work in a span push a cold worker over, where the settings allow `n`.
-/// Twice the root is chance's part.
-pub fn bears(n: f64) -> f64 {
+/// The overload rule that the operators stated: a cold worker fails on more than this many requests of mean
+/// work in a span for which the settings allow `n`. Twice the square root allows for random variation.
+pub fn overload_limit(n: f64) -> f64 {
     n + 2.0 * n.sqrt() + 2.0
 }
 
 impl Worker {
-    /// `mean`: the mean work of a request.
+    /// `mean_work` is the mean work of a request.
     pub fn new(
-        make: &Workers,
+        spec: &Workers,
         cell: i64,
-        (cold, mean): (&Cold, f64),
+        (cold, mean_work): (&Cold, f64),
         progress: f64,
         tells_start: bool,
     ) -> Self {
         Worker {
-            make: make.clone(),
+            spec: spec.clone(),
             cell,
-            life: Life::Up,
+            life: Liveness::Up,
             started: 0.0,
-            ails: Ails::default(),
+            faults: ActiveFaults::default(),
             cold: cold.clone(),
-            mean,
-            borne: Borne::default(),
+            mean_work,
+            cold_load: ColdLoad::default(),
             jobs: Vec::new(),
             inbox: Vec::new(),
-            unsaid: Vec::new(),
-            pressure: VecDeque::new(),
+            withheld: Vec::new(),
+            recent_jobs: VecDeque::new(),
             reports: VecDeque::new(),
-            moved: 0.0,
+            updated_at: 0.0,
             progress,
             tells_start,
         }
@@ -195,16 +197,16 @@
     }
 
     pub fn memory(&self) -> f64 {
-        if self.make.memory.0 > 0.0 {
-            self.make.memory.0
+        if self.spec.memory.0 > 0.0 {
+            self.spec.memory.0
         } else {
-            self.make.slots.0 as f64
+            self.spec.slots.0 as f64
         }
     }
 
-    /// Work that it could do in a second, ailing or not.
+    /// Work per second that the worker can do without faults.
     pub fn capacity(&self, now: f64) -> f64 {
-        self.make.cores.0.min(self.make.slots.0 as f64) * self.make.speed.0 * self.warmth(now)
+        self.spec.cores.0.min(self.spec.slots.0 as f64) * self.spec.speed.0 * self.warmth(now)
     }
 
     fn running(&self) -> usize {
@@ -219,254 +221,283 @@
         self.jobs.len()
     }
 
-    /// Work left of all that it holds.
+    /// Remaining work of all held jobs.
     pub fn backlog(&self) -> f64 {
         self.jobs.iter().map(|job| job.left).sum()
     }
 
-    /// Work a second that each running job gets.
-    fn pace(&self, now: f64) -> f64 {
+    /// Work per second that each running job gets.
+    fn rate_per_job(&self, now: f64) -> f64 {
         let running = self.running().max(1) as f64;
-        let cores = self.make.cores.0 * self.warmth(now) * (1.0 - self.ails.stolen);
-        if self.ails.paused || matches!(self.life, Life::Down | Life::Vanished) {
+        let cores = self.spec.cores.0 * self.warmth(now) * (1.0 - self.faults.stolen);
+        if self.faults.paused || matches!(self.life, Liveness::Down | Liveness::Vanished) {
             return 0.0;
         }
-        self.make.speed.0 * (cores / running).min(1.0)
+        self.spec.speed.0 * (cores / running).min(1.0)
     }
 
-    /// Lets running jobs run until now.
-    fn run(&mut self, now: f64) {
-        let done = self.pace(0.5 * (self.moved + now)) * (now - self.moved).max(0.0);
-        self.borne.work += if self.warmth(now) < 1.0 { done * self.running() as f64 } else { 0.0 };
-        self.moved = now;
+    /// Advances the running jobs to `now`.
+    fn progress_jobs(&mut self, now: f64) {
+        let done = self.rate_per_job(0.5 * (self.updated_at + now)) * (now - self.updated_at).max(0.0);
+        self.cold_load.work += if self.warmth(now) < 1.0 { done * self.running() as f64 } else { 0.0 };
+        self.updated_at = now;
         let running = self.jobs.iter_mut().filter(|job| job.stage == Stage::Running);
         running.for_each(|job| job.left -= done);
     }
 
-    /// When it has something to do next, if nothing else happens to it.
+    /// Time of the next event, if nothing else happens to the worker.
     pub fn next(&self, now: f64) -> Option<f64> {
-        let pace = self.pace(now);
-        if pace <= 0.0 || self.running() == 0 {
+        let rate_per_job = self.rate_per_job(now);
+        if rate_per_job <= 0.0 || self.running() == 0 {
             return None;
         }
         let running = || self.jobs.iter().filter(|job| job.stage == Stage::Running);
-        let ends = running().map(|job| job.left.max(0.0) / pace).fold(f64::INFINITY, f64::min);
-        let note =
-            |job: &Job| if self.progress > 0.0 { job.noted + self.progress - now } else { f64::INFINITY };
-        let notes = running().map(note).fold(f64::INFINITY, f64::min);
-        let warming = if self.warmth(now) < 1.0 { WARMING } else { f64::INFINITY };
+        let ends = running().map(|job| job.left.max(0.0) / rate_per_job).fold(f64::INFINITY, f64::min);
+        let record_report = |job: &Job| {
+            if self.progress > 0.0 {
+                job.last_progress + self.progress - now
+            } else {
+                f64::INFINITY
+            }
+        };
+        let notes = running().map(record_report).fold(f64::INFINITY, f64::min);
+        let warming = if self.warmth(now) < 1.0 { WARMING_INTERVAL } else { f64::INFINITY };
         Some(now + ends.min(notes).min(warming).max(1e-6))
     }
 
-    /// What has come about by now.
-    pub fn advance(&mut self, now: f64, out: &mut Vec<Said>) {
-        self.run(now);
+    /// Processes everything due by `now`.
+    pub fn advance(&mut self, now: f64, out: &mut Vec<WorkerMessage>) {
+        self.progress_jobs(now);
         let ended = |job: &Job| job.stage == Stage::Running && job.left <= 1e-9;
         let mut at = 0;
         while at < self.jobs.len() {
             if ended(&self.jobs[at]) {
                 let job = self.jobs.remove(at);
-                out.push(Said { tri: job.tri, node: job.node, deed: Deed::Ran });
-                self.say(job.tri, job.node, Deed::Done, out);
+                out.push(WorkerMessage { tri: job.tri, node: job.node, action: JobAction::Ran });
+                self.emit(job.tri, job.node, JobAction::Done, out);
             } else {
                 at += 1;
             }
         }
-        if self.progress > 0.0 && !self.ails.paused {
-            let due = |job: &&mut Job| job.stage == Stage::Running && now - job.noted >= self.progress - 1e-9;
+        if self.progress > 0.0 && !self.faults.paused {
+            let due = |job: &&mut Job| {
+                job.stage == Stage::Running && now - job.last_progress >= self.progress - 1e-9
+            };
             let due: Vec<(TryId, NodeId)> = self
                 .jobs
                 .iter_mut()
                 .filter(due)
                 .map(|job| {
-                    job.noted = now;
+                    job.last_progress = now;
                     (job.tri, job.node)
                 })
                 .collect();
-            due.into_iter().for_each(|(tri, node)| self.say(tri, node, Deed::Running, out));
+            due.into_iter().for_each(|(tri, node)| self.emit(tri, node, JobAction::Running, out));
         }
-        self.pump(now, out);
-        self.note(now);
+        self.start_queued(now, out);
+        self.record_report(now);
     }
 
-    /// The first that waits starts once it fits, and no other before it.
-    fn pump(&mut self, now: f64, out: &mut Vec<Said>) {
-        if self.ails.paused || matches!(self.life, Life::Down | Life::Vanished) {
+    /// Starts queued jobs strictly in order: a job that doesn't fit keeps the later ones waiting.
+    fn start_queued(&mut self, now: f64, out: &mut Vec<WorkerMessage>) {
+        if self.faults.paused || matches!(self.life, Liveness::Down | Liveness::Vanished) {
             return;
         }
         loop {
             let running = self.running();
             let used: f64 = self.jobs.iter().filter(|j| j.stage == Stage::Running).map(|j| j.memory).sum();
             let spare = self.memory() - used;
-            let slot = running < self.make.slots.0;
+            let slot = running < self.spec.slots.0;
             let first = self.jobs.iter_mut().find(|job| job.stage == Stage::Queued);
-            // What is larger than all of the memory runs alone.
+            // A job larger than the whole memory runs alone.
             let Some(job) = first.filter(|j| slot && (j.memory <= spare + 1e-9 || running == 0)) else {
                 return;
             };
-            (job.stage, job.noted) = (Stage::Running, now);
+            (job.stage, job.last_progress) = (Stage::Running, now);
             let (tri, node) = (job.tri, job.node);
             if self.tells_start {
-                self.say(tri, node, Deed::Started, out);
+                self.emit(tri, node, JobAction::Started, out);
             }
         }
     }
 
-    fn say(&mut self, tri: TryId, node: NodeId, deed: Deed, out: &mut Vec<Said>) {
-        let said = Said { tri, node, deed };
-        match (self.ails.silent, deed) {
+    fn emit(&mut self, tri: TryId, node: NodeId, action: JobAction, out: &mut Vec<WorkerMessage>) {
+        let said = WorkerMessage { tri, node, action };
+        match (self.faults.silent, action) {
             (false, _) => out.push(said),
-            // A result is told once it can be; what was only on the way says nothing any more.
-            (true, Deed::Done | Deed::Lost) => self.unsaid.push(said),
+            // Results are sent once the worker can speak again; progress messages are dropped.
+            (true, JobAction::Done | JobAction::Lost) => self.withheld.push(said),
             (true, _) => {}
         }
     }
 
-    /// A job's last byte has come. Tells whether it pushed a cold worker over.
-    pub fn arrive(&mut self, now: f64, job: Arrival, luck: Luck, out: &mut Vec<Said>) -> Option<Fall> {
-        let fall = self.press(now, &job);
+    /// A job's last byte has arrived. Returns the overload if it made a cold worker fail.
+    pub fn arrive(
+        &mut self,
+        now: f64,
+        job: Arrival,
+        draw: FaultDraw,
+        out: &mut Vec<WorkerMessage>,
+    ) -> Option<Overload> {
+        let fall = self.check_overload(now, &job);
         if fall.is_some() {
             return fall;
         }
-        if self.ails.paused {
-            self.inbox.push((job, luck));
+        if self.faults.paused {
+            self.inbox.push((job, draw));
             return None;
         }
-        self.run(now);
-        self.accept(now, job, luck, out);
-        self.pump(now, out);
-        self.note(now);
+        self.progress_jobs(now);
+        self.accept(now, job, draw, out);
+        self.start_queued(now, out);
+        self.record_report(now);
         None
     }
 
-    fn accept(&mut self, now: f64, job: Arrival, luck: Luck, out: &mut Vec<Said>) {
+    fn accept(&mut self, now: f64, job: Arrival, draw: FaultDraw, out: &mut Vec<WorkerMessage>) {
         let Arrival { tri, node, work, memory, .. } = job;
-        let full = self.queued() >= self.make.queue.0 && self.running() >= self.make.slots.0;
-        let ails = &self.ails;
-        let deed = match luck.fate {
-            _ if full || self.life == Life::Draining => Deed::Rejects,
-            fate if fate < ails.errors => Deed::Fails,
-            fate if fate < ails.errors + ails.loses => return self.ack(tri, node, out),
-            fate if fate < ails.errors + ails.loses + ails.gives_back => {
+        let full = self.queued() >= self.spec.queue.0 && self.running() >= self.spec.slots.0;
+        let faults = &self.faults;
+        let action = match draw.fate {
+            _ if full || self.life == Liveness::Draining => JobAction::Rejects,
+            fate if fate < faults.errors => JobAction::Fails,
+            fate if fate < faults.errors + faults.loses => return self.ack(tri, node, out),
+            fate if fate < faults.errors + faults.loses + faults.gives_back => {
                 self.ack(tri, node, out);
-                Deed::GivesBack
+                JobAction::GivesBack
             }
             _ => {
                 self.ack(tri, node, out);
-                let (stage, acked) = (Stage::Queued, !self.ails.silent);
-                self.jobs.push(Job { tri, node, left: work.max(1e-6), memory, stage, acked, noted: now });
+                let (stage, acked) = (Stage::Queued, !self.faults.silent);
+                self.jobs.push(Job {
+                    tri,
+                    node,
+                    left: work.max(1e-6),
+                    memory,
+                    stage,
+                    acked,
+                    last_progress: now,
+                });
                 return;
             }
         };
-        self.say(tri, node, deed, out);
+        self.emit(tri, node, action, out);
     }
 
-    fn ack(&mut self, tri: TryId, node: NodeId, out: &mut Vec<Said>) {
-        let after = self.make.acknowledges.0 + self.ails.slow_acks;
-        self.say(tri, node, Deed::Acks { after }, out);
+    fn ack(&mut self, tri: TryId, node: NodeId, out: &mut Vec<WorkerMessage>) {
+        let after = self.spec.acknowledges.0 + self.faults.slow_acks;
+        self.emit(tri, node, JobAction::Acks { after }, out);
     }
 
-    /// All that comes to a cold worker counts, also what it turns away: by number and by work, as the term can be
-    /// read either way.
-    fn press(&mut self, now: f64, job: &Arrival) -> Option<Fall> {
+    /// Counts every job that arrives at a cold worker, including rejected ones, both by number and by work,
+    /// as the operators' rule can be read either way.
+    fn check_overload(&mut self, now: f64, job: &Arrival) -> Option<Overload> {
         if self.warmth(now) >= 1.0 {
-            self.pressure.clear();
+            self.recent_jobs.clear();
             return None;
         }
         let Cold { factor, fall, .. } = &self.cold;
         let (factor, fall) = (factor.0, fall.0);
-        self.pressure.retain(|p| now - p.at <= fall);
-        self.pressure.push_back(Pressure { at: now, work: job.work / self.mean, informed: job.informed });
-        let most = bears(factor * self.capacity(now) * fall / self.mean);
-        let readings: [fn(&Pressure) -> f64; 2] = [|_| 1.0, |p| p.work];
+        self.recent_jobs.retain(|p| now - p.at <= fall);
+        self.recent_jobs.push_back(RecentJob {
+            at: now,
+            work: job.work / self.mean_work,
+            informed: job.informed,
+        });
+        let most = overload_limit(factor * self.capacity(now) * fall / self.mean_work);
+        let readings: [fn(&RecentJob) -> f64; 2] = [|_| 1.0, |p| p.work];
         let falls = readings.map(|of| {
-            let sent: f64 = self.pressure.iter().map(of).sum();
-            let informed: f64 = self.pressure.iter().filter(|p| p.informed).map(of).sum();
-            Fall { informed: informed / sent, sent, most }
+            let sent: f64 = self.recent_jobs.iter().map(of).sum();
+            let informed: f64 = self.recent_jobs.iter().filter(|p| p.informed).map(of).sum();
+            Overload { informed: informed / sent, sent, most }
         });
-        // One job that is heavier than the whole budget is nobody's fault.
-        if self.pressure.len() < 2 {
+        // A single job above the whole limit is not counted against anyone.
+        if self.recent_jobs.len() < 2 {
             return None;
         }
-        self.borne.most = falls.iter().map(|fall| fall.sent / most).fold(self.borne.most, f64::max);
+        self.cold_load.most = falls.iter().map(|fall| fall.sent / most).fold(self.cold_load.most, f64::max);
         falls.into_iter().filter(|fall| fall.sent > most).max_by(|a, b| a.informed.total_cmp(&b.informed))
     }
 
-    /// The node gives a job up, or closes the connection on which it waited to hear that the worker has it.
-    pub fn give_up(&mut self, now: f64, tri: TryId, node: NodeId, out: &mut Vec<Said>) {
-        if matches!(self.life, Life::Down | Life::Vanished) {
+    /// The node cancels a job, or closes the connection on which it awaited the acknowledgement.
+    pub fn give_up(&mut self, now: f64, tri: TryId, node: NodeId, out: &mut Vec<WorkerMessage>) {
+        if matches!(self.life, Liveness::Down | Liveness::Vanished) {
             return;
         }
         self.inbox.retain(|(job, _)| (job.tri, job.node) != (tri, node));
-        if self.ails.paused {
+        if self.faults.paused {
             return;
         }
-        self.run(now);
+        self.progress_jobs(now);
         self.jobs.retain(|job| (job.tri, job.node) != (tri, node));
-        self.pump(now, out);
-        self.note(now);
+        self.start_queued(now, out);
+        self.record_report(now);
     }
 
-    /// Whether the node was told that the worker has the job.
+    /// Whether the worker acknowledged the job to the node.
     pub fn acked(&self, tri: TryId, node: NodeId) -> bool {
         self.jobs.iter().any(|job| (job.tri, job.node) == (tri, node) && job.acked)
     }
 
-    /// Stands still, or goes on.
-    pub fn pause(&mut self, now: f64, paused: bool, out: &mut Vec<Said>) {
-        self.run(now);
-        self.ails.paused = paused;
+    /// Pauses the process or resumes it.
+    pub fn set_paused(&mut self, now: f64, paused: bool, out: &mut Vec<WorkerMessage>) {
+        self.progress_jobs(now);
+        self.faults.paused = paused;
         if !paused {
             let came = std::mem::take(&mut self.inbox);
-            came.into_iter().for_each(|(job, luck)| self.accept(now, job, luck, out));
-            self.pump(now, out);
-            self.note(now);
+            came.into_iter().for_each(|(job, draw)| self.accept(now, job, draw, out));
+            self.start_queued(now, out);
+            self.record_report(now);
         }
     }
 
-    /// Another takes this part of its cores.
+    /// Sets the share of the cores taken by other load on the machine.
     pub fn steal(&mut self, now: f64, part: f64) {
-        self.run(now);
-        self.ails.stolen = part;
+        self.progress_jobs(now);
+        self.faults.stolen = part;
     }
 
-    pub fn silence(&mut self, silent: bool, out: &mut Vec<Said>) {
-        self.ails.silent = silent;
+    pub fn set_silent(&mut self, silent: bool, out: &mut Vec<WorkerMessage>) {
+        self.faults.silent = silent;
         if !silent {
-            out.append(&mut self.unsaid);
+            out.append(&mut self.withheld);
         }
     }
 
-    /// Its process ends; what it held is lost.
-    pub fn end(&mut self, now: f64, life: Life, out: &mut Vec<Said>) {
-        self.run(now);
+    /// The process ends, and the jobs that it held are lost.
+    pub fn end(&mut self, now: f64, life: Liveness, out: &mut Vec<WorkerMessage>) {
+        self.progress_jobs(now);
         self.life = life;
-        if life == Life::Down {
-            let lost = |job: &Job| Said { tri: job.tri, node: job.node, deed: Deed::Lost };
+        if life == Liveness::Down {
+            let lost = |job: &Job| WorkerMessage { tri: job.tri, node: job.node, action: JobAction::Lost };
             out.extend(self.jobs.iter().map(lost));
-            out.extend(self.inbox.iter().map(|(j, _)| Said { tri: j.tri, node: j.node, deed: Deed::Lost }));
+            out.extend(self.inbox.iter().map(|(j, _)| WorkerMessage {
+                tri: j.tri,
+                node: j.node,
+                action: JobAction::Lost,
+            }));
         }
         self.jobs.clear();
         self.inbox.clear();
-        self.unsaid.clear();
+        self.withheld.clear();
         self.reports.clear();
     }
 
-    /// A new process.
+    /// Starts a new process.
     pub fn start(&mut self, now: f64) {
-        (self.life, self.started, self.moved) = (Life::Up, now, now);
-        self.pressure.clear();
-        self.note(now);
+        (self.life, self.started, self.updated_at) = (Liveness::Up, now, now);
+        self.recent_jobs.clear();
+        self.record_report(now);
     }
 
     pub fn drain(&mut self) {
-        self.life = Life::Draining;
+        self.life = Liveness::Draining;
     }
 
-    fn fresh(&self) -> Report {
+    fn current_report(&self) -> Report {
         let (running, queued) = (self.running() as f64, self.queued() as f64);
         let used: f64 = self.jobs.iter().filter(|j| j.stage == Stage::Running).map(|j| j.memory).sum();
-        let slots = self.make.slots.0 as f64;
+        let slots = self.spec.slots.0 as f64;
         Report {
             free: Some((slots - running).max(0.0)),
             queue: Some(queued),
@@ -476,31 +507,31 @@
         }
     }
 
-    fn note(&mut self, now: f64) {
-        let fresh = self.fresh();
-        self.reports.push_back((now, fresh));
-        if self.reports.len() > REPORTS_KEPT {
+    fn record_report(&mut self, now: f64) {
+        let current_report = self.current_report();
+        self.reports.push_back((now, current_report));
+        if self.reports.len() > MAX_REPORTS {
             self.reports.pop_front();
         }
     }
 
-    /// Its load as it was so long ago.
+    /// The load report as it was `age` seconds ago.
     pub fn report(&self, now: f64, age: f64) -> Report {
-        let age = age.max(self.ails.old_reports);
+        let age = age.max(self.faults.old_reports);
         if age <= 0.0 {
-            return self.fresh();
+            return self.current_report();
         }
         let old = self.reports.iter().rev().find(|(at, _)| now - at >= age).or(self.reports.front());
-        old.map_or_else(|| self.fresh(), |(_, report)| *report)
+        old.map_or_else(|| self.current_report(), |(_, report)| *report)
     }
 
     pub fn connections(&self) -> usize {
-        self.ails.connections.unwrap_or(self.make.connections.0)
+        self.faults.connections.unwrap_or(self.spec.connections.0)
     }
 
-    /// Whether a probe is answered at all.
-    pub fn hears(&self) -> bool {
-        matches!(self.life, Life::Up | Life::Draining) && !self.ails.paused && !self.ails.silent
+    /// Whether the worker answers probes at all.
+    pub fn answers_probes(&self) -> bool {
+        matches!(self.life, Liveness::Up | Liveness::Draining) && !self.faults.paused && !self.faults.silent
     }
 }
 
