--- a/crates/coveroute-emu/src/baseline.rs
+++ b/crates/coveroute-emu/src/baseline.rs
@@ -1,5 +1,6 @@
-//! Decisions to compare the node's with, behind the engine's own interface: they keep the four rules as the node
-//! does, and differ in which server alone. The oracle sees the true state of every worker, which no node can.
+//! Policies to compare the node's with, behind the engine's interface. They keep the same four rules and
+//! differ only in which server they choose. The oracle sees the true state of every worker, which no real
+//! node can.
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,11 +18,11 @@
 pub enum Choice {
     Random,
     RoundRobin,
-    /// The least of its own in flight.
+    /// The worker with the fewest of the node's own jobs in flight.
     Least,
-    /// The better of two drawn ones.
+    /// The less loaded of two random workers.
     Two,
-    /// The shortest true time to the end, over all nodes.
+    /// The shortest true completion time, over the load of all nodes.
     Oracle,
 }
 
@@ -40,22 +41,22 @@
     }
 }
 
-/// A rule that a baseline breaks on purpose, to show that the referee sees it.
+/// A rule that a baseline breaks on purpose, to show that the invariant checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// Gives nothing up: who can't be served hears nothing.
-    KeepsSilent,
-    /// Sends again whatever may have run.
-    SendsAgain,
-    /// Sends to whoever was ever listed.
-    SendsToTheGone,
-    /// Sends all to whoever started last.
-    PushesTheCold,
+pub enum Violation {
+    /// Never answers a job that it can't serve.
+    NeverAnswers,
+    /// Sends a job again although it may have run.
+    RepeatsUnsafely,
+    /// Sends to any worker that was ever listed.
+    SendsToGone,
+    /// Sends everything to the worker that started last.
+    OverloadsCold,
 }
 
-/// What the oracle knows of workers, by mark: seconds until a job that comes now would start there, and its pace;
-/// none for one that would not serve it.
-pub type Truth = Rc<RefCell<BTreeMap<u32, Option<(f64, f64)>>>>;
+/// The oracle's view of the workers, by mark: seconds until a job arriving now would start, and its speed;
+/// none for a worker that would not serve it.
+pub type OracleView = Rc<RefCell<BTreeMap<u32, Option<(f64, f64)>>>>;
 
 #[derive(Debug)]
 struct Job {
@@ -65,7 +66,7 @@
     out: Option<Tgt>,
     forwards: usize,
     /// The first forward that may have run, and when it was sent.
-    anchor: Option<(Tgt, f64)>,
+    first_uncertain: Option<(Tgt, f64)>,
     sent: f64,
 }
 
@@ -73,61 +74,61 @@
 struct Worker {
     entry: Entry,
     held: usize,
-    /// Not asked again before then, after a refusal or a failure.
-    rests: f64,
+    /// Not used before this time, after a rejection or failure.
+    avoid_until: f64,
 }
 
 pub struct Baseline {
-    set: Settings,
+    settings: Settings,
     choice: Choice,
     draw: Pcg64Mcg,
     workers: Vec<Worker>,
     jobs: BTreeMap<InvId, Job>,
     waiting: Vec<InvId>,
     next: usize,
-    lost: u32,
-    truth: Option<Truth>,
-    looking: bool,
-    wrong: Option<Wrong>,
+    failed_follows: u32,
+    oracle: Option<OracleView>,
+    retry_scheduled: bool,
+    violation: Option<Violation>,
 }
 
-const LOOK: u64 = 1;
-const ASK: u64 = 2;
-/// What waits is looked at again this often, and a worker that failed rests this long.
-const LOOK_EVERY: f64 = 0.025;
-const RESTS: f64 = 0.2;
-const BEFORE_END: f64 = 0.1;
+const TIMER_RETRY: u64 = 1;
+const TIMER_FOLLOW: u64 = 2;
+/// Interval at which waiting jobs are reconsidered, and how long a worker that failed is avoided.
+const RETRY_INTERVAL: f64 = 0.025;
+const FAILURE_COOLDOWN: f64 = 0.2;
+const DEADLINE_MARGIN: f64 = 0.1;
 
 impl Baseline {
-    pub fn new(set: Settings, seed: u64, choice: Choice, truth: Option<Truth>) -> Self {
+    pub fn new(settings: Settings, seed: u64, choice: Choice, oracle: Option<OracleView>) -> Self {
         Baseline {
-            set,
+            settings,
             choice,
             draw: Pcg64Mcg::seed_from_u64(seed),
             workers: Vec::new(),
             jobs: BTreeMap::new(),
             waiting: Vec::new(),
             next: 0,
-            lost: 0,
-            truth,
-            looking: false,
-            wrong: None,
+            failed_follows: 0,
+            oracle,
+            retry_scheduled: false,
+            violation: None,
         }
     }
 
-    pub fn wrong(set: Settings, seed: u64, wrong: Wrong) -> Self {
-        Baseline { wrong: Some(wrong), ..Baseline::new(set, seed, Choice::Random, None) }
+    pub fn violation(settings: Settings, seed: u64, violation: Violation) -> Self {
+        Baseline { violation: Some(violation), ..Baseline::new(settings, seed, Choice::Random, None) }
     }
 
     fn list(&mut self, list: List, out: &mut Vec<Output>) {
         let whole = !matches!(list, List::Changes(_));
         let first = matches!(list, List::Kept(..));
         let (List::Changes(entries) | List::Whole(entries) | List::Kept(entries, _)) = list else {
-            self.lost += 1;
-            let after = 0.5 * f64::from(1 << self.lost.min(3)) * (0.5 + self.draw.random::<f64>());
-            return out.push(Output::Wake { after, timer: ASK });
+            self.failed_follows += 1;
+            let after = 0.5 * f64::from(1 << self.failed_follows.min(3)) * (0.5 + self.draw.random::<f64>());
+            return out.push(Output::Wake { after, timer: TIMER_FOLLOW });
         };
-        self.lost = 0;
+        self.failed_follows = 0;
         out.extend(first.then_some(Output::Follow));
         if whole {
             self.workers.iter_mut().for_each(|worker| worker.entry.standing = Standing::Gone);
@@ -142,45 +143,48 @@
     }
 
     fn submitted(&mut self, now: f64, sub: Submission, out: &mut Vec<Output>) {
-        if sub.timeout <= BEFORE_END || sub.operation >= self.set.operations.len() {
+        if sub.timeout <= DEADLINE_MARGIN || sub.operation >= self.settings.operations.len() {
             return out.push(Output::Throttle { id: sub.id, pause: 0.0 });
         }
         let (op, end, hint) = (sub.operation, now + sub.timeout, sub.hint.unwrap_or(1.0));
-        let job = Job { op, end, hint, out: None, forwards: 0, anchor: None, sent: 0.0 };
+        let job = Job { op, end, hint, out: None, forwards: 0, first_uncertain: None, sent: 0.0 };
         self.jobs.insert(sub.id, job);
         self.waiting.push(sub.id);
     }
 
-    fn may_go(&self, now: f64, job: &Job, worker: &Worker) -> bool {
-        let op = &self.set.operations[job.op];
+    fn is_allowed(&self, now: f64, job: &Job, worker: &Worker) -> bool {
+        let op = &self.settings.operations[job.op];
         let kind = op.kind.is_none_or(|kind| kind == worker.entry.kind);
-        let again = match (op.effect, job.anchor) {
+        let again = match (op.effect, job.first_uncertain) {
             (_, None) | (Effect::Idempotent, _) => true,
             (Effect::NonIdempotent, Some(_)) => false,
             (Effect::Deduplicated { group, window }, Some((tgt, sent))) => {
                 now - sent < window && self.workers[tgt].entry.same(group, &worker.entry)
             }
         };
-        let ready = worker.entry.standing == Standing::Ready || self.wrong == Some(Wrong::SendsToTheGone);
-        ready && kind && (again || self.wrong == Some(Wrong::SendsAgain))
+        let ready =
+            worker.entry.standing == Standing::Ready || self.violation == Some(Violation::SendsToGone);
+        ready && kind && (again || self.violation == Some(Violation::RepeatsUnsafely))
     }
 
-    /// A cold worker takes from each node its part of half its budget at a time.
-    fn bears(&self, now: f64, worker: &Worker) -> bool {
+    /// Whether the node may send to the worker now. A cold worker takes one job at a time, from the node
+    /// whose turn it is.
+    fn admits_cold(&self, now: f64, worker: &Worker) -> bool {
         let started = worker.entry.started;
-        let cold = started > 0.0 && now - started < self.set.cold.warm;
-        if self.wrong == Some(Wrong::PushesTheCold) {
+        let cold = started > 0.0 && now - started < self.settings.cold.warm;
+        if self.violation == Some(Violation::OverloadsCold) {
             let last = self.workers.iter().map(|worker| worker.entry.started).fold(0.0, f64::max);
             return last <= 0.0 || started == last;
         }
-        !cold || ((now - started) as usize % self.set.nodes.max(1) == self.set.me && worker.held == 0)
+        !cold
+            || ((now - started) as usize % self.settings.nodes.max(1) == self.settings.me && worker.held == 0)
     }
 
     fn choose(&mut self, now: f64, id: InvId) -> Option<Tgt> {
         let job = &self.jobs[&id];
         let fits = |tgt: &Tgt| {
             let worker = &self.workers[*tgt];
-            self.may_go(now, job, worker) && now >= worker.rests && self.bears(now, worker)
+            self.is_allowed(now, job, worker) && now >= worker.avoid_until && self.admits_cold(now, worker)
         };
         let open: Vec<Tgt> = (0..self.workers.len()).filter(fits).collect();
         let draw =
@@ -198,9 +202,9 @@
                 Some(if self.workers[two].held < self.workers[one].held { two } else { one })
             }
             Choice::Oracle => {
-                let truth = self.truth.as_ref()?.borrow();
+                let oracle = self.oracle.as_ref()?.borrow();
                 let ends = |tgt: &Tgt| {
-                    let known = truth.get(&self.workers[*tgt].entry.mark).copied().flatten();
+                    let known = oracle.get(&self.workers[*tgt].entry.mark).copied().flatten();
                     known.map(|(starts, pace)| starts + job.hint / pace)
                 };
                 let timed: Vec<(f64, Tgt)> = open.iter().filter_map(|tgt| Some((ends(tgt)?, *tgt))).collect();
@@ -209,12 +213,13 @@
         }
     }
 
-    fn look(&mut self, now: f64, out: &mut Vec<Output>) {
+    fn dispatch(&mut self, now: f64, out: &mut Vec<Output>) {
         for id in std::mem::take(&mut self.waiting) {
             let job = &self.jobs[&id];
-            let hopeless = job.forwards >= self.set.max_forwards
-                || !self.workers.iter().any(|worker| self.may_go(now, job, worker)) && job.anchor.is_some();
-            if hopeless || now >= job.end - BEFORE_END {
+            let hopeless = job.forwards >= self.settings.max_forwards
+                || !self.workers.iter().any(|worker| self.is_allowed(now, job, worker))
+                    && job.first_uncertain.is_some();
+            if hopeless || now >= job.end - DEADLINE_MARGIN {
                 self.give_up(id, out);
                 continue;
             }
@@ -223,11 +228,11 @@
                 continue;
             };
             self.workers[tgt].held += 1;
-            if let Some(truth) = &self.truth {
-                // The next to look sees what was sent just now.
-                let mut truth = truth.borrow_mut();
+            if let Some(oracle) = &self.oracle {
+                // The next decision sees the job just sent.
+                let mut oracle = oracle.borrow_mut();
                 let hint = self.jobs[&id].hint;
-                let known = truth.get_mut(&self.workers[tgt].entry.mark).and_then(Option::as_mut);
+                let known = oracle.get_mut(&self.workers[tgt].entry.mark).and_then(Option::as_mut);
                 known.into_iter().for_each(|(starts, pace)| *starts += hint / *pace);
             }
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -235,21 +240,21 @@
             }
             out.push(Output::Forward { id, tgt });
         }
-        if !self.waiting.is_empty() && !self.looking {
-            self.looking = true;
-            out.push(Output::Wake { after: LOOK_EVERY, timer: LOOK });
+        if !self.waiting.is_empty() && !self.retry_scheduled {
+            self.retry_scheduled = true;
+            out.push(Output::Wake { after: RETRY_INTERVAL, timer: TIMER_RETRY });
         }
     }
 
     fn give_up(&mut self, id: InvId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.remove(&id) else { return };
-        if self.wrong == Some(Wrong::KeepsSilent) {
+        if self.violation == Some(Violation::NeverAnswers) {
             return;
         }
-        let effect = self.set.operations[job.op].effect;
+        let effect = self.settings.operations[job.op].effect;
         let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated { group: Group::All, .. });
-        let pause = self.set.max_pause * (0.5 + 0.5 * self.draw.random::<f64>());
-        out.push(match job.anchor {
+        let pause = self.settings.max_pause * (0.5 + 0.5 * self.draw.random::<f64>());
+        out.push(match job.first_uncertain {
             Some(_) if !harmless => Output::Error { id },
             _ => Output::Throttle { id, pause },
         });
@@ -262,12 +267,12 @@
         let worker = &mut self.workers[tgt];
         worker.held = worker.held.saturating_sub(1);
         if outcome != coveroute::types::Outcome::Succeeded {
-            worker.rests = now + RESTS;
+            worker.avoid_until = now + FAILURE_COOLDOWN;
         }
         if !outcome.never_ran() {
-            job.anchor = job.anchor.or(Some((tgt, job.sent)));
+            job.first_uncertain = job.first_uncertain.or(Some((tgt, job.sent)));
         }
-        let late = now >= job.end - BEFORE_END;
+        let late = now >= job.end - DEADLINE_MARGIN;
         if ended || outcome == coveroute::types::Outcome::Succeeded {
             self.jobs.remove(&id);
         } else if late {
@@ -292,17 +297,17 @@
             Input::Submitted(sub) => self.submitted(now, sub, out),
             Input::Settled(settled) => self.settled(now, settled, out),
             Input::Expired(id) => self.expired(id),
-            Input::Timer(LOOK) => self.looking = false,
-            Input::Timer(ASK) if self.lost > 0 => out.push(Output::Follow),
+            Input::Timer(TIMER_RETRY) => self.retry_scheduled = false,
+            Input::Timer(TIMER_FOLLOW) if self.failed_follows > 0 => out.push(Output::Follow),
             Input::Leaving(end) => self.jobs.values_mut().for_each(|job| job.end = job.end.min(end)),
             _ => {}
         }
-        self.look(now, out);
+        self.dispatch(now, out);
     }
 
-    /// It learns nothing of operations or tenants that would have to move.
+    /// The baseline keeps no state by operation or tenant that would have to move.
     fn adopt(&mut self, settings: Settings, _: &[Moved], _: &[Option<usize>]) {
-        self.set = settings;
+        self.settings = settings;
     }
 
     fn has(&self, operation: usize) -> bool {
@@ -310,10 +315,10 @@
     }
 
     fn share(&mut self, factor: f64, budget: Option<Budget>) {
-        (self.set.cold.factor, self.set.budget) = (factor, budget);
+        (self.settings.cold.factor, self.settings.budget) = (factor, budget);
     }
 
     fn avoided(&self, now: f64) -> usize {
-        self.workers.iter().filter(|worker| worker.rests > now).count()
+        self.workers.iter().filter(|worker| worker.avoid_until > now).count()
     }
 }
--- a/crates/coveroute-emu/src/compare.rs
+++ b/crates/coveroute-emu/src/compare.rs
@@ -1,4 +1,5 @@
-//! Two policies, or two builds, on the same seeds: the mean difference of their figures and its confidence interval.
+//! Compares two policies or two builds on the same seeds: the mean difference of their figures and its
+//! confidence interval.
 use std::path::Path;
 use std::process::Command;
 
@@ -33,7 +34,7 @@
                 let told = Command::new(build).args(args).arg(path).output().map_err(|e| e.to_string())?;
                 let told: serde_json::Value =
                     serde_json::from_slice(&told.stdout).map_err(|e| format!("{}: {e}", build.display()))?;
-                told["figure"].as_f64().ok_or(format!("{} tells no figure", build.display()))
+                told["figure"].as_f64().ok_or(format!("{} printed no figure", build.display()))
             }
         }
     }
@@ -44,7 +45,7 @@
     pub seeds: usize,
     pub one: f64,
     pub two: f64,
-    /// Of one over two, and half the width of its interval at 95%.
+    /// The mean of one minus two, and half the width of its 95% confidence interval.
     pub difference: f64,
     pub within: f64,
 }
@@ -69,7 +70,8 @@
     Compared { seeds: figures.len(), one: mean(&|f| f.0), two: mean(&|f| f.1), difference, within }
 }
 
-/// Student's t at 97.5% (any table of it); by the normal beyond thirty degrees.
+/// Student's t quantile at 97.5%, from a standard table; the normal quantile beyond thirty degrees of
+/// freedom.
 fn student(degrees: usize) -> f64 {
     const TABLE: [f64; 15] =
         [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13];
@@ -86,11 +88,11 @@
     use super::*;
 
     #[test]
-    fn differences_are_paired() {
+    fn differences_are_computed_pairwise() {
         let same: Vec<(f64, f64)> = (0..9).map(|i| (f64::from(i) + 0.5, f64::from(i))).collect();
         let told = paired(&same);
         assert!((told.difference - 0.5).abs() < 1e-12 && told.within < 1e-12, "{told:?}");
         let told = paired(&[(1.0, 0.0), (0.0, 1.0)]);
-        assert!(told.difference == 0.0 && told.within > 1.0, "two seeds say little: {told:?}");
+        assert!(told.difference == 0.0 && told.within > 1.0, "two seeds give a wide interval: {told:?}");
     }
 }
--- a/crates/coveroute-emu/src/lib.rs
+++ b/crates/coveroute-emu/src/lib.rs
@@ -1,6 +1,7 @@
-//! A world to rehearse failures in. `world` models workers, clients, discovery and network as state machines,
-//! (now, input) -> outputs, and a referee that sees only what crosses; `virtual_time` and `loopback` are two hosts
-//! for the same scenario; the rest compares, searches, records and reports.
+//! An emulator for failures. `world` models workers, clients, discovery and network as state machines, (now,
+//! input) -> outputs, with a checker of the invariants that sees only the messages between nodes and the
+//! world. `virtual_time` and `loopback` are two hosts for the same scenario. The other modules compare
+//! policies, search for failures, record runs and report on them.
 pub mod baseline;
 pub mod capacity;
 pub mod compare;
--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -1,5 +1,6 @@
-//! Load on real nodes on loopback: closed or open loop, so many connections and executors. Latencies are corrected
-//! for coordinated omission: of an open loop they count from when a call was due, not from when it could be sent.
+//! Load tests of real nodes on loopback, open or closed loop, with a given number of connections and
+//! executors. Latencies are corrected for coordinated omission: in an open loop they count from when a call
+//! was due, not from when it could be sent.
 use std::convert::Infallible;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -33,14 +34,14 @@
 use crate::settings;
 use crate::world::NodeId;
 
-/// Who else the node knows.
+/// The other nodes that a node knows.
 #[derive(Clone, Debug, Default)]
 pub enum Members {
     #[default]
     Nobody,
-    /// The fleet's file, and the node's name there.
+    /// The fleet's file, and the node's member name in it.
     File(PathBuf, String),
-    /// All nodes of the run know each other, and tenants' shares hold over all.
+    /// All nodes of the run form a fleet, and tenants' shares apply across it.
     Each,
 }
 
@@ -51,17 +52,18 @@
     pub executors: usize,
     pub connections: usize,
     pub seconds: f64,
-    /// Calls a second over all connections; as fast as they are answered without it.
+    /// Calls per second over all connections (open loop); without it each connection calls as fast as it is
+    /// answered (closed loop).
     pub rate: Option<f64>,
     pub sockets: usize,
     pub memory_mb: usize,
-    /// How long a job runs, in milliseconds; 0 for at once.
+    /// Running time of a job in milliseconds; 0 completes it at once.
     pub runs: f64,
-    /// Clients wait so long for a call, in seconds.
+    /// How long clients wait for a call, in seconds.
     pub timeout: f64,
-    /// Connections to executors are kept so long, in seconds.
+    /// How long idle connections to executors are kept, in seconds.
     pub idle: f64,
-    /// So many have an equal part of the calls each, and a share of twice as much.
+    /// Number of tenants. Each makes an equal part of the calls and has a share of twice as much.
     pub tenants: usize,
     pub members: Members,
 }
@@ -100,18 +102,18 @@
     pub longest_ms: f64,
     pub peak_mb: f64,
     pub descriptors: usize,
-    /// The least and the most that one executor got, over the mean.
+    /// The fewest and the most calls that one executor got, relative to the mean.
     pub share_least: f64,
     pub share_most: f64,
 }
 
-/// What executors and clients share.
-struct Field {
+/// State shared by executors and clients.
+struct SharedState {
     nodes: Vec<SocketAddr>,
     news: Vec<mpsc::UnboundedSender<Bytes>>,
     jobs: Vec<AtomicU64>,
     inflight: Vec<AtomicU64>,
-    /// Connections that executors were called on.
+    /// Connections that executors have accepted.
     dialled: AtomicU64,
     stop: AtomicBool,
     served: AtomicU64,
@@ -120,25 +122,25 @@
     runs: Duration,
     budget: String,
     tenants: usize,
-    /// Watches on the list that are open, and the list as a new one is told it.
+    /// Open watches of the list, and the list as sent to a new one.
     watches: Mutex<Vec<mpsc::UnboundedSender<Bytes>>>,
-    whole: Mutex<Bytes>,
-    /// Connections that this process had no descriptor for.
+    full_list: Mutex<Bytes>,
+    /// Connections that could not be accepted, for example because this process had no descriptor left.
     turned_away: AtomicU64,
-    /// Discovery can't be reached.
-    apart: AtomicBool,
+    /// Discovery is unreachable.
+    discovery_down: AtomicBool,
 }
 
-/// Slots that each executor says it has.
+/// Slots that each executor reports.
 const SLOTS: u64 = 16;
-/// Connections that executors share to tell a node their news on.
-const NEWS: usize = 16;
-/// Before what is measured: connections come up, shares settle.
-const WARM: Duration = Duration::from_secs(2);
-/// A node that does not serve by then never will.
-const UP_WITHIN: Duration = Duration::from_secs(20);
-
-/// A scenario with that many executors: what the nodes are told.
+/// Connections to each node that executors share for their news.
+const NEWS_CONNECTIONS: usize = 16;
+/// Warm-up before the measurement: connections come up and shares settle.
+const WARMUP: Duration = Duration::from_secs(2);
+/// Time limit for a node to be ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// The scenario that the nodes' settings are derived from.
 fn scenario(plan: &Plan) -> Result<Scenario, String> {
     let mut text = format!(
         "name = \"load\"\nseconds = 60\n[nodes]\ncount = {}\nsockets = {}\nmemory_mb = {}\n[[workers]]\ncount = {}\n\
@@ -160,26 +162,26 @@
     Scenario::parse(&text)
 }
 
-/// Real nodes with their executors, clients and list, all on loopback addresses of a block of their own.
+/// Real nodes with their executors, clients and discovery, on a block of loopback addresses of their own.
 pub struct Rig {
     plan: Plan,
-    field: Arc<Field>,
+    shared: Arc<SharedState>,
     children: Vec<Child>,
     files: Vec<PathBuf>,
-    /// The list as it was at first.
+    /// The initial list.
     pub list: Listing,
-    /// From the nodes' start until all serve, and their processor time until then, in seconds.
+    /// Seconds from the nodes' start until all are ready, and their processor time until then.
     pub up: f64,
     pub up_cpu: f64,
 }
 
-/// What all nodes of a rig, its executors and clients have come to.
+/// A snapshot of the totals of a rig's nodes, executors and clients.
 #[derive(Clone, Debug)]
 pub struct Look {
     pub at: Instant,
     /// Processor time of each node, in seconds.
     pub cpu: Vec<f64>,
-    /// For how long each wanted a core and had none.
+    /// How long each node's threads were runnable without a core, in seconds.
     pub waited: Vec<f64>,
     pub jobs: Vec<u64>,
     pub dialled: u64,
@@ -197,8 +199,8 @@
     }
 }
 
-/// Processor time of a process that runs, and for how long its threads wanted a core and had none, in seconds: to the
-/// nanosecond where the kernel counts so.
+/// Processor time of a running process, and how long its threads were runnable without a core, in seconds.
+/// In nanosecond resolution where the kernel provides it; otherwise from clock ticks, without the wait.
 fn processor_time(pid: i32) -> (f64, f64) {
     let threads = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let counts = |path: PathBuf| -> Option<[u64; 2]> {
@@ -220,19 +222,19 @@
 }
 
 impl Rig {
-    /// Starts it all but the clients, and waits until the nodes serve.
+    /// Starts everything except the clients, and waits until the nodes are ready.
     pub async fn begin(plan: &Plan) -> Result<Rig, String> {
-        static BEGUN: AtomicU32 = AtomicU32::new(0);
+        static STARTED: AtomicU32 = AtomicU32::new(0);
         if !plan.node.is_file() {
-            return Err(format!("{}: no program; build it first", plan.node.display()));
+            return Err(format!("{}: not found; build it first", plan.node.display()));
         }
         if plan.executors == 0 || plan.connections == 0 || plan.seconds <= 0.0 {
-            return Err("executors, connections and seconds are over 0".into());
+            return Err("executors, connections and seconds must be over 0".into());
         }
         if !(1..=250).contains(&plan.nodes) || plan.executors > 250 << 8 {
             return Err(format!("nodes: 250 at most; executors: {} at most", 250 << 8));
         }
-        let number = BEGUN.fetch_add(1, Ordering::Relaxed);
+        let number = STARTED.fetch_add(1, Ordering::Relaxed);
         let block = 16 + ((std::process::id() + 101 * number) % 200) as u8;
         let at = move |part: u8, at: usize| {
             SocketAddr::from(([127, block, part + (at >> 8) as u8, at as u8], 9000))
@@ -240,12 +242,12 @@
         let list = at(251, 0);
         let counts = || (0..plan.executors).map(|_| AtomicU64::new(0)).collect();
         let (news, heard): (Vec<_>, Vec<_>) =
-            (0..plan.nodes * NEWS).map(|_| mpsc::unbounded_channel()).unzip();
+            (0..plan.nodes * NEWS_CONNECTIONS).map(|_| mpsc::unbounded_channel()).unzip();
         let scenario = scenario(plan)?;
         let world = crate::world::World::new(scenario.clone(), 1, |worker| at(0, worker));
         let listing = world.list.full_list();
-        let whole = settings::hosts(&listing, 0.0);
-        let field = Arc::new(Field {
+        let full_list = settings::hosts(&listing, 0.0);
+        let shared = Arc::new(SharedState {
             nodes: (0..plan.nodes).map(|node| at(250, node)).collect(),
             news,
             jobs: counts(),
@@ -259,39 +261,39 @@
             budget: format!("{:.0}", 1e3 * plan.timeout),
             tenants: plan.tenants,
             watches: Mutex::new(Vec::new()),
-            whole: Mutex::new(Bytes::from(format!("{whole}\n"))),
+            full_list: Mutex::new(Bytes::from(format!("{full_list}\n"))),
             turned_away: AtomicU64::new(0),
-            apart: AtomicBool::new(false),
+            discovery_down: AtomicBool::new(false),
         });
         for executor in 0..plan.executors {
             let listener = bind(at(0, executor)).await?;
-            tokio::spawn(execute(field.clone(), executor, listener));
+            tokio::spawn(run_executor(shared.clone(), executor, listener));
         }
         for (lane, heard) in heard.into_iter().enumerate() {
-            tokio::spawn(tell(field.clone(), lane / NEWS, heard));
+            tokio::spawn(send_news(shared.clone(), lane / NEWS_CONNECTIONS, heard));
         }
-        tokio::spawn(list_whole(field.clone(), bind(list).await?));
+        tokio::spawn(serve_list(shared.clone(), bind(list).await?));
         let (children, files) = (Vec::new(), Vec::new());
         let plan = plan.clone();
-        let mut rig = Rig { plan, field, children, files, list: listing, up: 0.0, up_cpu: 0.0 };
+        let mut rig = Rig { plan, shared, children, files, list: listing, up: 0.0, up_cpu: 0.0 };
         for node in 0..rig.plan.nodes {
             let config = json!({
-                "listen": rig.field.nodes[node].to_string(), "discovery": list.to_string(), "seed": format!("{:x}", node + 1),
+                "listen": rig.shared.nodes[node].to_string(), "discovery": list.to_string(), "seed": format!("{:x}", node + 1),
                 "limits": { "memory_mb": rig.plan.memory_mb, "sockets": rig.plan.sockets },
-                "known": whole,
+                "known": full_list,
                 "settings": settings::settings(&scenario, node, "a"),
             });
             rig.spawn(node, (number, block), &config.to_string())?;
         }
         let began = Instant::now();
         for node in 0..rig.plan.nodes {
-            rig.wait_up(node, began).await?;
+            rig.wait_until_ready(node, began).await?;
         }
         (rig.up, rig.up_cpu) = (began.elapsed().as_secs_f64(), rig.look().cpu());
         Ok(rig)
     }
 
-    /// A file of this run in the folder for such, taken away at its end.
+    /// Writes a temporary file that is removed at the end of the run.
     fn file(&mut self, name: String, text: &str) -> Result<PathBuf, String> {
         let path = std::env::temp_dir().join(format!("coveroute-load-{}-{name}", std::process::id()));
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -322,9 +324,9 @@
         Ok(())
     }
 
-    async fn wait_up(&self, node: NodeId, began: Instant) -> Result<(), String> {
-        while began.elapsed() < UP_WITHIN {
-            if let Some(mut sender) = connect(self.field.nodes[node]).await {
+    async fn wait_until_ready(&self, node: NodeId, began: Instant) -> Result<(), String> {
+        while began.elapsed() < START_TIMEOUT {
+            if let Some(mut sender) = connect(self.shared.nodes[node]).await {
                 let ask = Request::get("/up").header("host", "b").body(Full::default());
                 let answer = sender.send_request(ask.map_err(|e| e.to_string())?).await;
                 if answer.is_ok_and(|answer| answer.status() == 200) {
@@ -333,20 +335,20 @@
             }
             sleep(Duration::from_millis(10)).await;
         }
-        Err(format!("node {node} does not serve in {UP_WITHIN:?}"))
+        Err(format!("node {node} was not ready within {START_TIMEOUT:?}"))
     }
 
-    /// Clients begin to call.
+    /// Starts the clients.
     pub fn call(&self) {
         let gap = |rate: f64| Duration::from_secs_f64(self.plan.connections as f64 / rate.max(1e-3));
         for connection in 0..self.plan.connections {
-            tokio::spawn(ask(self.field.clone(), connection, self.plan.rate.map(gap)));
+            tokio::spawn(run_client(self.shared.clone(), connection, self.plan.rate.map(gap)));
         }
     }
 
-    /// No call is begun from now on.
+    /// Lets no client begin another call.
     pub fn hush(&self) {
-        self.field.stop.store(true, Ordering::Relaxed);
+        self.shared.stop.store(true, Ordering::Relaxed);
     }
 
     fn pids(&self) -> impl Iterator<Item = i32> + '_ {
@@ -354,56 +356,57 @@
     }
 
     pub fn look(&self) -> Look {
-        let field = &self.field;
+        let shared = &self.shared;
         let (cpu, waited) = self.pids().map(processor_time).unzip();
         Look {
             at: Instant::now(),
             cpu,
             waited,
-            jobs: field.jobs.iter().map(|jobs| jobs.load(Ordering::Relaxed)).collect(),
-            dialled: field.dialled.load(Ordering::Relaxed),
-            served: field.served.load(Ordering::Relaxed),
-            other: field.other.load(Ordering::Relaxed),
+            jobs: shared.jobs.iter().map(|jobs| jobs.load(Ordering::Relaxed)).collect(),
+            dialled: shared.dialled.load(Ordering::Relaxed),
+            served: shared.served.load(Ordering::Relaxed),
+            other: shared.other.load(Ordering::Relaxed),
         }
     }
 
-    /// Memory that each node has resident now, in MB.
+    /// Resident memory of each node, in MB.
     pub fn resident(&self) -> Vec<f64> {
         self.pids().map(resident_mb).collect()
     }
 
-    /// Jobs that run now.
+    /// Number of running jobs.
     pub fn running(&self) -> u64 {
-        self.field.inflight.iter().map(|many| many.load(Ordering::Relaxed)).sum()
+        self.shared.inflight.iter().map(|many| many.load(Ordering::Relaxed)).sum()
     }
 
-    /// A line to all who watch the list; its bytes.
+    /// Sends a list update to every watch; returns its size in bytes.
     pub fn tell(&self, listing: &Listing) -> usize {
         let line = Bytes::from(format!("{}\n", settings::hosts(listing, 0.0)));
-        let mut watches = lock(&self.field.watches);
+        let mut watches = lock(&self.shared.watches);
         watches.retain(|watch| watch.send(line.clone()).is_ok());
         line.len()
     }
 
-    /// From now on discovery says nothing to anybody, and whoever calls it is hung up on.
+    /// Makes discovery unreachable: open watches end, and new connections are closed.
     pub fn part(&self) {
-        self.field.apart.store(true, Ordering::Relaxed);
-        lock(&self.field.watches).clear();
+        self.shared.discovery_down.store(true, Ordering::Relaxed);
+        lock(&self.shared.watches).clear();
     }
 
-    /// How long answers took since this was last asked anew, at two parts of all: in milliseconds.
+    /// Two quantiles of the latency since the last reset, in milliseconds.
     pub fn latencies(&self, parts: [f64; 2]) -> [f64; 2] {
-        let latencies = lock(&self.field.latencies);
+        let latencies = lock(&self.shared.latencies);
         parts.map(|part| latencies.value_at_quantile(part) as f64 / 1e3)
     }
 
     pub fn reset(&self) {
-        lock(&self.field.latencies).reset();
+        lock(&self.shared.latencies).reset();
     }
 
-    /// Connections to executors that this process had no descriptor for: what is measured then is not the nodes.
+    /// Connections to executors that this process could not accept. If there are any, the figures don't
+    /// measure the nodes.
     pub fn turned_away(&self) -> u64 {
-        self.field.turned_away.load(Ordering::Relaxed)
+        self.shared.turned_away.load(Ordering::Relaxed)
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -412,7 +415,7 @@
         }
     }
 
-    /// Ends it all; a fault where a node had ended before.
+    /// Ends everything; an error if a node had ended before.
     pub async fn end(mut self) -> Result<(), String> {
         self.hush();
         let mut ended = None;
@@ -428,7 +431,7 @@
     }
 }
 
-/// The least and the most that one of them got between two looks, over the mean.
+/// The fewest and the most jobs that one executor got between two snapshots, relative to the mean.
 pub fn shares(before: &Look, after: &Look) -> (f64, f64) {
     let each: Vec<f64> = after.jobs.iter().zip(&before.jobs).map(|(now, then)| (now - then) as f64).collect();
     let mean = (each.iter().sum::<f64>() / each.len() as f64).max(1e-9);
@@ -440,7 +443,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs what is to be played on a runtime of its own, which ends with it.
+/// Runs a future on a runtime of its own, which is shut down with it.
 pub fn on_runtime<T>(play: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
@@ -449,7 +452,7 @@
     played
 }
 
-/// Runs the load and measures it.
+/// Runs a load test and measures it.
 pub fn load(plan: &Plan) -> Result<Loaded, String> {
     on_runtime(play(plan))
 }
@@ -457,7 +460,7 @@
 async fn play(plan: &Plan) -> Result<Loaded, String> {
     let rig = Rig::begin(plan).await?;
     rig.call();
-    sleep(WARM).await;
+    sleep(WARMUP).await;
     let before = rig.look();
     rig.reset();
     sleep(Duration::from_secs_f64(plan.seconds)).await;
@@ -465,7 +468,7 @@
     let taken = rig.pids().map(taken_by).fold((0.0, 0), |(mb, held): (f64, usize), taken| {
         (mb.max(taken.peak_mb), held.max(taken.most_descriptors))
     });
-    let latencies = lock(&rig.field.latencies).clone();
+    let latencies = lock(&rig.shared.latencies).clone();
     rig.end().await?;
     let (served, other) = (after.served - before.served, after.other - before.other);
     let at = |part: f64| latencies.value_at_quantile(part) as f64 / 1e3;
@@ -492,20 +495,20 @@
     TcpListener::bind(addr).await.map_err(|e| format!("{addr}: {e}"))
 }
 
-async fn list_whole(field: Arc<Field>, listener: TcpListener) {
+async fn serve_list(shared: Arc<SharedState>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        let field = field.clone();
-        if field.apart.load(Ordering::Relaxed) {
+        let shared = shared.clone();
+        if shared.discovery_down.load(Ordering::Relaxed) {
             continue;
         }
         tokio::spawn(async move {
             let service = service_fn(|_| {
                 let (lines, body) = mpsc::unbounded_channel();
-                let _ = lines.send(lock(&field.whole).clone());
-                lock(&field.watches).push(lines.clone());
-                let field = field.clone();
+                let _ = lines.send(lock(&shared.full_list).clone());
+                lock(&shared.watches).push(lines.clone());
+                let shared = shared.clone();
                 tokio::spawn(async move {
-                    while !field.apart.load(Ordering::Relaxed)
+                    while !shared.discovery_down.load(Ordering::Relaxed)
                         && lines.send(Bytes::from_static(b"\n")).is_ok()
                     {
                         sleep(Duration::from_secs(2)).await;
@@ -518,32 +521,32 @@
     }
 }
 
-async fn execute(field: Arc<Field>, executor: usize, listener: TcpListener) {
+async fn run_executor(shared: Arc<SharedState>, executor: usize, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Guards against an executor that is gone for good once this process has had no descriptor left.
-            field.turned_away.fetch_add(1, Ordering::Relaxed);
+            // Keeps the executor listening after this process has run out of descriptors.
+            shared.turned_away.fetch_add(1, Ordering::Relaxed);
             sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let field = field.clone();
+        let shared = shared.clone();
         let _ = stream.set_nodelay(true);
-        field.dialled.fetch_add(1, Ordering::Relaxed);
+        shared.dialled.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
-            let service = service_fn(|request| respond(field.clone(), executor, request));
+            let service = service_fn(|request| respond(shared.clone(), executor, request));
             let _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-fn report(field: &Field, executor: usize) -> String {
-    let inflight = field.inflight[executor].load(Ordering::Relaxed);
+fn report(shared: &SharedState, executor: usize) -> String {
+    let inflight = shared.inflight[executor].load(Ordering::Relaxed);
     let free = SLOTS.saturating_sub(inflight);
     format!("{{\"x0\":{free},\"depth\":0,\"concurrent\":{inflight}}}")
 }
 
 async fn respond(
-    field: Arc<Field>,
+    shared: Arc<SharedState>,
     executor: usize,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -553,26 +556,26 @@
         Ok(response)
     };
     if request.method() != Method::POST {
-        return plain(StatusCode::OK, report(&field, executor));
+        return plain(StatusCode::OK, report(&shared, executor));
     }
     let id =
         request.headers().get("x-call-id").and_then(|id| id.to_str().ok()).unwrap_or_default().to_owned();
     let _ = request.into_body().collect().await;
-    field.jobs[executor].fetch_add(1, Ordering::Relaxed);
-    field.inflight[executor].fetch_add(1, Ordering::Relaxed);
+    shared.jobs[executor].fetch_add(1, Ordering::Relaxed);
+    shared.inflight[executor].fetch_add(1, Ordering::Relaxed);
     tokio::spawn(async move {
-        if !field.runs.is_zero() {
-            sleep(field.runs).await;
+        if !shared.runs.is_zero() {
+            sleep(shared.runs).await;
         }
-        field.inflight[executor].fetch_sub(1, Ordering::Relaxed);
-        let (from, load) = (crate::world::name(executor), report(&field, executor));
+        shared.inflight[executor].fetch_sub(1, Ordering::Relaxed);
+        let (from, load) = (crate::world::name(executor), report(&shared, executor));
         let line = format!(
             "{{\"id\":\"{id}\",\"from\":\"{from}\",\"state\":\"done\",\"result\":\"{id}\",\"load\":{load}}}"
         );
-        // An id begins with the number of the node that was asked.
+        // The id starts with the number of the node that was called.
         let node = id.split('-').next().and_then(|node| usize::from_str_radix(node, 16).ok()).unwrap_or(0);
-        let lane = (node % field.nodes.len()) * NEWS + executor % NEWS;
-        let _ = field.news[lane].send(Bytes::from(line));
+        let lane = (node % shared.nodes.len()) * NEWS_CONNECTIONS + executor % NEWS_CONNECTIONS;
+        let _ = shared.news[lane].send(Bytes::from(line));
     });
     plain(StatusCode::ACCEPTED, String::new())
 }
@@ -585,12 +588,12 @@
     Some(sender)
 }
 
-async fn tell(field: Arc<Field>, node: NodeId, mut heard: mpsc::UnboundedReceiver<Bytes>) {
+async fn send_news(shared: Arc<SharedState>, node: NodeId, mut heard: mpsc::UnboundedReceiver<Bytes>) {
     let mut sender = None;
     while let Some(line) = heard.recv().await {
         for _ in 0..10 {
             if sender.as_ref().is_none_or(client::SendRequest::is_closed) {
-                sender = connect(field.nodes[node]).await;
+                sender = connect(shared.nodes[node]).await;
             }
             let Some(open) = &mut sender else {
                 sleep(Duration::from_millis(20)).await;
@@ -611,12 +614,12 @@
     }
 }
 
-async fn ask(field: Arc<Field>, connection: usize, gap: Option<Duration>) {
-    let (mut sender, mut nth, node) = (None, 0_u64, connection % field.nodes.len());
-    // Connections begin at different parts of the gap, evenly however many there are.
+async fn run_client(shared: Arc<SharedState>, connection: usize, gap: Option<Duration>) {
+    let (mut sender, mut nth, node) = (None, 0_u64, connection % shared.nodes.len());
+    // Connections start at different points of the gap, evenly spread for any number of them.
     let part = (connection as f64 * 0.618_033_988_749_895).fract();
     let mut due = Instant::now() + gap.map_or(Duration::ZERO, |gap| gap.mul_f64(part));
-    while !field.stop.load(Ordering::Relaxed) {
+    while !shared.stop.load(Ordering::Relaxed) {
         match gap {
             Some(gap) => {
                 sleep_until(due.into()).await;
@@ -624,9 +627,9 @@
             }
             None => due = Instant::now(),
         }
-        let meant = gap.map_or(due, |gap| due - gap);
+        let scheduled = gap.map_or(due, |gap| due - gap);
         if sender.as_ref().is_none_or(client::SendRequest::is_closed) {
-            sender = connect(field.nodes[node]).await;
+            sender = connect(shared.nodes[node]).await;
         }
         let Some(open) = &mut sender else {
             sleep(Duration::from_millis(20)).await;
@@ -635,12 +638,12 @@
         nth += 1;
         let id = format!("{node:x}-{connection:x}-{nth:x}");
         let request = Request::post("/look/x").header("host", "b").header("x-call-id", &id);
-        let request = match field.tenants {
+        let request = match shared.tenants {
             0 => request,
             tenants => request.header("x-caller", format!("t{}", (connection + nth as usize) % tenants)),
         };
         let request =
-            request.header("x-budget-ms", &field.budget).body(Full::from(Bytes::from_static(b"job")));
+            request.header("x-budget-ms", &shared.budget).body(Full::from(Bytes::from_static(b"job")));
         let Ok(request) = request else { return };
         let served = match open.ready().await {
             Ok(()) => match open.send_request(request).await {
@@ -656,13 +659,13 @@
             Err(_) => false,
         };
         if !served {
-            field.other.fetch_add(1, Ordering::Relaxed);
+            shared.other.fetch_add(1, Ordering::Relaxed);
             sender = sender.filter(|open| !open.is_closed());
             continue;
         }
-        field.served.fetch_add(1, Ordering::Relaxed);
-        if let Ok(mut latencies) = field.latencies.lock() {
-            let _ = latencies.record(meant.elapsed().as_micros() as u64);
+        shared.served.fetch_add(1, Ordering::Relaxed);
+        if let Ok(mut latencies) = shared.latencies.lock() {
+            let _ = latencies.record(scheduled.elapsed().as_micros() as u64);
         }
     }
 }
--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -1,5 +1,5 @@
-//! Loopback: the same scenario in real time, on real sockets, against real `coveroute` processes with real signals and
-//! limits on descriptors. The world is the one of virtual time; here its words are HTTP/1.1.
+//! Loopback: runs a scenario in real time on real sockets, against real `coveroute` processes with real
+//! signals and descriptor limits. The world is the same as in virtual time; its messages are HTTP/1.1 here.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -39,28 +39,28 @@
     call, name, tri_of, Delivery, JobUpdate, NodeId, Order, Outcome, Output, TryId, WorkerId, World,
 };
 
-/// A forward is seen when it arrives: on a busy machine so much after it was sent.
-const SLIP: f64 = 0.1;
-/// A worker tells its news again after this, so often.
-const NEWS_AGAIN: Duration = Duration::from_millis(200);
-const NEWS_TRIES: usize = 10;
-/// A watch with nothing to tell says so this often.
-const QUIET_LINE: Duration = Duration::from_secs(2);
-/// Nodes have this long to be up.
-const UP_WITHIN: Duration = Duration::from_secs(20);
-/// A new process is ready within this.
-const READY_WITHIN: Duration = Duration::from_secs(6);
+/// On a busy machine a forward may be seen, on arrival, this long after it was sent.
+const DETECTION_LAG: f64 = 0.1;
+/// Delay before a worker sends its news again, and the number of tries.
+const NEWS_RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_NEWS_TRIES: usize = 10;
+/// Interval of empty lines on a watch without changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Time limit for all nodes to be ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time limit for a replacement process to be ready.
+const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(6);
 /// A node that was asked to stop is killed after this.
-const KILLED_AFTER: Duration = Duration::from_millis(3700);
+const KILL_DELAY: Duration = Duration::from_millis(3700);
 
 pub struct Options {
     /// The node's program.
     pub node: PathBuf,
-    /// Where nodes' logs go; nowhere without it.
+    /// Directory for the nodes' logs; they are discarded without it.
     pub logs: Option<PathBuf>,
 }
 
-/// What the processes took.
+/// Resources used by the node processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Machines {
     pub cpu_seconds: f64,
@@ -69,12 +69,12 @@
     pub late: f64,
 }
 
-/// Answers that clients had of a node, by operation: served, refused, failed.
+/// Answers that clients received from a node, by operation: served, refused, failed.
 type Answers = BTreeMap<(NodeId, String), [u64; 3]>;
 
 type Pending = HashMap<(WorkerId, TryId), oneshot::Sender<Ack>>;
 
-/// What a worker answers to a job.
+/// A worker's answer to a job.
 enum Ack {
     Taken,
     Rejects(Report),
@@ -84,13 +84,13 @@
 
 struct Process {
     pid: i32,
-    /// Its operators' door.
-    door: SocketAddr,
-    /// Told to end: its end is no crash.
-    ordered: bool,
+    /// Address of the management interface.
+    management: SocketAddr,
+    /// The process was told to end, so that its exit is not a crash.
+    end_expected: bool,
 }
 
-struct Stage {
+struct Harness {
     world: RefCell<World>,
     began: Instant,
     base: f64,
@@ -102,15 +102,15 @@
     watches: RefCell<BTreeMap<(NodeId, u64), mpsc::UnboundedSender<Bytes>>>,
     watch: Cell<u64>,
     processes: RefCell<Vec<Option<Process>>>,
-    /// Processes that have been started, of all nodes.
+    /// Number of processes started so far, over all nodes.
     started: Cell<u16>,
     answers: RefCell<Answers>,
-    /// Nodes that have had one process alone: its figures are all of the node's.
-    single: RefCell<Vec<bool>>,
-    /// Between nodes that know each other.
+    /// Nodes that have had only one process, whose metrics thus cover the whole run.
+    single_process: RefCell<Vec<bool>>,
+    /// Links between the nodes of a fleet.
     links: Arc<Mutex<Links>>,
-    lives: Vec<Notify>,
-    stir: Notify,
+    worker_changed: Vec<Notify>,
+    wakeup: Notify,
     options: Options,
     dir: PathBuf,
     fault: RefCell<Option<String>>,
@@ -125,8 +125,8 @@
     ([127, block, 254 - (node >> 8) as u8, node as u8], 9100).into()
 }
 
-/// Each process has an operators' door of its own.
-fn door_addr(block: u8, node: NodeId, started: u16) -> SocketAddr {
+/// Each process has a management address of its own.
+fn management_addr(block: u8, node: NodeId, started: u16) -> SocketAddr {
     ([127, block, 254 - (node >> 8) as u8, node as u8], 12_000 + started % 20_000).into()
 }
 
@@ -134,10 +134,10 @@
     ([127, block, 254 - (node >> 8) as u8, node as u8], 8500).into()
 }
 
-/// Plays a scenario against processes, in as long as it lasts.
+/// Runs a scenario against real processes in real time.
 pub fn run(scenario: &Scenario, seed: u64, options: Options) -> Result<(Outcome, Machines), String> {
     if !options.node.is_file() {
-        return Err(format!("{}: no program; build it first", options.node.display()));
+        return Err(format!("{}: not found; build it first", options.node.display()));
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
@@ -154,10 +154,10 @@
     options: Options,
     dir: PathBuf,
 ) -> Result<(Outcome, Machines), String> {
-    // A block of loopback addresses of its own, so that runs beside each other don't meet.
+    // A block of loopback addresses derived from the process id, so that parallel runs don't collide.
     let block = 16 + (std::process::id() % 200) as u8;
     let mut world = World::new(scenario.clone(), seed, |worker| worker_addr(block, worker));
-    world.invariants.detection_lag = SLIP;
+    world.invariants.detection_lag = DETECTION_LAG;
     let (workers, nodes) = (world.workers.len(), world.nodes.len());
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |unix| unix.as_secs_f64());
     let zones: Vec<String> = world.nodes.iter().map(|node| node.zone.clone()).collect();
@@ -165,11 +165,11 @@
     let began = Instant::now();
     if scenario.fleet.is_some() {
         if nodes > 100 {
-            return Err(format!("nodes: {nodes} that know each other; 100 at most on loopback"));
+            return Err(format!("nodes: a fleet of {nodes}; at most 100 on loopback"));
         }
         relays(block, nodes, &links, began).await?;
     }
-    let stage = Rc::new(Stage {
+    let harness = Rc::new(Harness {
         world: RefCell::new(world),
         links,
         began,
@@ -184,9 +184,9 @@
         processes: RefCell::new((0..nodes).map(|_| None).collect()),
         started: Cell::new(0),
         answers: RefCell::default(),
-        single: RefCell::new(vec![true; nodes]),
-        lives: (0..workers).map(|_| Notify::new()).collect(),
-        stir: Notify::new(),
+        single_process: RefCell::new(vec![true; nodes]),
+        worker_changed: (0..workers).map(|_| Notify::new()).collect(),
+        wakeup: Notify::new(),
         options,
         dir,
         fault: RefCell::new(None),
@@ -194,59 +194,59 @@
     });
     for worker in 0..workers {
         let listener = listen(worker_addr(block, worker))?;
-        spawn_local(work(stage.clone(), worker, Some(listener)));
+        spawn_local(run_worker(harness.clone(), worker, Some(listener)));
     }
     for node in 0..nodes {
         let listener = listen(list_addr(block, node))?;
-        spawn_local(tell_list(stage.clone(), node, listener));
-        stage.start(node);
+        spawn_local(serve_list(harness.clone(), node, listener));
+        harness.start(node);
     }
-    let up = timeout(UP_WITHIN, async {
-        while !stage.world.borrow().nodes.iter().all(|node| node.in_rotation)
-            && stage.fault.borrow().is_none()
+    let up = timeout(START_TIMEOUT, async {
+        while !harness.world.borrow().nodes.iter().all(|node| node.in_rotation)
+            && harness.fault.borrow().is_none()
         {
             sleep(Duration::from_millis(20)).await;
         }
     });
     if up.await.is_err() {
-        stage.end_all();
-        return Err("the nodes are not up in time".into());
+        harness.end_all();
+        return Err("the nodes were not ready in time".into());
     }
-    // The scenario's time begins when all are ready.
-    let ready = stage.now();
-    stage.world.borrow_mut().delay(ready);
-    lock(&stage.links).delay(ready);
-    let end = stage.world.borrow().end();
+    // The scenario's time begins when all nodes are ready.
+    let ready = harness.now();
+    harness.world.borrow_mut().delay(ready);
+    lock(&harness.links).delay(ready);
+    let end = harness.world.borrow().end();
     loop {
-        let now = stage.now();
-        if now >= end || stage.world.borrow().is_over(now) || stage.fault.borrow().is_some() {
+        let now = harness.now();
+        if now >= end || harness.world.borrow().is_over(now) || harness.fault.borrow().is_some() {
             break;
         }
         let mut outs = Vec::new();
-        let due = stage.world.borrow().next_due();
+        let due = harness.world.borrow().next_due();
         if let Some(due) = due.filter(|due| *due <= now) {
-            let mut machines = stage.machines.get();
+            let mut machines = harness.machines.get();
             machines.late = machines.late.max(now - due);
-            stage.machines.set(machines);
+            harness.machines.set(machines);
         }
-        stage.world.borrow_mut().advance(now, &mut outs);
-        outs.into_iter().for_each(|out| stage.bring_one(out));
-        let due = stage.world.borrow().next_due().unwrap_or(end).min(end);
-        let at = stage.began + Duration::from_secs_f64(due.max(0.0));
+        harness.world.borrow_mut().advance(now, &mut outs);
+        outs.into_iter().for_each(|out| harness.deliver_output(out));
+        let due = harness.world.borrow().next_due().unwrap_or(end).min(end);
+        let at = harness.began + Duration::from_secs_f64(due.max(0.0));
         tokio::select! {
             () = sleep_until(at.into()) => {}
-            () = stage.stir.notified() => {}
+            () = harness.wakeup.notified() => {}
         }
     }
     for node in 0..nodes {
-        stage.measure(node);
-        let untrue = stage.untrue(node).await;
-        stage.fault.borrow_mut().get_or_insert_with(String::new).push_str(&untrue);
+        harness.measure(node);
+        let metric_mismatches = harness.metric_mismatches(node).await;
+        harness.fault.borrow_mut().get_or_insert_with(String::new).push_str(&metric_mismatches);
     }
-    stage.fault.borrow_mut().take_if(|words| words.is_empty());
-    stage.end_all();
-    let fault = stage.fault.borrow_mut().take();
-    fault.map_or_else(|| Ok((stage.world.borrow_mut().result(), stage.machines.get())), Err)
+    harness.fault.borrow_mut().take_if(|words| words.is_empty());
+    harness.end_all();
+    let fault = harness.fault.borrow_mut().take();
+    fault.map_or_else(|| Ok((harness.world.borrow_mut().result(), harness.machines.get())), Err)
 }
 
 fn listen(addr: SocketAddr) -> Result<TcpListener, String> {
@@ -257,18 +257,18 @@
     socket.listen(1024).map_err(told)
 }
 
-impl Stage {
+impl Harness {
     fn now(&self) -> f64 {
         self.began.elapsed().as_secs_f64()
     }
 
-    /// Brings it where it goes, and sees to it that the world is asked anew when it has something to do next.
-    fn bring(self: &Rc<Self>, outs: Vec<Output>) {
-        outs.into_iter().for_each(|out| self.bring_one(out));
-        self.stir.notify_one();
+    /// Delivers outputs, and wakes the main loop so that it asks the world for its next event.
+    fn deliver_outputs(self: &Rc<Self>, outs: Vec<Output>) {
+        outs.into_iter().for_each(|out| self.deliver_output(out));
+        self.wakeup.notify_one();
     }
 
-    fn bring_one(self: &Rc<Self>, out: Output) {
+    fn deliver_output(self: &Rc<Self>, out: Output) {
         match out {
             Output::Submit { node, tri } => {
                 let task = spawn_local(submit(self.clone(), node, tri));
@@ -282,10 +282,10 @@
             Output::Reject { worker, tri, failed, report, .. } => {
                 self.ack(worker, tri, if failed { Ack::Fails } else { Ack::Rejects(report) });
             }
-            Output::Reset { worker, tri: TryId::MAX, .. } => self.lives[worker].notify_one(),
+            Output::Reset { worker, tri: TryId::MAX, .. } => self.worker_changed[worker].notify_one(),
             Output::Reset { worker, tri, .. } => {
                 self.ack(worker, tri, Ack::Breaks);
-                self.lives[worker].notify_one();
+                self.worker_changed[worker].notify_one();
             }
             Output::News { node, worker, tri, word, report } => {
                 let never = word == JobUpdate::Returned;
@@ -293,9 +293,9 @@
                     let now = self.now();
                     self.world.borrow_mut().outcome(now, tri, worker, never);
                 }
-                spawn_local(tell_news(self.clone(), node, worker, tri, word, report));
+                spawn_local(send_news(self.clone(), node, worker, tri, word, report));
             }
-            // The first line is a list, also where nothing has changed.
+            // The first line is always a list, even if nothing has changed.
             Output::Begun { node, watch, version } => {
                 let line = format!("{{\"version\":{version},\"full\":false,\"servers\":[]}}\n");
                 self.line(node, watch, line.as_bytes());
@@ -329,8 +329,8 @@
         }
     }
 
-    /// What the client was told, for the figures to be held against.
-    fn count(&self, node: NodeId, tri: TryId, answer: FinalAnswer) {
+    /// Counts what the client received, to compare with the node's metrics.
+    fn count_answer(&self, node: NodeId, tri: TryId, answer: FinalAnswer) {
         let world = self.world.borrow();
         let operation = world.scenario.operations[world.clients.ask_of(tri).op].name.clone();
         let mut answers = self.answers.borrow_mut();
@@ -342,18 +342,18 @@
         }
     }
 
-    // Nodes as processes.
+    // Node processes
 
     fn start(self: &Rc<Self>, node: NodeId) {
         if self.processes.borrow()[node].is_some() {
             return;
         }
-        if let Err(words) = self.begin(node) {
+        if let Err(words) = self.start_process(node) {
             *self.fault.borrow_mut() = Some(words);
         }
     }
 
-    fn begin(self: &Rc<Self>, node: NodeId) -> Result<(), String> {
+    fn start_process(self: &Rc<Self>, node: NodeId) -> Result<(), String> {
         let now = self.now();
         let known = {
             let mut world = self.world.borrow_mut();
@@ -370,7 +370,7 @@
         let process = self.spawn(node)?;
         let pid = process.pid;
         self.processes.borrow_mut()[node] = Some(process);
-        spawn_local(wait_up(self.clone(), node, pid));
+        spawn_local(wait_until_ready(self.clone(), node, pid));
         Ok(())
     }
 
@@ -382,8 +382,8 @@
         self.dir.join(format!("n{node}.json"))
     }
 
-    /// Writes the node's configuration: as at the start, or with other settings.
-    fn configure(&self, node: NodeId, known: &Listing, anew: bool) -> Result<(), String> {
+    /// Writes the node's configuration, initial or with alternate settings.
+    fn configure(&self, node: NodeId, known: &Listing, alternate: bool) -> Result<(), String> {
         let world = self.world.borrow();
         let (zone, scenario) = (world.nodes[node].zone.clone(), &world.scenario);
         let all = 0..scenario.nodes.count.0;
@@ -396,7 +396,7 @@
             "seed": format!("{:x}", world.seed.wrapping_mul(7919).wrapping_add(node as u64) & 0xffff_ffff),
             "limits": { "cores": 1.0, "memory_mb": scenario.nodes.memory_mb.0, "sockets": scenario.nodes.sockets.0 },
             "known": settings::hosts(known, self.base),
-            "settings": settings::retuned(scenario, node, &zone, anew),
+            "settings": settings::retuned(scenario, node, &zone, alternate),
         });
         let path = self.file(node);
         std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))
@@ -415,7 +415,7 @@
         let (folder, started) = (self.dir.join(format!("t{node}")), self.started.get());
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         self.started.set(started.wrapping_add(1));
-        let door = door_addr(self.block, node, started);
+        let management = management_addr(self.block, node, started);
         let run = format!("ulimit -n {sockets}; exec \"$0\" serve --config \"$@\"");
         let mut command = tokio::process::Command::new("/bin/sh");
         command.arg("-c").arg(run).arg(&self.options.node).arg(self.file(node));
@@ -423,49 +423,52 @@
             command.arg("--fleet").arg(self.plan_file(node));
         }
         command.env_remove("BALANCER_LISTEN").env_remove("BALANCER_DISCOVERY").env_remove("BALANCER_CONFIG");
-        command.env("BALANCER_MANAGEMENT", door.to_string()).env("TMPDIR", folder);
+        command.env("BALANCER_MANAGEMENT", management.to_string()).env("TMPDIR", folder);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", self.options.node.display()))?;
         let pid = child.id().map_or(0, |pid| pid as i32);
-        let stage = self.clone();
+        let harness = self.clone();
         spawn_local(async move {
             let ended = child.wait().await;
-            stage.gone(node, pid, ended.is_ok_and(|status| status.success()));
+            harness.process_ended(node, pid, ended.is_ok_and(|status| status.success()));
         });
-        Ok(Process { pid, door, ordered: false })
+        Ok(Process { pid, management, end_expected: false })
     }
 
-    fn fails(&self, words: String) {
+    fn report_fault(&self, words: String) {
         self.fault.borrow_mut().get_or_insert(words);
-        self.stir.notify_one();
+        self.wakeup.notify_one();
     }
 
-    /// Starts a process beside the node's; once it is ready the old one is stopped, and killed in time.
+    /// Starts a second process for the node; once it is ready the old one is stopped, and killed after a
+    /// delay.
     async fn replace(self: Rc<Self>, node: NodeId) {
         let Some(old) = self.processes.borrow()[node].as_ref().map(|process| process.pid) else { return };
-        self.single.borrow_mut()[node] = false;
+        self.single_process.borrow_mut()[node] = false;
         let new = match self.spawn(node) {
             Ok(new) => new,
-            Err(words) => return self.fails(words),
+            Err(words) => return self.report_fault(words),
         };
-        let ready = timeout(READY_WITHIN, async {
-            while ask(new.door, "/v1/readyz").await.is_none_or(|answer| answer.0 != 200) {
+        let ready = timeout(REPLACEMENT_TIMEOUT, async {
+            while management_get(new.management, "/v1/readyz").await.is_none_or(|answer| answer.0 != 200) {
                 sleep(Duration::from_millis(20)).await;
             }
         });
         if ready.await.is_err() {
-            return self.fails(format!("node {node}: its new process is not ready in time"));
+            return self.report_fault(format!("node {node}: its new process was not ready in time"));
         }
         self.processes.borrow_mut()[node] = Some(new);
         let _ = kill(Pid::from_raw(old), Signal::SIGTERM);
-        sleep(KILLED_AFTER).await;
-        // Gone by now, unless it hangs: then nothing answers to this number any more.
+        sleep(KILL_DELAY).await;
+        // The old process has ended by now unless it hangs; if it has ended, nothing has this process id any
+        // more.
         let _ = kill(Pid::from_raw(old), Signal::SIGKILL);
     }
 
-    /// Sends a file that is cut off, then a fit one with other settings; the figures must tell of both.
+    /// Applies a truncated file, then a valid one with other settings. The metrics must count both.
     async fn retune(self: Rc<Self>, node: NodeId) {
-        let Some((pid, door)) = self.processes.borrow()[node].as_ref().map(|p| (p.pid, p.door)) else {
+        let Some((pid, management)) = self.processes.borrow()[node].as_ref().map(|p| (p.pid, p.management))
+        else {
             return;
         };
         let known = self.world.borrow().known_list(node);
@@ -475,55 +478,58 @@
             let written =
                 if fit { self.configure(node, &known, true) } else { cut().map_err(|e| e.to_string()) };
             if let Err(words) = written {
-                return self.fails(words);
+                return self.report_fault(words);
             }
             let _ = kill(Pid::from_raw(pid), Signal::SIGHUP);
             sleep(Duration::from_millis(300)).await;
         }
-        let told = ask(door, "/v1/metrics").await.map(|(_, body)| body).unwrap_or_default();
+        let told = management_get(management, "/v1/metrics").await.map(|(_, body)| body).unwrap_or_default();
         if told["sighup_applied"].as_u64() < Some(1) || told["sighup_rejected"].as_u64() < Some(1) {
-            self.fails(format!("node {node}: new settings were not taken over, or a cut file was: {told}"));
+            self.report_fault(format!(
+                "node {node}: new settings were not applied, or a truncated file was: {told}"
+            ));
         }
     }
 
-    /// Where the node's figures are not what its clients saw.
-    async fn untrue(&self, node: NodeId) -> String {
-        if !self.single.borrow()[node] {
+    /// Describes where the node's metrics differ from what its clients saw.
+    async fn metric_mismatches(&self, node: NodeId) -> String {
+        if !self.single_process.borrow()[node] {
             return String::new();
         }
-        let Some(door) = self.processes.borrow()[node].as_ref().map(|process| process.door) else {
+        let Some(management) = self.processes.borrow()[node].as_ref().map(|process| process.management)
+        else {
             return String::new();
         };
-        let Some((200, told)) = ask(door, "/v1/metrics").await else {
-            return format!("node {node} shows no figures. ");
+        let Some((200, told)) = management_get(management, "/v1/metrics").await else {
+            return format!("node {node} returned no metrics. ");
         };
-        let mut untrue = String::new();
+        let mut metric_mismatches = String::new();
         for ((_, operation), seen) in self.answers.borrow().iter().filter(|answers| answers.0 .0 == node) {
             let results = &told["results"][operation];
             for (name, seen) in ["succeeded", "declined", "aborted"].iter().zip(seen) {
                 let shown = results[name].as_u64().unwrap_or(u64::MAX);
-                // What a client leaves may stand under any count: those that leave do so in some hundred.
+                // Calls that clients abandon, a few in a hundred, may be counted under any result.
                 if shown.abs_diff(*seen) > 3.max(seen / 50) {
-                    untrue +=
-                        &format!("node {node} shows {shown} {name} of {operation}, clients saw {seen}. ");
+                    metric_mismatches +=
+                        &format!("node {node} counts {shown} {name} of {operation}, clients saw {seen}. ");
                 }
             }
         }
-        untrue
+        metric_mismatches
     }
 
-    /// Its process has ended.
-    fn gone(self: &Rc<Self>, node: NodeId, pid: i32, well: bool) {
+    /// Handles the end of a node's process.
+    fn process_ended(self: &Rc<Self>, node: NodeId, pid: i32, success: bool) {
         let process = self.processes.borrow_mut()[node].take_if(|process| process.pid == pid);
         let Some(process) = process else {
-            // Another process has its place, or will have.
-            if !well {
-                self.fails(format!("node {node}: a process that was replaced failed"));
+            // Another process has replaced it, or will.
+            if !success {
+                self.report_fault(format!("node {node}: a replaced process failed"));
             }
             return;
         };
-        if !process.ordered {
-            *self.fault.borrow_mut() = Some(format!("node {node} has ended by itself, well: {well}"));
+        if !process.end_expected {
+            *self.fault.borrow_mut() = Some(format!("node {node} ended unexpectedly, success: {success}"));
         }
         self.idle.borrow_mut()[node].clear();
         self.news.borrow_mut()[node].clear();
@@ -531,7 +537,7 @@
         if self.world.borrow().nodes[node].alive {
             self.world.borrow_mut().node_gone(now, node);
         }
-        self.stir.notify_one();
+        self.wakeup.notify_one();
     }
 
     fn order(self: &Rc<Self>, node: NodeId, order: Order) {
@@ -546,24 +552,24 @@
             Order::Replace => return drop(spawn_local(self.clone().replace(node))),
         };
         let stays = matches!(order, Order::Reload | Order::Stall | Order::Wake);
-        self.single.borrow_mut()[node] &= stays;
+        self.single_process.borrow_mut()[node] &= stays;
         self.measure(node);
         let now = self.now();
         let Some(pid) = self.processes.borrow_mut()[node].as_mut().map(|process| {
-            process.ordered |= !stays;
+            process.end_expected |= !stays;
             process.pid
         }) else {
             return;
         };
         match order {
-            // Before its connections break: what it held is void.
+            // Reported before its connections break, so that the tries it held are void.
             Order::Kill => self.world.borrow_mut().node_gone(now, node),
             Order::Stop => {
                 self.world.borrow_mut().node_stopping(now, node);
-                let stage = self.clone();
+                let harness = self.clone();
                 spawn_local(async move {
-                    sleep(KILLED_AFTER).await;
-                    if stage.processes.borrow()[node].as_ref().is_some_and(|process| process.pid == pid) {
+                    sleep(KILL_DELAY).await;
+                    if harness.processes.borrow()[node].as_ref().is_some_and(|process| process.pid == pid) {
                         let _ = kill(Pid::from_raw(pid), Signal::SIGKILL);
                     }
                 });
@@ -587,16 +593,16 @@
 
     fn end_all(&self) {
         for process in self.processes.borrow_mut().iter_mut().flatten() {
-            process.ordered = true;
+            process.end_expected = true;
             let _ = kill(Pid::from_raw(process.pid), Signal::SIGKILL);
         }
     }
 }
 
-/// What a process has taken so far.
+/// Resources that a process has used so far.
 pub fn taken_by(pid: i32) -> Machines {
     let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
-    // Fields 14 and 15, counted behind the name, which may hold blanks; in hundredths of a second.
+    // Fields 14 and 15, counted after the name, which may contain spaces; in hundredths of a second.
     let stat = read("stat");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
@@ -612,16 +618,16 @@
     }
 }
 
-async fn wait_up(stage: Rc<Stage>, node: NodeId, pid: i32) {
-    let here = || stage.processes.borrow()[node].as_ref().is_some_and(|process| process.pid == pid);
+async fn wait_until_ready(harness: Rc<Harness>, node: NodeId, pid: i32) {
+    let here = || harness.processes.borrow()[node].as_ref().is_some_and(|process| process.pid == pid);
     while here() {
-        if let Ok(mut sender) = dial(node_addr(stage.block, node)).await {
+        if let Ok(mut sender) = dial(node_addr(harness.block, node)).await {
             let ask = Request::get("/up").header("host", "b").body(Full::default());
             if let Ok(ask) = ask {
                 let answer = sender.send_request(ask).await;
                 if answer.is_ok_and(|answer| answer.status() == 200) && here() {
-                    stage.world.borrow_mut().node_ready(node);
-                    return stage.stir.notify_one();
+                    harness.world.borrow_mut().node_ready(node);
+                    return harness.wakeup.notify_one();
                 }
             }
         }
@@ -637,9 +643,9 @@
     Ok(sender)
 }
 
-/// A call at an operators' door: the status, and what it tells.
-async fn ask(door: SocketAddr, path: &str) -> Option<(u16, Value)> {
-    let mut sender = dial(door).await.ok()?;
+/// Calls a management address; returns the status and the JSON body.
+async fn management_get(management: SocketAddr, path: &str) -> Option<(u16, Value)> {
+    let mut sender = dial(management).await.ok()?;
     let request = Request::get(path).header("host", "n").body(Full::default()).ok()?;
     let answer = timeout(Duration::from_secs(1), sender.send_request(request)).await.ok()?.ok()?;
     let status = answer.status().as_u16();
@@ -647,13 +653,13 @@
     Some((status, serde_json::from_slice(&body).unwrap_or_default()))
 }
 
-// Clients.
+// Clients
 
-fn request(stage: &Stage, tri: TryId) -> Option<Request<Full<Bytes>>> {
-    let world = stage.world.borrow();
+fn request(harness: &Harness, tri: TryId) -> Option<Request<Full<Bytes>>> {
+    let world = harness.world.borrow();
     let (ask, tried) = (world.clients.ask_of(tri), world.clients.tries[tri as usize]);
     let op = &world.scenario.operations[ask.op];
-    let budget = ((tried.deadline - stage.now()) * 1e3).floor().max(1.0) as u64;
+    let budget = ((tried.deadline - harness.now()) * 1e3).floor().max(1.0) as u64;
     let mut request = Request::post(format!("/{}/x", op.name))
         .header("host", "backend.local")
         .header("x-call-id", call(world.seed, tri))
@@ -671,11 +677,11 @@
     request.body(Full::from(Bytes::from_static(b"job"))).ok()
 }
 
-async fn submit(stage: Rc<Stage>, node: NodeId, tri: TryId) {
-    let addr = node_addr(stage.block, node);
+async fn submit(harness: Rc<Harness>, node: NodeId, tri: TryId) {
+    let addr = node_addr(harness.block, node);
     let mut written = false;
     loop {
-        let kept = stage.idle.borrow_mut()[node].pop();
+        let kept = harness.idle.borrow_mut()[node].pop();
         let reused = kept.is_some();
         let sender = match kept {
             Some(sender) if sender.is_closed() => continue,
@@ -683,46 +689,47 @@
             None => dial(addr).await,
         };
         let Ok(mut sender) = sender else {
-            let now = stage.now();
-            // What was written to a connection that broke may have been taken: it is not sent to another node.
+            let now = harness.now();
+            // A request written to a connection that broke may have been received: it is not sent to another
+            // node.
             match written {
-                true => stage.world.borrow_mut().connection_lost(now, tri),
-                false => stage.world.borrow_mut().refused(now, tri),
+                true => harness.world.borrow_mut().connection_lost(now, tri),
+                false => harness.world.borrow_mut().refused(now, tri),
             }
-            return stage.stir.notify_one();
+            return harness.wakeup.notify_one();
         };
-        let Some(request) = request(&stage, tri) else { return };
+        let Some(request) = request(&harness, tri) else { return };
         if !std::mem::replace(&mut written, true) {
-            let now = stage.now();
-            stage.world.borrow_mut().taken(now, tri);
+            let now = harness.now();
+            harness.world.borrow_mut().taken(now, tri);
         }
         match answer(&mut sender, request).await {
-            // A node may close a connection between requests: sent once more on a new one.
-            Err(_) if reused && stage.world.borrow().nodes[node].alive => continue,
+            // A node may close an idle connection at any time: the request is sent once more on a new one.
+            Err(_) if reused && harness.world.borrow().nodes[node].alive => continue,
             Err(_) => {
-                // Its end may be told a little later than its connections'.
+                // The end of a process may be seen slightly after the end of its connections.
                 sleep(Duration::from_millis(20)).await;
-                let now = stage.now();
-                stage.world.borrow_mut().connection_lost(now, tri);
+                let now = harness.now();
+                harness.world.borrow_mut().connection_lost(now, tri);
             }
             Ok((status, pause, body)) => {
-                let now = stage.now();
-                let right = body.as_ref() == call(stage.world.borrow().seed, tri).as_bytes();
+                let now = harness.now();
+                let right = body.as_ref() == call(harness.world.borrow().seed, tri).as_bytes();
                 let answer = match status {
                     200 if right => FinalAnswer::Served,
                     429 | 503 => FinalAnswer::Refused,
                     400..=499 => FinalAnswer::Unfit,
                     _ => FinalAnswer::Failed,
                 };
-                stage.count(node, tri, answer);
-                stage.world.borrow_mut().answered(now, tri, answer, pause);
+                harness.count_answer(node, tri, answer);
+                harness.world.borrow_mut().answered(now, tri, answer, pause);
                 if !sender.is_closed() {
-                    stage.idle.borrow_mut()[node].push(sender);
+                    harness.idle.borrow_mut()[node].push(sender);
                 }
             }
         }
-        stage.clients.borrow_mut().remove(&tri);
-        return stage.stir.notify_one();
+        harness.clients.borrow_mut().remove(&tri);
+        return harness.wakeup.notify_one();
     }
 }
 
@@ -738,115 +745,119 @@
     Ok((status, pause.unwrap_or(0.0), body))
 }
 
-// Workers.
+// Workers
 
-async fn work(stage: Rc<Stage>, worker: WorkerId, mut listener: Option<TcpListener>) {
+async fn run_worker(harness: Rc<Harness>, worker: WorkerId, mut listener: Option<TcpListener>) {
     let mut connections = JoinSet::new();
     loop {
-        let life = stage.world.borrow().workers[worker].life;
+        let life = harness.world.borrow().workers[worker].life;
         if life == Liveness::Down {
-            // Nobody listens, and what was open breaks.
+            // Stops listening and breaks open connections.
             listener = None;
             connections.abort_all();
         } else if listener.is_none() {
-            listener = listen(worker_addr(stage.block, worker)).ok();
+            listener = listen(worker_addr(harness.block, worker)).ok();
         }
-        let most = stage.world.borrow().workers[worker].connections();
+        let most = harness.world.borrow().workers[worker].connections();
         let Some(open) = &listener else {
-            let _ = timeout(Duration::from_millis(20), stage.lives[worker].notified()).await;
+            let _ = timeout(Duration::from_millis(20), harness.worker_changed[worker].notified()).await;
             continue;
         };
         tokio::select! {
-            // What changes its life is told, or seen soon.
-            _ = timeout(Duration::from_millis(20), stage.lives[worker].notified()) => {}
+            // State changes are notified, or noticed at the next poll.
+            _ = timeout(Duration::from_millis(20), harness.worker_changed[worker].notified()) => {}
             accepted = open.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
                 while connections.try_join_next().is_some() {}
                 if connections.len() < most {
                     let _ = stream.set_nodelay(true);
-                    connections.spawn_local(serve(stage.clone(), worker, stream));
+                    connections.spawn_local(serve(harness.clone(), worker, stream));
                 }
             }
         }
     }
 }
 
-async fn serve(stage: Rc<Stage>, worker: WorkerId, stream: TcpStream) {
+async fn serve(harness: Rc<Harness>, worker: WorkerId, stream: TcpStream) {
     let service = service_fn(|request| {
-        let stage = stage.clone();
-        async move { respond(stage, worker, request).await }
+        let harness = harness.clone();
+        async move { respond(harness, worker, request).await }
     });
     let _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// An exchange that ends without an answer.
+/// A connection that ends without an answer.
 #[derive(Debug)]
-struct Broken;
+struct ConnectionBroken;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for ConnectionBroken {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str("broken off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ConnectionBroken {}
 
-fn load(report: &Report) -> Value {
+fn load_report(report: &Report) -> Value {
     json!({ "x0": report.free, "depth": report.queue, "concurrent": report.inflight, "x1": report.memory })
 }
 
-fn plain(status: u16, body: String) -> Response<Full<Bytes>> {
+fn plain_response(status: u16, body: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::from(Bytes::from(body)));
     *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     response
 }
 
 async fn respond(
-    stage: Rc<Stage>,
+    harness: Rc<Harness>,
     worker: WorkerId,
     request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, Broken> {
+) -> Result<Response<Full<Bytes>>, ConnectionBroken> {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/alive" | "/metrics/load") => probed(stage, worker, &path).await,
+        (&Method::GET, "/alive" | "/metrics/load") => probed(harness, worker, &path).await,
         (&Method::DELETE, path) => {
             let Some(tri) = path.strip_prefix("/jobs/").and_then(tri_of) else {
-                return Ok(plain(404, String::new()));
+                return Ok(plain_response(404, String::new()));
             };
-            let now = stage.now();
-            let (mut outs, mut world) = (Vec::new(), stage.world.borrow_mut());
+            let now = harness.now();
+            let (mut outs, mut world) = (Vec::new(), harness.world.borrow_mut());
             let node = world.clients.tries.get(tri as usize).map(|tried| tried.node);
             if let Some(node) = node {
                 world.invariants.given_up(now, tri, worker);
                 world.give_up(now, node, worker, tri, &mut outs);
             }
             drop(world);
-            stage.bring(outs);
-            Ok(plain(200, String::new()))
+            harness.deliver_outputs(outs);
+            Ok(plain_response(200, String::new()))
         }
-        (&Method::POST, _) => job(stage, worker, request).await,
-        _ => Ok(plain(404, String::new())),
+        (&Method::POST, _) => job(harness, worker, request).await,
+        _ => Ok(plain_response(404, String::new())),
     }
 }
 
-async fn probed(stage: Rc<Stage>, worker: WorkerId, path: &str) -> Result<Response<Full<Bytes>>, Broken> {
-    let now = stage.now();
-    if stage.world.borrow().workers[worker].life == Liveness::Vanished {
+async fn probed(
+    harness: Rc<Harness>,
+    worker: WorkerId,
+    path: &str,
+) -> Result<Response<Full<Bytes>>, ConnectionBroken> {
+    let now = harness.now();
+    if harness.world.borrow().workers[worker].life == Liveness::Vanished {
         return std::future::pending().await;
     }
-    let told = stage.world.borrow_mut().probe(now, worker);
+    let told = harness.world.borrow_mut().probe(now, worker);
     match told {
         None => std::future::pending().await,
         Some((up, report)) => {
-            let body = if path == "/alive" { String::new() } else { load(&report).to_string() };
-            Ok(plain(if up { 200 } else { 503 }, body))
+            let body = if path == "/alive" { String::new() } else { load_report(&report).to_string() };
+            Ok(plain_response(if up { 200 } else { 503 }, body))
         }
     }
 }
 
-/// Gives a job up if its connection is closed before it was answered for.
+/// Cancels a job if its connection is closed before it was answered.
 struct Unanswered<'a> {
-    stage: &'a Rc<Stage>,
+    harness: &'a Rc<Harness>,
     worker: WorkerId,
     node: NodeId,
     tri: TryId,
@@ -855,73 +866,73 @@
 
 impl Drop for Unanswered<'_> {
     fn drop(&mut self) {
-        let waited = self.stage.pending.borrow_mut().remove(&(self.worker, self.tri)).is_some();
+        let waited = self.harness.pending.borrow_mut().remove(&(self.worker, self.tri)).is_some();
         if !self.over && waited {
-            let (now, mut outs) = (self.stage.now(), Vec::new());
-            let mut world = self.stage.world.borrow_mut();
+            let (now, mut outs) = (self.harness.now(), Vec::new());
+            let mut world = self.harness.world.borrow_mut();
             world.invariants.given_up(now, self.tri, self.worker);
             world.give_up(now, self.node, self.worker, self.tri, &mut outs);
             drop(world);
-            self.stage.bring(outs);
+            self.harness.deliver_outputs(outs);
         }
     }
 }
 
 async fn job(
-    stage: Rc<Stage>,
+    harness: Rc<Harness>,
     worker: WorkerId,
     request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, Broken> {
+) -> Result<Response<Full<Bytes>>, ConnectionBroken> {
     let tri = request.headers().get("x-call-id").and_then(|id| tri_of(id.to_str().ok()?));
-    let known = |tri: &TryId| stage.world.borrow().clients.tries.get(*tri as usize).is_some();
-    let Some(tri) = tri.filter(known) else { return Ok(plain(400, String::new())) };
-    let (node, way) = {
-        let world = stage.world.borrow();
+    let known = |tri: &TryId| harness.world.borrow().clients.tries.get(*tri as usize).is_some();
+    let Some(tri) = tri.filter(known) else { return Ok(plain_response(400, String::new())) };
+    let (node, delivery) = {
+        let world = harness.world.borrow();
         let node = world.clients.tries[tri as usize].node;
         (node, world.delivery(node, worker, tri, worker))
     };
-    match way {
-        Delivery::BreaksBefore(_) | Delivery::Refused(_) => return Err(Broken),
+    match delivery {
+        Delivery::BreaksBefore(_) | Delivery::Refused(_) => return Err(ConnectionBroken),
         Delivery::Cut => return std::future::pending().await,
         Delivery::Arrives(takes) | Delivery::BreaksAfter(takes) => {
             sleep(Duration::from_secs_f64(takes)).await
         }
     }
-    request.into_body().collect().await.map_err(|_| Broken)?;
+    request.into_body().collect().await.map_err(|_| ConnectionBroken)?;
     let (taken, told) = oneshot::channel();
-    stage.pending.borrow_mut().insert((worker, tri), taken);
-    let mut unanswered = Unanswered { stage: &stage, worker, node, tri, over: false };
-    let (now, mut outs) = (stage.now(), Vec::new());
-    stage.world.borrow_mut().job(now, node, worker, tri, now, &mut outs);
-    stage.bring(outs);
-    if matches!(way, Delivery::BreaksAfter(_)) {
-        stage.ack(worker, tri, Ack::Breaks);
+    harness.pending.borrow_mut().insert((worker, tri), taken);
+    let mut unanswered = Unanswered { harness: &harness, worker, node, tri, over: false };
+    let (now, mut outs) = (harness.now(), Vec::new());
+    harness.world.borrow_mut().job(now, node, worker, tri, now, &mut outs);
+    harness.deliver_outputs(outs);
+    if matches!(delivery, Delivery::BreaksAfter(_)) {
+        harness.ack(worker, tri, Ack::Breaks);
     }
     let ack = told.await;
     unanswered.over = true;
     match ack {
-        Ok(Ack::Taken) => Ok(plain(202, String::new())),
+        Ok(Ack::Taken) => Ok(plain_response(202, String::new())),
         Ok(Ack::Rejects(report)) => {
-            let mut response = plain(503, String::new());
-            let value = load(&report).to_string().parse();
+            let mut response = plain_response(503, String::new());
+            let value = load_report(&report).to_string().parse();
             response.headers_mut().insert("x-rejected", hyper::header::HeaderValue::from_static("1"));
             value.ok().map(|value| response.headers_mut().insert("x-load-report", value));
             Ok(response)
         }
-        Ok(Ack::Fails) => Ok(plain(500, String::new())),
-        Ok(Ack::Breaks) | Err(_) => Err(Broken),
+        Ok(Ack::Fails) => Ok(plain_response(500, String::new())),
+        Ok(Ack::Breaks) | Err(_) => Err(ConnectionBroken),
     }
 }
 
-async fn tell_news(
-    stage: Rc<Stage>,
+async fn send_news(
+    harness: Rc<Harness>,
     node: NodeId,
     worker: WorkerId,
     tri: TryId,
     word: JobUpdate,
     report: Report,
 ) {
-    let id = call(stage.world.borrow().seed, tri);
+    let id = call(harness.world.borrow().seed, tri);
     let state = match word {
         JobUpdate::Started => "started",
         JobUpdate::Running => "running",
@@ -934,42 +945,42 @@
         line["result"] = json!(id);
     }
     if !matches!(word, JobUpdate::Started | JobUpdate::Running) {
-        line["load"] = load(&report);
+        line["load"] = load_report(&report);
     }
     let text = Bytes::from(line.to_string());
-    for _ in 0..NEWS_TRIES {
-        let way = stage.world.borrow().delivery(node, worker, tri, 200);
-        let vanished = stage.world.borrow().workers[worker].life == Liveness::Vanished;
+    for _ in 0..MAX_NEWS_TRIES {
+        let delivery = harness.world.borrow().delivery(node, worker, tri, 200);
+        let vanished = harness.world.borrow().workers[worker].life == Liveness::Vanished;
         if vanished {
             return;
         }
-        if way != Delivery::Cut && told(&stage, node, &text).await {
+        if delivery != Delivery::Cut && post_news(&harness, node, &text).await {
             return;
         }
-        sleep(NEWS_AGAIN).await;
+        sleep(NEWS_RETRY_DELAY).await;
     }
 }
 
-/// Posts a word to a node; whether it was answered.
-async fn told(stage: &Rc<Stage>, node: NodeId, text: &Bytes) -> bool {
-    let kept = stage.news.borrow_mut()[node].pop();
+/// Posts an update to a node; returns whether it was answered.
+async fn post_news(harness: &Rc<Harness>, node: NodeId, text: &Bytes) -> bool {
+    let kept = harness.news.borrow_mut()[node].pop();
     let sender = match kept.filter(|kept| !kept.is_closed()) {
         Some(sender) => Ok(sender),
-        None => dial(node_addr(stage.block, node)).await,
+        None => dial(node_addr(harness.block, node)).await,
     };
     let Ok(mut sender) = sender else { return false };
     let post = Request::post("/_jobs/news").header("host", "b").body(Full::from(text.clone()));
     let Ok(post) = post else { return false };
     let answered = answer(&mut sender, post).await.is_ok_and(|(status, ..)| status == 200 || status == 204);
     if answered && !sender.is_closed() {
-        stage.news.borrow_mut()[node].push(sender);
+        harness.news.borrow_mut()[node].push(sender);
     }
     answered
 }
 
-// Discovery.
+// Discovery
 
-/// A body of lines that come as they come.
+/// A response body that streams lines from a channel.
 pub(crate) struct Lines(pub(crate) mpsc::UnboundedReceiver<Bytes>);
 
 impl Body for Lines {
@@ -984,37 +995,37 @@
     }
 }
 
-async fn tell_list(stage: Rc<Stage>, node: NodeId, listener: TcpListener) {
+async fn serve_list(harness: Rc<Harness>, node: NodeId, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        let stage = stage.clone();
+        let harness = harness.clone();
         spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
-                let stage = stage.clone();
-                async move { follow(stage, node, request.uri().query().unwrap_or_default()) }
+                let harness = harness.clone();
+                async move { open_watch(harness, node, request.uri().query().unwrap_or_default()) }
             });
             let _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-fn follow(stage: Rc<Stage>, node: NodeId, query: &str) -> Result<Response<Lines>, Broken> {
+fn open_watch(harness: Rc<Harness>, node: NodeId, query: &str) -> Result<Response<Lines>, ConnectionBroken> {
     let figure = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok());
     let (lines, body) = mpsc::unbounded_channel();
-    let (watch, version) = (stage.watch.get() + 1, figure("index=").unwrap_or(0));
-    stage.watch.set(watch);
-    stage.watches.borrow_mut().insert((node, watch), lines.clone());
+    let (watch, version) = (harness.watch.get() + 1, figure("index=").unwrap_or(0));
+    harness.watch.set(watch);
+    harness.watches.borrow_mut().insert((node, watch), lines.clone());
     let mut outs = Vec::new();
-    let now = stage.now();
-    stage.world.borrow_mut().watch(now, node, watch, version, &mut outs);
+    let now = harness.now();
+    harness.world.borrow_mut().watch(now, node, watch, version, &mut outs);
     let lost = outs.iter().any(|out| matches!(out, Output::Lost { .. }));
-    stage.bring(outs);
+    harness.deliver_outputs(outs);
     if lost {
-        return Err(Broken);
+        return Err(ConnectionBroken);
     }
     spawn_local(async move {
         while lines.send(Bytes::from_static(b"\n")).is_ok() {
-            sleep(QUIET_LINE).await;
-            if !stage.watches.borrow().contains_key(&(node, watch)) {
+            sleep(KEEPALIVE_INTERVAL).await;
+            if !harness.watches.borrow().contains_key(&(node, watch)) {
                 return;
             }
         }
@@ -1022,7 +1033,7 @@
     Ok(Response::new(Lines(body)))
 }
 
-/// Where the node's program stands, built beside this one.
+/// The node's program in the directory of this executable.
 pub fn node_program() -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     own.parent().unwrap_or(Path::new(".")).join("coveroute")
--- a/crates/coveroute-emu/src/main.rs
+++ b/crates/coveroute-emu/src/main.rs
@@ -1,4 +1,4 @@
-//! coveroute-emu: rehearses failures. See `coveroute-emu help`.
+//! The command-line interface of the emulator. See `coveroute-emu help`.
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -17,7 +17,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::json;
 
-/// Rehearses failures of coveroute: in virtual time, or on loopback against real nodes.
+/// Emulates failures around coveroute, in virtual time or on loopback against real nodes.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -27,40 +27,41 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Read scenarios, say whether they are fit
+    /// Validate scenarios
     Check { scenarios: Vec<PathBuf> },
-    /// Play a scenario: in virtual time, or on loopback
+    /// Run a scenario in virtual time or on loopback
     Run {
         scenario: PathBuf,
-        /// In place of the scenario's own
+        /// Seed to use instead of the scenario's own
         #[arg(long)]
         seed: Option<u64>,
-        /// coveroute, random, round-robin, least-in-flight, two-choices or oracle; in virtual time alone
+        /// Policy: coveroute, random, round-robin, least-in-flight, two-choices or oracle; on loopback only
+        /// coveroute
         #[arg(long, default_value = "coveroute")]
         policy: String,
-        /// Real nodes on sockets, in real time
+        /// Use real nodes on sockets, in real time
         #[arg(long)]
         loopback: bool,
-        /// The node's program; beside this one without it
+        /// The node's program; by default in the directory of this one
         #[arg(long)]
         node: Option<PathBuf>,
-        /// A folder for the nodes' logs
+        /// Directory for the nodes' logs
         #[arg(long)]
         logs: Option<PathBuf>,
-        /// The outcome as one JSON line
+        /// Print the outcome as one JSON line
         #[arg(long)]
         json: bool,
     },
-    /// Play a scenario in virtual time and write every event down
+    /// Run a scenario in virtual time and write every event to a file
     Record {
         scenario: PathBuf,
         to: PathBuf,
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Play a record again: the same figure, or the first event where it parts
+    /// Replay a record and compare it with the recorded run
     Replay { record: PathBuf },
-    /// Tell the first event where two records part
+    /// Print the first event where two records differ
     Diff { one: PathBuf, two: PathBuf },
     /// Load real nodes on loopback and measure them
     Load {
@@ -72,18 +73,18 @@
         connections: usize,
         #[arg(long, default_value_t = 5.0)]
         seconds: f64,
-        /// Calls a second (open loop); without it as fast as they are answered (closed loop)
+        /// Calls per second (open loop); without it as fast as they are answered (closed loop)
         #[arg(long)]
         rate: Option<f64>,
         #[arg(long, default_value_t = 4096)]
         sockets: usize,
-        /// Milliseconds that a job runs
+        /// Running time of a job in milliseconds
         #[arg(long, default_value_t = 0.0)]
         runs: f64,
         #[arg(long)]
         node: Option<PathBuf>,
     },
-    /// Two policies, or builds of this tool, on the same seeds
+    /// Compare two policies, or builds of this tool, on the same seeds
     Compare {
         scenario: PathBuf,
         one: String,
@@ -91,52 +92,52 @@
         #[arg(long, default_value_t = 20)]
         seeds: u64,
     },
-    /// Play random schedules of faults; shrink what breaks a rule, and the deepest losses
+    /// Run random schedules of faults; shrink those that break a rule, and the deepest losses
     Search {
         #[arg(long, default_value_t = 1000)]
         seeds: u64,
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// Deepest losses to shrink and write out
+        /// Number of deepest losses to shrink and write out
         #[arg(long, default_value_t = 3)]
         worst: usize,
-        /// Count a loss against the better of two plain policies on the same seed
+        /// Measure losses against the better of two plain policies on the same seed
         #[arg(long)]
         baselines: bool,
-        /// Nodes that know each other, and faults of the links between them on top
+        /// Use fleets: nodes that know each other, with faults of the links between them
         #[arg(long)]
         fleet: bool,
-        /// Where what is found is written
+        /// Directory for the scenarios found
         #[arg(long, default_value = "found")]
         to: PathBuf,
     },
-    /// Play a scenario in virtual time and write a page with plots, and a CSV beside it
+    /// Run a scenario in virtual time and write an HTML report with plots, and a CSV file beside it
     Report {
         scenario: PathBuf,
         to: PathBuf,
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// All orders of what can happen between a few nodes that know each other, to a depth
+    /// Explore every order of events between a few nodes that know each other, up to a depth
     Explore {
         #[arg(long, default_value_t = 2)]
         nodes: usize,
         #[arg(long, default_value_t = 8)]
         depth: usize,
-        /// States at most
+        /// Maximum number of states
         #[arg(long, default_value_t = 200_000)]
         most: usize,
-        /// Clocks run at 1 plus and minus this; 0.01 is allowed for
+        /// Clock drift: clocks run at 1 plus and minus this; the fleet allows for 0.01
         #[arg(long, default_value_t = 0.01)]
         drift: f64,
-        /// Play this way again instead, as a breach was told
+        /// Replay this sequence of steps instead, as printed for a breach
         #[arg(long)]
         way: Option<String>,
     },
-    /// Run a proof: one JSON line, and a failure when a figure falls short
+    /// Run a proof; print one JSON line and fail if a requirement is missed
     Prove {
         name: String,
-        /// The long form, by hand
+        /// Run the long form, which is meant to be run by hand
         #[arg(long)]
         long: bool,
         #[arg(long, default_value = "scenarios")]
@@ -146,10 +147,10 @@
     },
 }
 
-fn bar(most: u64, words: &'static str) -> ProgressBar {
+fn progress_bar(most: u64, words: &'static str) -> ProgressBar {
     let style = ProgressStyle::with_template("{msg} {wide_bar} {pos}/{len} {eta}");
-    let bar = ProgressBar::new(most).with_message(words);
-    style.map(|style| bar.clone().with_style(style)).unwrap_or(bar)
+    let progress_bar = ProgressBar::new(most).with_message(words);
+    style.map(|style| progress_bar.clone().with_style(style)).unwrap_or(progress_bar)
 }
 
 fn summary(outcome: &Outcome) {
@@ -178,7 +179,7 @@
     }
 }
 
-fn told(outcome: &Outcome, more: serde_json::Value, json: bool) {
+fn print_result(outcome: &Outcome, more: serde_json::Value, json: bool) {
     if json {
         println!("{}", json!({ "figure": outcome.figure(), "outcome": outcome, "run": more }));
     } else {
@@ -187,7 +188,7 @@
     }
 }
 
-fn judged(outcome: &Outcome) -> Result<(), String> {
+fn check_rules(outcome: &Outcome) -> Result<(), String> {
     match outcome.broken {
         0 => Ok(()),
         broken => Err(format!("rules broken: {broken}")),
@@ -216,17 +217,17 @@
     write(&path, &(head + &found.scenario.text()))
 }
 
-fn act(command: Command) -> Result<(), String> {
+fn execute(command: Command) -> Result<(), String> {
     let program = |node: Option<PathBuf>| node.unwrap_or_else(loopback::node_program);
     match command {
         Command::Check { scenarios } => scenarios.iter().try_for_each(|path| {
             let scenario = Scenario::read(path)?;
-            println!("{}: fit, {} faults", path.display(), scenario.faults.len());
+            println!("{}: valid, {} faults", path.display(), scenario.faults.len());
             Ok(())
         }),
         Command::Run { scenario, seed, policy, loopback: true, node, logs, json } => {
             if policy != "coveroute" {
-                return Err("policy: on loopback real nodes are played, coveroute alone".into());
+                return Err("policy: loopback runs real nodes and supports coveroute only".into());
             }
             let scenario = Scenario::read(&scenario)?;
             if let Some(logs) = &logs {
@@ -234,17 +235,17 @@
             }
             let options = loopback::Options { node: program(node), logs };
             let (outcome, machines) = loopback::run(&scenario, seed.unwrap_or(scenario.seed), options)?;
-            told(&outcome, json!(machines), json);
-            judged(&outcome)
+            print_result(&outcome, json!(machines), json);
+            check_rules(&outcome)
         }
         Command::Run { scenario, seed, policy, json, .. } => {
             let scenario = Scenario::read(&scenario)?;
-            let policy = Policy::named(&policy).ok_or(format!("policy: there is no {policy}"))?;
+            let policy = Policy::named(&policy).ok_or(format!("policy: unknown policy {policy}"))?;
             let (outcome, pace) = run(&scenario, seed.unwrap_or(scenario.seed), policy, None)?;
             let Pace { events, seconds, wall } = pace;
             let speed = json!({ "events": events, "times_real": seconds / wall, "events_a_second": events as f64 / wall });
-            told(&outcome, speed, json);
-            judged(&outcome)
+            print_result(&outcome, speed, json);
+            check_rules(&outcome)
         }
         Command::Record { scenario, to, seed } => {
             let scenario = Scenario::read(&scenario)?;
@@ -254,15 +255,15 @@
         }
         Command::Replay { record } => {
             let outcome = trace::replay(&record)?;
-            println!("the same: service {:.6}", outcome.figure());
+            println!("identical: service {:.6}", outcome.figure());
             Ok(())
         }
         Command::Diff { one, two } => match trace::diff(&one, &two)? {
             None => {
-                println!("the same");
+                println!("identical");
                 Ok(())
             }
-            Some((at, one, two)) => Err(format!("part at event {at}:\n  {one}\n  {two}")),
+            Some((at, one, two)) => Err(format!("differ at event {at}:\n  {one}\n  {two}")),
         },
         Command::Load { nodes, executors, connections, seconds, rate, sockets, runs, node } => {
             let node = program(node);
@@ -278,9 +279,9 @@
         }
         Command::Search { seeds, from, worst, baselines, fleet, to } => {
             let draws = if fleet { drawn_fleet } else { drawn };
-            let bar = bar(seeds, "searching");
-            let searched = search(from, seeds, worst, baselines, draws, || bar.inc(1))?;
-            bar.finish_and_clear();
+            let progress_bar = progress_bar(seeds, "searching");
+            let searched = search(from, seeds, worst, baselines, draws, || progress_bar.inc(1))?;
+            progress_bar.finish_and_clear();
             println!("{seeds} seeds in {:.1} s, mean service {:.4}", searched.wall, searched.mean);
             searched.broken.iter().try_for_each(|found| write_found(&to, "breach", found))?;
             searched.worst.iter().try_for_each(|found| write_found(&to, "worst", found))?;
@@ -299,7 +300,7 @@
             }
             let explored = explore(&model, depth, most);
             let (states, steps, depth) = (explored.states, explored.steps, explored.depth);
-            println!("{states} states, {steps} steps, all orders to depth {depth}");
+            println!("{states} states, {steps} steps, every order to depth {depth}");
             match explored.breach {
                 None => Ok(()),
                 Some(breach) => {
@@ -324,14 +325,14 @@
             );
             match proof.short_of.len() {
                 0 => Ok(()),
-                n => Err(format!("{name}: {n} figures fall short")),
+                n => Err(format!("{name}: {n} requirements missed")),
             }
         }
     }
 }
 
 fn main() -> ExitCode {
-    match act(Arguments::parse().command) {
+    match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(words) => {
             eprintln!("coveroute-emu: {words}");
--- a/crates/coveroute-emu/src/proof.rs
+++ b/crates/coveroute-emu/src/proof.rs
@@ -1,10 +1,10 @@
-//! A proof's figures, and what falls short of what they should be.
+//! The result of a proof: its figures and the requirements that they miss.
 use std::path::PathBuf;
 
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// Figures, and what falls short of what they should be.
+/// Measured figures, and a message for each requirement that was missed.
 #[derive(Debug, Default, Serialize)]
 pub struct Proof {
     pub figures: Value,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Where the scenarios lie; a proof is run from the repository.
+/// Where a proof finds the scenarios and the node's program. Proofs are run from the repository.
 pub struct Place {
     pub scenarios: PathBuf,
     pub node: PathBuf,
--- a/crates/coveroute-emu/src/prove.rs
+++ b/crates/coveroute-emu/src/prove.rs
@@ -1,5 +1,5 @@
-//! Proofs: each prints its figures in one JSON line and fails when one falls short. The short form is for CI, the long
-//! one by hand.
+//! Proofs: each prints its figures as one JSON line and fails if a requirement is missed. The short form is
+//! for CI, the long form is run by hand.
 use std::path::Path;
 
 use serde_json::json;
@@ -22,7 +22,7 @@
         "fleet" => fleet(place),
         "limits" => limits(place),
         "capacity" => capacity(place),
-        other => Err(format!("no proof {other}; there are: {}", NAMES.join(", "))),
+        other => Err(format!("unknown proof {other}; available: {}", NAMES.join(", "))),
     }
 }
 
@@ -33,20 +33,22 @@
     (mean, (most - least) / mean.max(1e-9))
 }
 
-/// A virtual run twice: its figure and events, and whether both are the same to the byte.
-fn twice(scenario: &Scenario) -> Result<(f64, Digest, bool, u64), String> {
+/// Runs a scenario twice in virtual time. Returns its figure, digest, whether both runs were identical, and
+/// the number of breaches.
+fn run_twice(scenario: &Scenario) -> Result<(f64, Digest, bool, u64), String> {
     let mut digests = [Digest::default(); 2];
     let (one, _) = run(scenario, scenario.seed, Policy::Node, Some(&mut digests[0]))?;
     let (two, _) = run(scenario, scenario.seed, Policy::Node, Some(&mut digests[1]))?;
     Ok((one.figure(), digests[0], digests[0] == digests[1] && one == two, one.broken))
 }
 
-/// The emulator itself: the same from run to run, in virtual time and on sockets alike; no rule broken by search.
+/// Proves the emulator itself: runs repeat exactly in virtual time, loopback agrees with virtual time, and
+/// search finds no breach.
 fn emulator(place: &Place) -> Result<Proof, String> {
     let mut proof = Proof::new();
     let path = place.scenarios.join(if place.long { "rehearsal.toml" } else { "rehearsal-short.toml" });
     let scenario = Scenario::read(&path)?;
-    let (figure, digest, same, broken) = twice(&scenario)?;
+    let (figure, digest, same, broken) = run_twice(&scenario)?;
     proof.note("virtual", figure);
     proof.note("events", digest.events);
     proof.want(same, "two virtual runs of one seed differ".into());
@@ -61,18 +63,19 @@
         proof.want(outcome.counts.duplicates == 0, "loopback: a payment ran twice".into());
         figures.push(outcome.figure());
     }
-    let (mean, apart) = spread(&figures);
+    let (mean, relative_spread) = spread(&figures);
     proof.note("loopback", &figures);
-    proof.note("loopback_spread", apart);
-    proof.want(apart <= 0.03, format!("loopback runs are {apart:.3} apart, 0.03 wanted"));
+    proof.note("loopback_spread", relative_spread);
+    proof
+        .want(relative_spread <= 0.03, format!("loopback runs differ by {relative_spread:.3}, 0.03 allowed"));
     let off = (mean - figure).abs() / figure;
     proof.note("loopback_off_virtual", off);
-    proof.want(off <= 0.05, format!("the loopback mean is {off:.3} off virtual time, 0.05 wanted"));
+    proof.want(off <= 0.05, format!("the loopback mean differs by {off:.3} from virtual time, 0.05 allowed"));
     for name in SCENARIOS {
         let scenario = Scenario::read(&place.scenarios.join(name))?;
-        let (figure, _, same, broken) = twice(&scenario)?;
+        let (figure, _, same, broken) = run_twice(&scenario)?;
         proof.note(name, figure);
-        proof.want(same && broken == 0, format!("{name}: the same {same}, {broken} rules broken"));
+        proof.want(same && broken == 0, format!("{name}: runs equal: {same}, {broken} rules broken"));
     }
     let seeds = if place.long { 10_000 } else { 300 };
     let searched = search(1, seeds, 0, false, drawn, || {})?;
@@ -83,13 +86,13 @@
         proof.want(false, format!("seed {}: {}", found.seed, found.words));
     }
     if place.long {
-        sizes(&place.scenarios, &mut proof)?;
+        measure_sizes(&place.scenarios, &mut proof)?;
     }
     Ok(proof)
 }
 
-/// Daily running, with real processes under load: new processes in the place of old ones, new settings, and figures that
-/// are what clients saw.
+/// Proves daily operation with real processes under load: replacing processes, changing settings, and
+/// metrics that match what clients saw.
 fn daily(place: &Place) -> Result<Proof, String> {
     let mut proof = Proof::new();
     for name in ["replace.toml", "retune.toml"] {
@@ -101,13 +104,13 @@
         proof.want(outcome.counts.duplicates == 0, format!("{name}: a payment ran twice"));
         proof.want(
             outcome.figure() >= 0.9,
-            format!("{name}: {:.3} served in time, 0.9 wanted", outcome.figure()),
+            format!("{name}: {:.3} served in time, 0.9 required", outcome.figure()),
         );
     }
     Ok(proof)
 }
 
-/// Short ones that CI plays in virtual time.
+/// Short scenarios that CI runs in virtual time.
 const SCENARIOS: [&str; 5] = [
     "silent-worker.toml",
     "cold-worker.toml",
@@ -116,8 +119,8 @@
     "cold-throng-300.toml",
 ];
 
-/// Speed at size: so many times real time, and events a second.
-fn sizes(scenarios: &Path, proof: &mut Proof) -> Result<(), String> {
+/// Speed of large scenarios: as a multiple of real time, and in events per second.
+fn measure_sizes(scenarios: &Path, proof: &mut Proof) -> Result<(), String> {
     for (name, times) in [("size-300.toml", Some(20.0)), ("size-1000.toml", None)] {
         let scenario = Scenario::read(&scenarios.join(name))?;
         let (outcome, pace) = run(&scenario, scenario.seed, Policy::Node, None)?;
--- a/crates/coveroute-emu/src/report.rs
+++ b/crates/coveroute-emu/src/report.rs
@@ -1,24 +1,25 @@
-//! A run on one page: service over time with the faults as bands, what each worker held, and its share of the forwards
-//! beside its beta. One HTML file with nothing from elsewhere, and the same as CSV.
+//! Reports a run as one page: service over time with the faults as bands, the jobs that each worker held,
+//! and its share of the forwards next to its beta. A single HTML file without external resources, and the
+//! samples as CSV.
 use std::fmt::Write;
 
 use crate::scenario::Scenario;
 use crate::world::Outcome;
 
-/// What is looked at each second of a run.
+/// A sample of a run, taken every second.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
     pub at: f64,
-    /// Jobs at each worker.
+    /// Jobs held by each worker.
     pub held: Vec<usize>,
-    /// Forwards that came to each worker so far.
+    /// Forwards that arrived at each worker so far.
     pub forwards: Vec<u64>,
-    /// The mean over nodes of each worker's share of beta.
+    /// Each worker's share of beta, averaged over the nodes.
     pub beta: Vec<f64>,
 }
 
-const WIDE: f64 = 900.0;
-const HIGH: f64 = 200.0;
+const WIDTH: f64 = 900.0;
+const HEIGHT: f64 = 200.0;
 const COLOURS: [&str; 8] =
     ["#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#17becf", "#8c564b", "#7f7f7f"];
 
@@ -32,19 +33,19 @@
     fn new(span: f64, most: f64) -> Self {
         let svg = format!(
             "<svg viewBox=\"-40 -10 {} {}\" width=\"{}\" font-size=\"11\" font-family=\"sans-serif\">",
-            WIDE + 60.0,
-            HIGH + 40.0,
-            WIDE + 60.0
+            WIDTH + 60.0,
+            HEIGHT + 40.0,
+            WIDTH + 60.0
         );
         Plot { svg, span: span.max(1e-9), most: most.max(1e-9) }
     }
 
     fn x(&self, at: f64) -> f64 {
-        WIDE * (at / self.span).clamp(0.0, 1.0)
+        WIDTH * (at / self.span).clamp(0.0, 1.0)
     }
 
     fn y(&self, value: f64) -> f64 {
-        HIGH * (1.0 - (value / self.most).clamp(0.0, 1.0))
+        HEIGHT * (1.0 - (value / self.most).clamp(0.0, 1.0))
     }
 
     fn bands(&mut self, scenario: &Scenario) {
@@ -53,7 +54,7 @@
             let line = 12.0 * (1 + at % 8) as f64;
             let _ = write!(
                 self.svg,
-                "<rect x=\"{from:.1}\" y=\"0\" width=\"{:.1}\" height=\"{HIGH}\" fill=\"#d62728\" opacity=\"0.08\"/>\
+                "<rect x=\"{from:.1}\" y=\"0\" width=\"{:.1}\" height=\"{HEIGHT}\" fill=\"#d62728\" opacity=\"0.08\"/>\
                  <text x=\"{from:.1}\" y=\"{line}\" fill=\"#a00\">{:?}</text>",
                 (to - from).max(2.0),
                 fault.what
@@ -74,13 +75,13 @@
 
     fn axes(mut self) -> String {
         for part in [0.0, 0.25, 0.5, 0.75, 1.0] {
-            let (x, y) = (WIDE * part, self.y(self.most * part));
+            let (x, y) = (WIDTH * part, self.y(self.most * part));
             let _ = write!(
                 self.svg,
                 "<text x=\"-36\" y=\"{y:.0}\">{:.2}</text><text x=\"{x:.0}\" y=\"{}\">{:.0} s</text>\
-                 <line x1=\"0\" x2=\"{WIDE}\" y1=\"{y:.0}\" y2=\"{y:.0}\" stroke=\"#ddd\"/>",
+                 <line x1=\"0\" x2=\"{WIDTH}\" y1=\"{y:.0}\" y2=\"{y:.0}\" stroke=\"#ddd\"/>",
                 self.most * part,
-                HIGH + 16.0,
+                HEIGHT + 16.0,
                 self.span * part
             );
         }
@@ -112,7 +113,7 @@
     plot.axes()
 }
 
-/// Each worker's share of the forwards of the last ten seconds, and of beta, over time.
+/// A worker's share of the forwards of the last ten seconds, and of beta, over time.
 fn shares(samples: &[Sample], worker: usize) -> Vec<(f64, f64, f64)> {
     let share = |at: usize| {
         let (now, then) = (&samples[at], &samples[at.saturating_sub(10)]);
@@ -126,7 +127,7 @@
 pub fn html(scenario: &Scenario, seed: u64, outcome: &Outcome, samples: &[Sample]) -> String {
     let mut page = format!(
         "<!doctype html><meta charset=\"utf-8\"><title>{0}</title><h1>{0}</h1><p>{1}</p>\
-         <p>Seed {seed}; service {2:.4}; rules broken {3}. All of simulated workers.</p>",
+         <p>Seed {seed}; service {2:.4}; rules broken {3}. All workers are simulated.</p>",
         escape(&scenario.name),
         escape(&scenario.about),
         outcome.figure(),
@@ -173,7 +174,7 @@
     page
 }
 
-/// A line a second and worker: held, forwards so far, beta.
+/// One line for each second and worker: held jobs, forwards so far, beta.
 pub fn csv(samples: &[Sample]) -> String {
     let mut text = String::from("second,worker,held,forwards,beta\n");
     for sample in samples {
@@ -192,11 +193,11 @@
     use super::*;
 
     #[test]
-    fn a_page_stands_alone_and_shows_the_faults() {
+    fn the_page_is_self_contained_and_shows_the_faults() {
         let mut scenario = crate::search::drawn(3);
         scenario.name = "<odd>".into();
         let mut samples = Vec::new();
-        let (outcome, _) = crate::virtual_time::sampled(&scenario, 3, &mut samples).expect("played");
+        let (outcome, _) = crate::virtual_time::sampled(&scenario, 3, &mut samples).expect("a run");
         let page = html(&scenario, 3, &outcome, &samples);
         assert!(page.contains("&lt;odd&gt;") && !page.contains("src=") && !page.contains("href="));
         assert!(scenario.faults.iter().all(|fault| page.contains(&format!("{:?}", fault.what))));
--- a/crates/coveroute-emu/src/scenario.rs
+++ b/crates/coveroute-emu/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: one TOML file, strictly read. A fault in it is told with line, key and what is allowed.
+//! A scenario: one TOML file, strictly parsed. Errors name the line, the key and the allowed values.
 use std::path::Path;
 
 use coveroute_fleet::plan::one_line;
@@ -37,7 +37,7 @@
 figure!(Amount, "a number of 0 or more, 1e9 at most", |v| (0.0..=1e9).contains(&v));
 figure!(Part, "a part, 0 to 1", |v| (0.0..=1.0).contains(&v));
 
-/// A count, within what a machine can hold.
+/// A count, limited to what a machine can hold.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(try_from = "u64", into = "u64")]
 pub struct Count(pub usize);
@@ -63,10 +63,10 @@
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
-    /// What it rehearses, for reports.
+    /// What it tests, for reports.
     #[serde(default)]
     pub about: String,
-    /// How long new invocations come. What is out then is served to its end.
+    /// How long new invocations arrive. Those outstanding at the end are served to completion.
     pub seconds: Positive,
     #[serde(default)]
     pub seed: u64,
@@ -83,26 +83,26 @@
     pub discovery: Discovery,
     #[serde(default)]
     pub platform: Platform,
-    /// Nodes that know each other, over links that can fail.
+    /// The fleet: nodes that know each other, over links that can fail.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet: Option<FleetPart>,
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// How the nodes know each other: members n0, n1 and so on.
+/// How the nodes of a fleet know each other; the members are n0, n1 and so on.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetPart {
-    /// A member is probed this often.
+    /// Interval at which a member is probed.
     pub every: Positive,
-    /// One way between nodes; each datagram's own spread is as much again.
+    /// One-way latency between nodes; each datagram adds a random delay of up to as much again.
     pub latency: Span,
-    /// Each node's clock runs fast or slow by up to this part; in virtual time alone.
+    /// Each node's clock runs fast or slow by up to this fraction; in virtual time only.
     pub drift: Part,
-    /// Each node writes a record this often, in seconds; 0 for never. In virtual time alone.
+    /// Interval in seconds at which each node writes a record; 0 for never. In virtual time only.
     pub writes: Span,
-    /// Members that the operators' file names and that never come.
+    /// Members that the operators' file names but that never start.
     pub absent: Count,
 }
 
@@ -117,7 +117,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Nodes {
     pub count: Count,
-    /// Dealt out over the zones of the workers unless some are named.
+    /// Nodes are distributed over these zones in turn; over the workers' zones if empty.
     #[serde(default)]
     pub zones: Vec<String>,
     #[serde(default = "sockets")]
@@ -134,27 +134,27 @@
     Count(128)
 }
 
-/// Workers of one make.
+/// A group of identical workers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Workers {
     pub count: Count,
     pub zone: String,
     pub kind: String,
-    /// Cells that they are dealt out over.
+    /// Number of cells that the workers are distributed over.
     pub cells: Count,
-    /// Jobs that run at a time, and cores that they share.
+    /// Jobs that run at a time, and the cores that they share.
     pub slots: Count,
     pub cores: Positive,
-    /// Of a standard core.
+    /// Speed relative to a standard core.
     pub speed: Positive,
-    /// Memory units; 0 for one a slot.
+    /// Memory units; 0 for one per slot.
     pub memory: Amount,
-    /// Jobs that wait beyond the slots before a further one is turned away.
+    /// Jobs that may wait beyond the slots; further ones are rejected.
     pub queue: Count,
-    /// Connections held at most.
+    /// Maximum number of connections.
     pub connections: Count,
-    /// How long a taken job takes to be acknowledged.
+    /// Delay until an accepted job is acknowledged.
     pub acknowledges: Span,
 }
 
@@ -198,23 +198,23 @@
 pub struct Operation {
     pub name: String,
     pub effect: Effect,
-    /// Of a deduplicated operation: who drops whose repeats, and for how long.
+    /// For a deduplicated operation: which workers drop each other's repeats, and for how long.
     #[serde(default)]
     pub group: Group,
     #[serde(default)]
     pub window: Span,
-    /// Invocations a second, over all nodes.
+    /// Invocations per second, over all nodes.
     pub rate: Amount,
-    /// Median running time on a standard core, and the spread of its logarithm.
+    /// Median running time on a standard core, and the standard deviation of its logarithm.
     pub work: Positive,
     #[serde(default)]
     pub spread: Amount,
-    /// Heavy ones: their part, and how many times the work.
+    /// Heavy invocations: their fraction, and the multiple of the work that they take.
     #[serde(default)]
     pub heavy: Part,
     #[serde(default = "ten")]
     pub heavy_times: Positive,
-    /// In time within this long plus `stretch` times its own running time.
+    /// An answer is in time within this long plus `stretch` times the operation's own running time.
     pub objective: Positive,
     #[serde(default)]
     pub stretch: Amount,
@@ -230,7 +230,7 @@
     /// Memory units that it takes.
     #[serde(default)]
     pub memory: Amount,
-    /// Spread of the logarithm of hints about the work; none are given without it.
+    /// Standard deviation of the logarithm of the hints about the work; no hints are given without it.
     #[serde(default)]
     pub hint: Option<Amount>,
 }
@@ -247,9 +247,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     pub name: String,
-    /// Part of all invocations that are its.
+    /// Fraction of all invocations that belong to the tenant.
     pub part: Part,
-    /// Invocations a second within its share, over all nodes; 0 for no bound.
+    /// Invocations per second that its share allows, over all nodes; 0 for no limit.
     #[serde(default)]
     pub share: Amount,
 }
@@ -257,13 +257,14 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Tries an invocation at most.
+    /// Maximum number of tries for an invocation.
     pub tries: Count,
-    /// Between tries at least, and spread over as much again; a longer pause told by the node is kept to.
+    /// Minimum delay between tries, plus a random delay of up to as much again. A longer pause requested by
+    /// the node is respected.
     pub wait: Span,
-    /// The front notices that a node has died after this long.
+    /// Delay until the front end notices that a node has died.
     pub notices: Span,
-    /// Part of the clients that leave before their time, midway.
+    /// Fraction of the clients that leave midway, before their deadline.
     pub leave: Part,
 }
 
@@ -276,7 +277,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way, within a zone and between zones; each message's own spread is half of it.
+    /// One-way latency within a zone and between zones. Each message varies by a quarter either way.
     pub latency: Span,
     pub crossing: Span,
 }
@@ -290,17 +291,17 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// From a change to its being told; each watch's own spread is as much again.
+    /// Delay from a change to its announcement; each watch adds a random delay of up to as much again.
     pub lag: Span,
-    /// A drain is told this long before the worker ends.
+    /// A drain is announced this long before the worker ends.
     pub drains: Span,
-    /// Lines that it works off a second, calls and changes in turn; 0 for no bound.
+    /// Lines that the service processes per second, for calls and changes alike; 0 for no limit.
     pub lines: Amount,
-    /// What a call costs beside the lines that answer it.
+    /// Cost of a call in lines, in addition to the lines that answer it.
     pub call: Amount,
-    /// A call that would wait longer is refused after as long, and is worked off all the same.
+    /// A call that would wait longer is refused after this long, but is still processed.
     pub patience: Positive,
-    /// Nodes that start again are told the list that they last had; else they know of nobody.
+    /// Restarted nodes are given the list that they last had; otherwise they start with an empty one.
     pub known: bool,
 }
 
@@ -320,30 +321,30 @@
     Never,
 }
 
-/// What nodes are told of the platform, and what the platform holds them to.
+/// What nodes are told of the platform, and the limits that the platform enforces.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Platform {
     pub forwards: Count,
     pub cancelling: bool,
     pub probing: bool,
-    /// Nodes tell each other what they hold; in virtual time alone.
+    /// Nodes tell each other what they hold; in virtual time only.
     pub peers: bool,
     pub reports: Reports,
-    /// How old load reports are.
+    /// Age of load reports.
     pub report_age: Span,
-    /// Interval of progress notes, 0 for none.
+    /// Interval of progress messages; 0 for none.
     pub progress: Span,
     pub tells_start: bool,
     /// The longest pause that clients honour; 0 for none.
     pub pause: Span,
     pub dial: Positive,
     pub idle: Positive,
-    /// Nothing new goes to a draining or gone worker this long after the node was told.
+    /// Forwards to a draining or gone worker are a breach from this long after the node was told.
     pub grace: Span,
-    /// What is not told counts as told after this long.
+    /// A change that was not announced counts as known after this long.
     pub told_latest: Span,
-    /// An answer may be this late.
+    /// Tolerance for late answers.
     pub slack: Span,
     pub cold: Cold,
 }
@@ -370,8 +371,8 @@
     }
 }
 
-/// A worker's first time: its part of capacity at the start, how long it takes to warm up, and the budget that
-/// makes it fall over: so many times its capacity, over so long.
+/// A cold worker: the fraction of its capacity at the start, the time until it is warm, and the load that
+/// makes it fail: `factor` times its capacity within `fall` seconds.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Cold {
@@ -387,34 +388,35 @@
     }
 }
 
-/// One thing that goes wrong: when, for how long, and where.
+/// An injected fault: when, for how long, and where.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub at: Span,
-    /// 0 for at once and to the end.
+    /// 0 for a momentary fault, or one that lasts to the end.
     #[serde(default, rename = "for")]
     pub lasts: Span,
     pub what: What,
-    /// How strongly, where it has a strength: a part (`stolen`, `errors`, `loses`, `gives-back`, `resets-before`,
-    /// `resets-after`), seconds (`late-news`, `slow-acks`, `old-reports`, `latency`, `list-late`) or times
-    /// (`surge`, `heavy`), a count (`connections`).
+    /// The strength, for faults that have one: a fraction (`stolen`, `errors`, `loses`, `gives-back`,
+    /// `resets-before`, `resets-after`), seconds (`late-news`, `slow-acks`, `old-reports`, `latency`,
+    /// `list-late`), a multiple (`surge`, `heavy`) or a count (`connections`).
     #[serde(default)]
     pub by: Option<Amount>,
-    /// How many workers or nodes, drawn by the seed among those that the rest of this names; all without it.
+    /// How many workers or nodes, drawn by the seed from those that the other keys select; all without it.
     #[serde(default)]
     pub count: Option<Count>,
     #[serde(default)]
     pub zone: Option<String>,
     #[serde(default)]
     pub kind: Option<String>,
-    /// Links: those of these nodes with the others; of all without it. In place of `count` and `zone`.
+    /// For links: only those between these nodes and the others; all links without it. Excludes `count` and
+    /// `zone`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub nodes: Option<Vec<usize>>,
-    /// Links: which way.
+    /// For links: the direction.
     #[serde(default, skip_serializing_if = "Direction::is_both")]
     pub way: Direction,
-    /// Links: it comes and goes, so long each; 0 for all the time.
+    /// For links: the fault is on and off for this long in turn; 0 for permanently on.
     #[serde(default, skip_serializing_if = "is_nil")]
     pub flaps: Span,
 }
@@ -423,7 +425,7 @@
     span.0 == 0.0
 }
 
-/// Of the nodes that a fault of links names: what they send, what they are sent, or both.
+/// The traffic that a link fault affects: what the named nodes send, what they receive, or both.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
@@ -439,70 +441,71 @@
     }
 }
 
-/// What goes wrong, and where: workers, the network, discovery, nodes or clients.
+/// The kind of a fault, in workers, the network, discovery, nodes or clients.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// Takes jobs, runs them and says nothing, then goes on and tells.
+    /// Accepts and runs jobs but sends nothing; sends the results when the fault ends.
     Silent,
-    /// The same, and dies at the end.
+    /// Like `Silent`, but the worker dies at the end.
     SilentThenDies,
-    /// Stands still, then goes on.
+    /// The process is suspended, then resumes.
     Pause,
-    /// Another takes this part of its cores.
+    /// Other load takes this fraction of its cores.
     Stolen,
-    /// Answers this part of the jobs at once with an error.
+    /// Answers this fraction of the jobs at once with an error.
     Errors,
-    /// Takes this part of the jobs and forgets them.
+    /// Accepts this fraction of the jobs and loses them.
     Loses,
-    /// Takes this part of the jobs and gives them back unstarted.
+    /// Accepts this fraction of the jobs and gives them back unstarted.
     GivesBack,
     LateNews,
-    /// Tells everything twice.
+    /// Sends all news twice.
     DoubledNews,
     SlowAcks,
     OldReports,
-    /// Holds so many connections at most.
+    /// Limits the number of connections.
     Connections,
-    /// Its process dies and, where it does not last to the end, starts again as new.
+    /// The process dies and, unless the fault lasts to the end, starts again as a new process.
     Dies,
-    /// Its machine vanishes: no more is heard, and nothing is refused.
+    /// The machine vanishes: nothing is answered, and nothing is refused.
     Vanishes,
-    /// Leaves in order: drains, ends, and comes back as new.
+    /// Leaves in order: drains, ends, and comes back as a new process.
     Drains,
-    /// A new build: each in turn drains and starts again, spread over the time.
+    /// A rolling release: the workers drain and restart in turn, spread over the fault's duration.
     Release,
-    /// On the way to workers: connections break before the last byte of a job, or after it.
+    /// Connections to workers break before the last byte of a job, or after it.
     ResetsBefore,
     ResetsAfter,
     Latency,
-    /// Nothing passes between the zone and the others.
+    /// No messages pass between the zone and the others.
     Partition,
     ListDown,
     ListLate,
-    /// Stays up and tells nothing more.
+    /// The service stays up but sends no more changes.
     ListStale,
-    /// Forgets everything for a while: its lists are empty.
+    /// The service loses its state for a while: its lists are empty.
     ListEmpty,
     /// Nodes are killed, and start again at the end.
     NodesKilled,
     /// Nodes are asked to stop, and start again at the end.
     NodesStop,
     NodesReload,
-    /// Nodes are sent a configuration that is cut off, then one with other settings.
+    /// Nodes get a truncated configuration, then one with other settings.
     NodesRetune,
-    /// A new process is started beside each, and takes its place. On loopback alone.
+    /// A new process starts beside each node's and takes its place. On loopback only.
     NodesReplace,
-    /// So many times the invocations.
+    /// Multiplies the rate of invocations.
     Surge,
-    /// So many times the work.
+    /// Multiplies the work of each invocation.
     Heavy,
-    /// Nodes stand still (SIGSTOP), then go on as if no time had passed.
+    /// Nodes are suspended (SIGSTOP), then resume as if no time had passed.
     NodesStall,
-    /// Nodes are killed, and start again at the end with a clock that has gone back. In virtual time alone.
+    /// Nodes are killed, and start again at the end with their clock set back. In virtual time only.
     NodesSetBack,
-    /// Between nodes, and in the fleet's datagrams alone: nothing passes, this part is lost, or is late by up to so many
-    /// seconds, comes twice, out of order, damaged, or so many bytes a second pass.
+    /// Faults of links between nodes, for the fleet's datagrams only: everything is lost, a fraction is
+    /// lost, or datagrams are delayed by up to `by` seconds, duplicated, reordered, corrupted, or limited to
+    /// `by` bytes per second.
     LinkCut,
     LinkLoss,
     LinkDelay,
@@ -512,7 +515,7 @@
     LinkSlow,
 }
 
-/// Where a fault strikes.
+/// Where a fault takes effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Place {
     Workers,
@@ -523,7 +526,7 @@
     Links,
 }
 
-/// What its strength is counted in.
+/// The unit of a fault's strength.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Strength {
     None,
@@ -535,7 +538,7 @@
 }
 
 impl What {
-    /// What search adds where nodes know each other.
+    /// The faults that search adds for fleets.
     pub const FLEET: [What; 9] = [
         What::LinkCut,
         What::LinkLoss,
@@ -548,7 +551,8 @@
         What::NodesSetBack,
     ];
 
-    /// What search draws from: all that virtual time plays by itself, in an order that recorded seeds rest on.
+    /// The faults that search draws from: all that virtual time supports without a fleet. The order is
+    /// fixed, since recorded seeds depend on it.
     pub const ALL: [What; 29] = [
         What::Silent,
         What::SilentThenDies,
@@ -631,7 +635,7 @@
         self.by.map_or(0.0, |by| by.0)
     }
 
-    /// When it is over: at the end of all, where it lasts.
+    /// The end of the fault; infinite without a duration.
     pub fn until(&self) -> f64 {
         if self.lasts.0 > 0.0 {
             self.at.0 + self.lasts.0
@@ -667,27 +671,28 @@
         zones
     }
 
-    /// What single values can't show. The key, which of its kind it is, and what is wrong.
+    /// Checks that concern several values. Returns the key, its index among tables of that name, and the
+    /// problem.
     fn check(&self) -> Result<(), (&'static str, usize, String)> {
         let fault = |key, nth, words: String| Err((key, nth, words));
         if self.nodes.count.0 == 0 {
-            return fault("nodes", 0, "count: at least one node".into());
+            return fault("nodes", 0, "count: at least one node is needed".into());
         }
         if self.workers.iter().all(|w| w.count.0 == 0) {
-            return fault("workers", 0, "at least one worker in all".into());
+            return fault("workers", 0, "at least one worker is needed".into());
         }
         for (at, workers) in self.workers.iter().enumerate() {
             if workers.slots.0 == 0 || workers.cells.0 == 0 || workers.connections.0 == 0 {
-                return fault("workers", at, "slots, cells and connections are 1 or more".into());
+                return fault("workers", at, "slots, cells and connections must be 1 or more".into());
             }
         }
         if self.operations.is_empty() {
-            return fault("operations", 0, "at least one operation".into());
+            return fault("operations", 0, "at least one operation is needed".into());
         }
         for (at, op) in self.operations.iter().enumerate() {
             let same = |other: &Operation| other.name == op.name;
             if self.operations[..at].iter().any(same) {
-                return fault("operations", at, format!("name {} stands there twice", op.name));
+                return fault("operations", at, format!("name {} is used twice", op.name));
             }
             let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-';
             if op.name.is_empty() || !op.name.bytes().all(plain) {
@@ -698,11 +703,11 @@
                 );
             }
             if op.timeout.0 < op.objective.0 {
-                return fault("operations", at, "timeout is not under the objective".into());
+                return fault("operations", at, "timeout must not be less than the objective".into());
             }
             let deduplicated = op.effect == Effect::Deduplicated;
             if deduplicated && op.window.0 <= 0.0 {
-                return fault("operations", at, "a deduplicated operation has a window over 0".into());
+                return fault("operations", at, "a deduplicated operation needs a window over 0".into());
             }
             let known = |kind: &String| self.workers.iter().any(|w| w.kind == *kind);
             if let Some(kind) = op.kind.as_ref().filter(|kind| !known(kind)) {
@@ -710,10 +715,10 @@
             }
         }
         if self.tenants.iter().map(|t| t.part.0).sum::<f64>() > 1.0 + 1e-9 {
-            return fault("tenants", 0, "their parts are 1 at most together".into());
+            return fault("tenants", 0, "the parts add up to more than 1".into());
         }
         if self.clients.tries.0 == 0 {
-            return fault("clients", 0, "tries: at least one".into());
+            return fault("clients", 0, "tries: at least one is needed".into());
         }
         self.faults.iter().enumerate().try_for_each(|(at, f)| self.check_fault(at, f))
     }
@@ -741,33 +746,33 @@
             return fault(format!("by: {:?} takes {allowed}", f.what));
         }
         if f.at.0 > self.seconds.0 {
-            return fault(format!("at: {} is after the end", f.at.0));
+            return fault(format!("at: {} is after the end of the scenario", f.at.0));
         }
         if let Some(zone) = f.zone.as_ref().filter(|zone| !self.zones().contains(zone)) {
-            return fault(format!("zone {zone}: nothing is there"));
+            return fault(format!("zone {zone}: no worker or node is in it"));
         }
         if let Some(kind) = f.kind.as_ref().filter(|kind| !self.workers.iter().any(|w| w.kind == **kind)) {
             return fault(format!("kind {kind}: no worker has it"));
         }
         if f.what == What::Partition && f.zone.is_none() {
-            return fault("zone: a partition cuts one zone off".into());
+            return fault("zone: a partition needs a zone".into());
         }
         let links = f.what.place() == Place::Links;
         if links && self.fleet.is_none() {
-            return fault(format!("what: {:?} needs nodes that know each other, a table [fleet]", f.what));
+            return fault(format!("what: {:?} needs a table [fleet]", f.what));
         }
         if !links && (f.nodes.is_some() || f.way != Direction::Both || f.flaps.0 > 0.0) {
-            return fault(format!("nodes, way, flaps: {:?} has none", f.what));
+            return fault(format!("nodes, way, flaps: {:?} does not take them", f.what));
         }
         if let Some(node) = f.nodes.iter().flatten().find(|node| **node >= self.nodes.count.0) {
             return fault(format!("nodes: {node} is not one of {}", self.nodes.count.0));
         }
         if f.nodes.is_some() && (f.count.is_some() || f.zone.is_some()) {
-            return fault("nodes: in place of count and zone".into());
+            return fault("nodes: not together with count or zone".into());
         }
         let counted = matches!(f.what.place(), Place::Workers | Place::Nodes | Place::Links);
         if f.count.is_some() && !counted {
-            return fault(format!("count: {:?} has none", f.what));
+            return fault(format!("count: {:?} does not take it", f.what));
         }
         Ok(())
     }
--- a/crates/coveroute-emu/src/search.rs
+++ b/crates/coveroute-emu/src/search.rs
@@ -1,5 +1,5 @@
-//! Looks for what breaks: random schedules of faults, singly and together, each judged by the referee, over all cores.
-//! A breach, or a deep loss, is shrunk to the fewest faults that still show it.
+//! Searches for failures: runs random schedules of faults on all cores and checks each run. A breach, or a
+//! deep loss of service, is shrunk to the fewest faults that still show it.
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
@@ -15,7 +15,7 @@
 };
 use crate::virtual_time::{run, Policy};
 
-/// Does something for each of the numbers below `most`, on all cores; the results in order.
+/// Calls `act` for each number below `most`, on all cores; the results are in order.
 pub fn on_all_cores<T: Send>(most: u64, act: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(0);
     let done = Mutex::new(Vec::new());
@@ -61,7 +61,7 @@
     }
 }
 
-/// A small world with some faults, all by the seed: two to four nodes, six to twelve workers, 24 s.
+/// A small random scenario: two to four nodes, six to twelve workers, 24 s, and some faults.
 pub fn drawn(seed: u64) -> Scenario {
     let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0x5ea7c4);
     let zones = draw.random_range(1..=2);
@@ -79,7 +79,7 @@
     };
     let workers = vec![make(0, draw.random_range(3..=6), 1.0, &mut draw), make(1, 4, 1.5, &mut draw)];
     let capacity: f64 = workers.iter().map(|w| w.count.0 as f64 * w.slots.0.min(3) as f64 * w.speed.0).sum();
-    // About half of what they could do, by work: 0.3 s each with its spread and its heavy ones.
+    // About half of the capacity, by work: 0.3 s for each invocation, with its spread and its heavy ones.
     let rate = capacity * draw.random_range(0.3..0.7) / 0.4;
     let operations = vec![
         operation("look", Effect::Idempotent, Group::All, 0.5 * rate, 0.3),
@@ -120,7 +120,7 @@
     scenario
 }
 
-/// The same where nodes know each other: one to four of the fleet's faults come on top.
+/// A random scenario with a fleet and one to four additional faults of the fleet.
 pub fn drawn_fleet(seed: u64) -> Scenario {
     let mut scenario = drawn(seed);
     let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0xf1ee7);
@@ -171,7 +171,7 @@
 pub struct Found {
     pub seed: u64,
     pub figure: f64,
-    /// How much better the best of the plain policies did there.
+    /// How much better the best of the plain policies did.
     pub behind: f64,
     pub broken: u64,
     pub words: String,
@@ -179,8 +179,9 @@
     pub scenario: Scenario,
 }
 
-/// What one shows; `baselines` also plays it with plain policies, to tell a loss that could be helped.
-fn judge(scenario: Scenario, baselines: bool) -> Result<Found, String> {
+/// Runs one scenario. `baselines` also runs it with plain policies, to tell losses that could have been
+/// avoided.
+fn evaluate(scenario: Scenario, baselines: bool) -> Result<Found, String> {
     let (outcome, _) = run(&scenario, scenario.seed, Policy::Node, None)?;
     let mut best = 0.0_f64;
     for choice in [Choice::Random, Choice::Least].into_iter().filter(|_| baselines) {
@@ -198,22 +199,22 @@
     })
 }
 
-/// The fewest and shortest faults that still show it.
+/// Shrinks a scenario to the fewest and shortest faults that still satisfy `shows`.
 pub fn shrink(found: Found, shows: impl Fn(&Found) -> bool, baselines: bool) -> Result<Found, String> {
     let mut least = found;
     loop {
-        let smaller = smaller(&least.scenario).into_iter().find_map(|scenario| {
-            let found = judge(scenario, baselines).ok()?;
+        let reductions = reductions(&least.scenario).into_iter().find_map(|scenario| {
+            let found = evaluate(scenario, baselines).ok()?;
             shows(&found).then_some(found)
         });
-        match smaller {
+        match reductions {
             Some(found) => least = found,
             None => return Ok(least),
         }
     }
 }
 
-fn smaller(scenario: &Scenario) -> Vec<Scenario> {
+fn reductions(scenario: &Scenario) -> Vec<Scenario> {
     let mut all = Vec::new();
     for at in 0..scenario.faults.len() {
         let mut one = scenario.clone();
@@ -244,34 +245,35 @@
     pub wall: f64,
 }
 
-/// Looks at `seeds` seeds from `from` on; of breaches the first few and of losses the deepest `worst`, shrunk.
+/// Searches `seeds` seeds starting with `from`. Returns the first few breaches and the `worst` deepest
+/// losses, shrunk.
 pub fn search(
     from: u64,
     seeds: u64,
     worst: usize,
     baselines: bool,
-    draws: fn(u64) -> Scenario,
+    generate: fn(u64) -> Scenario,
     tick: impl Fn() + Sync,
 ) -> Result<Searched, String> {
-    const SHRUNK: usize = 8; // Breaches beyond these most likely have the same cause.
+    const MAX_SHRUNK_BREACHES: usize = 8; // Further breaches most likely have the same cause.
     let began = std::time::Instant::now();
     let looked = on_all_cores(seeds, |at| {
-        let found = judge(draws(from + at), baselines);
+        let found = evaluate(generate(from + at), baselines);
         tick();
         found
     });
     let found: Vec<Found> = looked.into_iter().collect::<Result<_, String>>()?;
     let mean = found.iter().map(|f| f.figure).sum::<f64>() / found.len().max(1) as f64;
-    let breaches = found.iter().filter(|f| f.broken > 0).take(SHRUNK).cloned();
+    let breaches = found.iter().filter(|f| f.broken > 0).take(MAX_SHRUNK_BREACHES).cloned();
     let broken = breaches.map(|f| shrink(f, |f| f.broken > 0, false)).collect::<Result<_, _>>()?;
-    let mut deep = found;
-    deep.sort_by(
+    let mut by_loss = found;
+    by_loss.sort_by(
         |a, b| if baselines { b.behind.total_cmp(&a.behind) } else { a.figure.total_cmp(&b.figure) },
     );
-    deep.truncate(worst);
+    by_loss.truncate(worst);
     let shrunk = |f: Found| {
         let (figure, behind) = (f.figure, f.behind);
-        // It still shows nine tenths of the loss.
+        // At least nine tenths of the loss must remain.
         let shows = move |g: &Found| {
             if baselines {
                 g.behind >= 0.9 * behind
@@ -281,7 +283,7 @@
         };
         shrink(f, shows, baselines)
     };
-    let worst = deep.into_iter().map(shrunk).collect::<Result<_, _>>()?;
+    let worst = by_loss.into_iter().map(shrunk).collect::<Result<_, _>>()?;
     Ok(Searched { seeds, broken, worst, mean, wall: began.elapsed().as_secs_f64() })
 }
 
@@ -290,7 +292,7 @@
     use super::*;
 
     #[test]
-    fn drawn_scenarios_are_fit() {
+    fn drawn_scenarios_are_valid() {
         for seed in 0..200 {
             let scenario = drawn(seed);
             assert_eq!(
@@ -301,13 +303,13 @@
     }
 
     #[test]
-    fn what_is_found_is_shrunk_to_the_fault_that_shows_it() {
+    fn a_loss_is_shrunk_to_the_fault_that_causes_it() {
         let mut scenario = drawn(1);
         let fault = |what, by| Fault { by, ..Fault::new(what, 5.0, 8.0) };
         scenario.faults = vec![fault(What::DoubledNews, None), fault(What::Heavy, Some(Amount(9.0)))];
-        let found = judge(scenario, false).expect("played");
+        let found = evaluate(scenario, false).expect("a run");
         let loss = 1.0 - found.figure;
-        let least = shrink(found, |f| 1.0 - f.figure >= 0.9 * loss, false).expect("played");
+        let least = shrink(found, |f| 1.0 - f.figure >= 0.9 * loss, false).expect("a run");
         assert_eq!(least.scenario.faults.iter().map(|f| f.what).collect::<Vec<_>>(), [What::Heavy]);
     }
 }
--- a/crates/coveroute-emu/src/settings.rs
+++ b/crates/coveroute-emu/src/settings.rs
@@ -1,4 +1,4 @@
-//! A scenario as a node is told of it: the settings object and the configuration file, the same for engines in
+//! The settings object and the configuration that a node gets for a scenario, the same for engines in
 //! virtual time and for processes.
 use coveroute_engine::{Listing, Setup, Tuning};
 use coveroute_shared::decode;
@@ -17,9 +17,9 @@
     retuned(scenario, node, zone, false)
 }
 
-/// The same, or as operators send it once more: operations in another order, objectives a tenth shorter, one forward
-/// less.
-pub fn retuned(scenario: &Scenario, node: NodeId, zone: &str, anew: bool) -> Value {
+/// The settings object, or with `alternate` a changed one: operations in reverse order, objectives a tenth
+/// shorter, one forward fewer.
+pub fn retuned(scenario: &Scenario, node: NodeId, zone: &str, alternate: bool) -> Value {
     let zones = scenario.zones();
     let mut kinds: Vec<&str> = Vec::new();
     for workers in &scenario.workers {
@@ -30,7 +30,7 @@
     let platform = &scenario.platform;
     let mut operations: Vec<_> = scenario.operations.iter().collect();
     let (mut forwards, mut objective) = (platform.forwards.0, 1.0);
-    if anew {
+    if alternate {
         operations.reverse();
         (forwards, objective) = (forwards.max(2) - 1, 0.9);
     }
@@ -100,19 +100,19 @@
     })
 }
 
-/// What an engine is given of them.
-pub fn tuning(scenario: &Scenario, node: NodeId, zone: &str, anew: bool) -> Result<Tuning, String> {
-    let text = retuned(scenario, node, zone, anew).to_string();
+/// The decoded settings for an engine.
+pub fn tuning(scenario: &Scenario, node: NodeId, zone: &str, alternate: bool) -> Result<Tuning, String> {
+    let text = retuned(scenario, node, zone, alternate).to_string();
     let raw: Box<RawValue> = serde_json::from_str(&text).map_err(|e| e.to_string())?;
     let (settings, names) = decode(&raw)?;
     let mut timeouts: Vec<f64> = scenario.operations.iter().map(|op| op.timeout.0).collect();
-    if anew {
+    if alternate {
         timeouts.reverse();
     }
     Ok(Tuning { settings, names, timeouts })
 }
 
-/// What an engine is begun with.
+/// The initial setup of an engine.
 pub fn setup(
     scenario: &Scenario,
     node: NodeId,
@@ -124,7 +124,7 @@
     Ok(Setup { settings, names, seed, timeouts, known: Some(known), memory: None })
 }
 
-/// A listing in discovery's form; `base` is the list's clock at the scenario's start.
+/// A listing in discovery's format; `base` is the list's clock at the scenario's start.
 pub fn hosts(listing: &Listing, base: f64) -> Value {
     use coveroute::types::Standing;
     let servers: Vec<Value> = listing
--- a/crates/coveroute-emu/src/sink.rs
+++ b/crates/coveroute-emu/src/sink.rs
@@ -1,12 +1,12 @@
-//! Who hears the events of a run.
+//! Receivers of a run's events.
 use crate::world::NodeId;
 
-/// Hears each event of a run.
+/// Receives each event of a run.
 pub trait Sink {
     fn event(&mut self, now: f64, node: NodeId, words: &str);
 }
 
-/// A running hash of all events (FNV-1a), to compare runs to the byte without keeping them.
+/// A running FNV-1a hash of all events, to compare runs byte for byte without storing them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest {
     pub hash: u64,
--- a/crates/coveroute-emu/src/trace.rs
+++ b/crates/coveroute-emu/src/trace.rs
@@ -1,5 +1,6 @@
-//! Recorded runs: a header with the scenario and the seed, then each event in a line. A record plays again to the same
-//! figure, and two records are compared to the first event where they part.
+//! Recorded runs: a header with the scenario and the seed, one line for each event, and a footer with the
+//! result. A replay must give the same figure, and two records are compared up to the first event where they
+//! differ.
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
@@ -11,14 +12,14 @@
 use crate::world::{NodeId, Outcome};
 
 #[derive(Debug, Deserialize, Serialize)]
-struct Head {
+struct Header {
     policy: String,
     seed: u64,
     scenario: Scenario,
 }
 
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
-struct Tail {
+struct Footer {
     figure: f64,
     broken: u64,
     events: u64,
@@ -43,25 +44,25 @@
     }
 }
 
-/// Plays a scenario and writes every event down.
+/// Runs a scenario and writes every event to a file.
 pub fn record(scenario: &Scenario, seed: u64, policy: Policy, path: &Path) -> Result<Outcome, String> {
     let told = |e: std::io::Error| format!("{}: {e}", path.display());
     let file = std::fs::File::create(path).map_err(told)?;
     let mut writer = Writer { to: BufWriter::new(file), events: 0, failed: None };
-    let head = Head { policy: policy.name().into(), seed, scenario: scenario.clone() };
+    let head = Header { policy: policy.name().into(), seed, scenario: scenario.clone() };
     let head = serde_json::to_string(&head).map_err(|e| e.to_string())?;
     writeln!(writer.to, "{head}").map_err(told)?;
     let (outcome, _) = run(scenario, seed, policy, Some(&mut writer))?;
-    let tail = Tail { figure: outcome.figure(), broken: outcome.broken, events: writer.events };
+    let tail = Footer { figure: outcome.figure(), broken: outcome.broken, events: writer.events };
     let tail = serde_json::to_string(&tail).map_err(|e| e.to_string())?;
     writeln!(writer.to, "{tail}").and_then(|()| writer.to.flush()).map_err(told)?;
     writer.failed.map_or(Ok(outcome), |e| Err(told(e)))
 }
 
 struct Record {
-    head: Head,
+    head: Header,
     lines: Vec<String>,
-    tail: Tail,
+    tail: Footer,
 }
 
 fn read(path: &Path) -> Result<Record, String> {
@@ -69,42 +70,42 @@
     let file = std::fs::File::open(path).map_err(|e| told(&e))?;
     let mut lines = BufReader::new(file).lines().collect::<Result<Vec<_>, _>>().map_err(|e| told(&e))?;
     if lines.len() < 2 {
-        return Err(told(&"no record: a head and an end are wanted"));
+        return Err(told(&"not a record: a header and a footer are required"));
     }
-    let head: Head = serde_json::from_str(&lines.remove(0)).map_err(|e| told(&format!("line 1: {e}")))?;
+    let head: Header = serde_json::from_str(&lines.remove(0)).map_err(|e| told(&format!("line 1: {e}")))?;
     let last = lines.pop().unwrap_or_default();
-    let tail: Tail = serde_json::from_str(&last).map_err(|e| told(&format!("its end: {e}")))?;
+    let tail: Footer = serde_json::from_str(&last).map_err(|e| told(&format!("footer: {e}")))?;
     Ok(Record { head, lines, tail })
 }
 
-/// Compares each event with a record's.
-struct Checker {
+/// Compares each event with the recorded one.
+struct ReplayChecker {
     lines: Vec<String>,
     at: usize,
-    parted: Option<(usize, String)>,
+    divergence: Option<(usize, String)>,
 }
 
-impl Sink for Checker {
+impl Sink for ReplayChecker {
     fn event(&mut self, now: f64, node: NodeId, words: &str) {
         let same = || self.lines.get(self.at) == Some(&line(now, node, words));
-        if self.parted.is_none() && !same() {
-            self.parted = Some((self.at, line(now, node, words)));
+        if self.divergence.is_none() && !same() {
+            self.divergence = Some((self.at, line(now, node, words)));
         }
         self.at += 1;
     }
 }
 
-/// Plays a record again; its figure, or the first event where the run parts from it.
+/// Replays a record. Returns its outcome, or the first event where the run diverges from it.
 pub fn replay(path: &Path) -> Result<Outcome, String> {
     let Record { head, lines, tail } = read(path)?;
-    let policy = Policy::named(&head.policy).ok_or(format!("no policy {}", head.policy))?;
-    let mut checker = Checker { lines, at: 0, parted: None };
+    let policy = Policy::named(&head.policy).ok_or(format!("unknown policy {}", head.policy))?;
+    let mut checker = ReplayChecker { lines, at: 0, divergence: None };
     let (outcome, _) = run(&head.scenario, head.seed, policy, Some(&mut checker))?;
-    if let Some((at, now)) = checker.parted {
-        let then = checker.lines.get(at).map_or("the record's end", |line| line);
-        return Err(format!("parts at event {}: recorded {then}; now {now}", at + 1));
+    if let Some((at, now)) = checker.divergence {
+        let then = checker.lines.get(at).map_or("the end of the record", |line| line);
+        return Err(format!("differs at event {}: recorded {then}; now {now}", at + 1));
     }
-    // Text keeps a figure to its last digit but one.
+    // The figure's text form may be off in its last digit.
     if checker.at < checker.lines.len() || (outcome.figure() - tail.figure).abs() > 1e-12 {
         let (events, figure) = (checker.at, outcome.figure());
         return Err(format!("ends after {events} events with {figure}, recorded {tail:?}"));
@@ -112,13 +113,13 @@
     Ok(outcome)
 }
 
-/// The first event where two records part, if any.
+/// The first event where two records differ, if any.
 pub fn diff(one: &Path, two: &Path) -> Result<Option<(usize, String, String)>, String> {
     let (one, two) = (read(one)?, read(two)?);
     let most = one.lines.len().max(two.lines.len());
     let text = |record: &Record, at: usize| record.lines.get(at).map_or("the end".to_owned(), String::clone);
-    let parted = (0..most).find(|&at| one.lines.get(at) != two.lines.get(at));
-    Ok(parted.map(|at| (at + 1, text(&one, at), text(&two, at))))
+    let divergence = (0..most).find(|&at| one.lines.get(at) != two.lines.get(at));
+    Ok(divergence.map(|at| (at + 1, text(&one, at), text(&two, at))))
 }
 
 #[cfg(test)]
@@ -131,19 +132,19 @@
     }
 
     #[test]
-    fn a_record_plays_again_and_shows_where_another_parts() {
+    fn records_replay_and_report_the_first_difference() {
         let (one, two) = (path("one"), path("two"));
         let outcome = record(&drawn(5), 5, Policy::Node, &one).expect("recorded");
         assert_eq!(replay(&one).map(|again| again.figure()), Ok(outcome.figure()));
         assert_eq!(diff(&one, &one), Ok(None));
         record(&drawn(5), 6, Policy::Node, &two).expect("recorded");
         assert!(matches!(diff(&one, &two), Ok(Some((at, a, b))) if at >= 1 && a != b));
-        // One event that is not as it was is told with its number.
+        // An altered event is reported with its number.
         let text = std::fs::read_to_string(&one).expect("a record");
         let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
         lines[40] += "!";
         std::fs::write(&one, lines.join("\n") + "\n").expect("written");
-        let told = replay(&one).expect_err("it parts");
+        let told = replay(&one).expect_err("a difference");
         assert!(told.contains("event 40"), "{told}");
         std::fs::write(&one, "nonsense\nmore\n").expect("written");
         assert!(replay(&one).is_err_and(|told| told.contains("line 1")));
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -1,5 +1,5 @@
-//! Virtual time: many engines and one world on one queue of events. The same scenario and seed give the same run, to
-//! the last event.
+//! Virtual time: several engines and one world on a single event queue. The same scenario and seed reproduce
+//! the same run, event for event.
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 };
 use coveroute_shared::mark;
 
-use crate::baseline::{Baseline, Choice, Truth, Wrong};
+use crate::baseline::{Baseline, Choice, OracleView, Violation};
 use crate::fleet::stage::Stage;
 use crate::queue::Queue;
 use crate::report::Sample;
@@ -26,23 +26,24 @@
     call, name, tri_of, Delivery, JobUpdate, NodeId, Order, Outcome, Output, TryId, WorkerId, World,
 };
 
-/// The engines' clock at the scenario's start: any time long after zero, which says "long ago".
+/// The engines' clock at the scenario's start. It is far from zero because a start time of zero means "long
+/// ago".
 pub const BASE: f64 = 1e6;
 
-/// Whose decisions are played.
+/// The policy that decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     Node,
     Baseline(Choice),
-    /// One that breaks a rule, to show that it is seen.
-    Wrong(Wrong),
+    /// A policy that breaks a rule on purpose, to show that the checker detects it.
+    Violation(Violation),
 }
 
 impl Policy {
     pub fn name(self) -> &'static str {
         match self {
             Policy::Node => "coveroute",
-            Policy::Wrong(_) => "wrong",
+            Policy::Violation(_) => "wrong",
             Policy::Baseline(choice) => choice.name(),
         }
     }
@@ -53,7 +54,7 @@
     }
 }
 
-/// The decisions of one engine here.
+/// The decision logic of one engine.
 enum Decisions {
     Node(Box<Node>),
     Baseline(Box<Baseline>),
@@ -96,12 +97,13 @@
     }
 }
 
-/// What is on its way.
+/// An event in transit. Recorded runs contain its Debug form, so that names of variants and fields are part
+/// of the record format.
 #[derive(Clone, Debug)]
 enum HostEvent {
     Submit(TryId),
     Leave(TryId),
-    /// A job's last byte arrives at a worker; whether the connection then breaks.
+    /// A job's last byte arrives at a worker; `breaks` tells whether the connection then breaks.
     Job {
         tri: TryId,
         worker: WorkerId,
@@ -166,7 +168,7 @@
 }
 
 impl HostEvent {
-    /// Whether a node's process must do something about it; the rest is on its way elsewhere.
+    /// Whether a node's process has to handle the event; the others are on their way elsewhere.
     fn is_for_the_node(&self) -> bool {
         !matches!(
             self,
@@ -179,7 +181,7 @@
     }
 }
 
-/// An event, whose node it is for or from, and the process of it that was there then.
+/// An event, the node that it is for or from, and that node's process at the time.
 struct Queued {
     node: NodeId,
     process: u64,
@@ -202,19 +204,19 @@
 
 struct NodeHost {
     engine: Engine<Decisions>,
-    /// Counts processes: what is on its way to an earlier one arrives nowhere.
+    /// Number of the process: events for an earlier process are dropped.
     process: u64,
     wake: f64,
     ids: BTreeMap<InvId, TryId>,
     next: InvId,
     waits: BTreeMap<(TryId, WorkerId), PendingForward>,
     links: BTreeMap<WorkerId, Connections>,
-    /// Probes that are out, by their number.
+    /// Outstanding probes, by number.
     probes: BTreeMap<u64, WorkerId>,
     served: bool,
 }
 
-/// How a run went as a program.
+/// Execution statistics of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Pace {
     pub events: u64,
@@ -225,14 +227,14 @@
 pub struct Run<'a> {
     world: World,
     hosts: Vec<Option<NodeHost>>,
-    /// What has come to nodes that stand still.
+    /// Events held for paused nodes.
     paused: Vec<Option<Vec<Queued>>>,
-    /// What nodes know of each other, where they do.
+    /// The fleet, where nodes know each other.
     fleet: Option<Stage>,
     queue: Queue<Queued>,
     policy: Policy,
-    truth: Option<Truth>,
-    truth_at: f64,
+    oracle: Option<OracleView>,
+    oracle_updated: f64,
     actions: Vec<Action>,
     events: u64,
     processes: u64,
@@ -242,18 +244,18 @@
     fault: Option<String>,
 }
 
-/// A worker's own try at telling its news again, and how often.
+/// Delay before a worker sends its news again, and how many tries it makes.
 const NEWS_AGAIN: f64 = 0.2;
 const NEWS_TRIES: u32 = 10;
-/// The first clients come when all nodes are ready.
+/// Nodes start at this time, and the first clients come when all are ready.
 const READY: f64 = 0.0;
 
-/// Where worker number `worker` is said to listen; nobody connects there.
+/// The nominal address of a worker; nothing listens there.
 fn addr(worker: WorkerId) -> std::net::SocketAddr {
     ([127, 100, (worker >> 8) as u8, worker as u8], 9000).into()
 }
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -263,7 +265,7 @@
     run_inner(scenario, seed, policy, sink, None)
 }
 
-/// The same with the node's decisions, looked at each second.
+/// Runs the node's policy and samples the state every second.
 pub fn sampled(scenario: &Scenario, seed: u64, samples: &mut Vec<Sample>) -> Result<(Outcome, Pace), String> {
     run_inner(scenario, seed, Policy::Node, None, Some(samples))
 }
@@ -276,11 +278,11 @@
     samples: Option<&'a mut Vec<Sample>>,
 ) -> Result<(Outcome, Pace), String> {
     if scenario.faults.iter().any(|fault| fault.what == What::NodesReplace) {
-        return Err("nodes-replace is played on loopback alone: run it with --loopback".into());
+        return Err("nodes-replace is supported on loopback only: use --loopback".into());
     }
     let began = std::time::Instant::now();
     let world = World::new(scenario.clone(), seed, addr);
-    let truth: Option<Truth> =
+    let oracle: Option<OracleView> =
         (policy == Policy::Baseline(Choice::Oracle)).then(|| Rc::new(RefCell::new(BTreeMap::new())));
     let nodes = scenario.nodes.count.0;
     let zones: Vec<String> = world.nodes.iter().map(|node| node.zone.clone()).collect();
@@ -292,8 +294,8 @@
         fleet,
         queue: Queue::new(),
         policy,
-        truth,
-        truth_at: -1.0,
+        oracle,
+        oracle_updated: -1.0,
         actions: Vec::new(),
         events: 0,
         processes: 0,
@@ -378,11 +380,13 @@
     fn mind(&self, setup: &coveroute_engine::Setup) -> Decisions {
         match self.policy {
             Policy::Node => Decisions::Node(Box::new(Node::new(setup.settings.clone(), setup.seed))),
-            Policy::Wrong(wrong) => {
-                Decisions::Baseline(Box::new(Baseline::wrong(setup.settings.clone(), setup.seed, wrong)))
-            }
+            Policy::Violation(violation) => Decisions::Baseline(Box::new(Baseline::violation(
+                setup.settings.clone(),
+                setup.seed,
+                violation,
+            ))),
             Policy::Baseline(choice) => {
-                let baseline = Baseline::new(setup.settings.clone(), setup.seed, choice, self.truth.clone());
+                let baseline = Baseline::new(setup.settings.clone(), setup.seed, choice, self.oracle.clone());
                 Decisions::Baseline(Box::new(baseline))
             }
         }
@@ -395,7 +399,7 @@
         self.processes += 1;
         let (zone, known) = (self.world.nodes[node].zone.clone(), self.world.known_list(node));
         let seed = self.world.seed.wrapping_mul(7919).wrapping_add(self.processes);
-        // What a node is told to have known counts as told, and so does what changed longer ago.
+        // A node is taken to know its initial list and every change that is old enough.
         self.world.node_started(now, node, &known);
         let setup = match settings::setup(&self.world.scenario, node, &zone, seed, on_engine_clock(known)) {
             Ok(setup) => setup,
@@ -413,7 +417,7 @@
         self.carry_out(now, node);
     }
 
-    /// Its process ends: connections are reset, and nothing of it is left.
+    /// Ends a node's process: its connections are reset and its state is lost.
     fn end(&mut self, now: f64, node: NodeId) {
         let Some(host) = self.hosts[node].take() else { return };
         self.paused[node] = None;
@@ -436,7 +440,7 @@
         match order {
             Order::Start => self.start(now, node),
             Order::StartBack => {
-                // Its part in the fleet alone goes by the clock that has gone back.
+                // Only its part in the fleet uses the clock that was set back.
                 self.fleet.iter_mut().for_each(|fleet| fleet.order(now, node, order));
                 self.start(now, node);
             }
@@ -462,17 +466,17 @@
             Order::Retune => {
                 let world = &self.world;
                 let tuning = settings::tuning(&world.scenario, node, &world.nodes[node].zone, true);
-                self.notify(now, node, Event::NotReread); // The file that is cut off.
+                self.notify(now, node, Event::NotReread); // The truncated file.
                 if let Ok(tuning) = tuning {
                     self.notify(now, node, Event::Reread { tuning: Some(Box::new(tuning)), moved: false });
                 }
             }
-            // Refused at the start.
+            // Rejected before the run starts.
             Order::Replace => {}
         }
     }
 
-    /// What the world says goes on its way to nodes.
+    /// Delivers the world's outputs to the nodes.
     fn deliver_outputs(&mut self, now: f64, outs: &mut Vec<Output>) {
         while !outs.is_empty() {
             for out in std::mem::take(outs) {
@@ -521,13 +525,13 @@
         }
     }
 
-    /// An answer to a forward that still waits for one goes back.
+    /// Sends back an answer to a forward that still waits for one.
     fn reply(&mut self, now: f64, node: NodeId, worker: WorkerId, tri: TryId, reply: Reply) {
         let waits = self.hosts[node].as_ref().and_then(|host| host.waits.get(&(tri, worker))).copied();
         let Some(PendingForward { forward, .. }) = waits else { return };
         match self.world.delivery(node, worker, tri, 100 + forward) {
             Delivery::Cut => {}
-            // Once its connection is up, what breaks is the connection's: told by the way there.
+            // Once the connection is up, breaks are drawn on the way to the worker only.
             Delivery::Arrives(takes)
             | Delivery::Refused(takes)
             | Delivery::BreaksBefore(takes)
@@ -572,11 +576,11 @@
         match ev {
             HostEvent::Submit(tri) if self.hosts[node].is_some() => self.submit(now, node, tri),
             HostEvent::Submit(tri) => self.world.refused(now, tri),
-            // What has left its node arrives, whatever becomes of that.
+            // A job that has left its node arrives whatever becomes of the node.
             HostEvent::Job { tri, worker, forward, sent, breaks } => {
                 let waits =
                     self.hosts[node].as_ref().filter(|_| here).and_then(|h| h.waits.get(&(tri, worker)));
-                // A connection that was closed meanwhile brings no job.
+                // A connection closed meanwhile delivers no job.
                 if waits.is_some_and(|waits| waits.forward == forward) || !here {
                     self.world.job(now, node, worker, tri, sent, &mut outs);
                     if breaks {
@@ -651,7 +655,7 @@
             call: call(self.world.seed, tri).into(),
             class: op.name.clone(),
             caller: ask.tenant.map(|tenant| scenario.tenants[tenant].name.clone()),
-            // Whole milliseconds, as the protocol has it.
+            // Whole milliseconds, as in the protocol.
             budget: ((deadline - sent) * 1e3).floor() / 1e3,
             hint: ask.hint,
             memory: Some(op.memory.0).filter(|memory| *memory > 0.0),
@@ -692,7 +696,7 @@
         self.notify(now, node, Event::Replied(waits.id, forward, reply));
     }
 
-    /// The worker has not said in time that it has the job: first told, then given up.
+    /// The worker has not acknowledged the job in time: the node is first notified, then gives up.
     fn patience(&mut self, now: f64, node: NodeId, tri: TryId, worker: WorkerId, forward: usize, last: bool) {
         let waits = self.hosts[node].as_ref().and_then(|host| host.waits.get(&(tri, worker))).copied();
         let Some(waits) = waits.filter(|waits| waits.forward == forward) else { return };
@@ -736,8 +740,8 @@
     }
 
     fn notify(&mut self, now: f64, node: NodeId, event: Event) {
-        if self.truth.is_some() && now > self.truth_at {
-            self.truth_at = now;
+        if self.oracle.is_some() && now > self.oracle_updated {
+            self.oracle_updated = now;
             self.update_oracle(now);
         }
         let Some(host) = self.hosts[node].as_mut() else { return };
@@ -747,10 +751,11 @@
         self.carry_out(now, node);
     }
 
-    /// What the oracle sees: when a job that comes now would start at each worker, and how fast it would run.
+    /// Updates the oracle's view: when a job arriving now would start at each worker, and how fast it would
+    /// run.
     fn update_oracle(&self, now: f64) {
-        let Some(truth) = &self.truth else { return };
-        let mut truth = truth.borrow_mut();
+        let Some(oracle) = &self.oracle else { return };
+        let mut oracle = oracle.borrow_mut();
         for (at, worker) in self.world.workers.iter().enumerate() {
             let faults = &worker.faults;
             let serves = worker.life == Liveness::Up
@@ -764,7 +769,7 @@
             let pace = (capacity / (worker.held() as f64 + 1.0).min(slots)).min(worker.spec.speed.0);
             let known =
                 (serves && worker.queued() < worker.spec.queue.0 && pace > 0.0).then_some((waits, pace));
-            truth.insert(mark(&name(at)), known);
+            oracle.insert(mark(&name(at)), known);
         }
     }
 
@@ -800,7 +805,7 @@
         match action {
             Action::Send { id, forward, tgt, .. } => self.send(now, node, id, forward, tgt),
             Action::Abort { id, forward } => self.abort(now, node, id, forward),
-            // A connection takes two ways here, far less than any grace.
+            // A connection takes two one-way latencies here, far less than any grace period.
             Action::Recall { .. } => {}
             Action::GiveUp { tgt, call } => {
                 let (worker, tri) = (self.worker(node, tgt), tri_of(&call));
@@ -838,11 +843,12 @@
         id.strip_prefix("w-")?.parse().ok()
     }
 
-    /// A connection to the worker: how long it takes to come up, or none where the node or the worker has no more.
+    /// Takes a connection to the worker. Returns how long it takes to come up, or none if the node or the
+    /// worker has reached its limit.
     fn lease(&mut self, node: NodeId, worker: WorkerId) -> Option<f64> {
         let links = self.hosts[node].as_mut()?.links.entry(worker).or_default();
         let idle = links.in_use < links.open;
-        // Only a new connection is held against the bounds: counting goes over all nodes.
+        // Checked for new connections only, since the count goes over all nodes.
         if !idle && !self.may_open(node, worker) {
             return None;
         }
@@ -852,7 +858,7 @@
         Some(if idle { 0.0 } else { 2.0 * self.world.scenario.network.latency.0 })
     }
 
-    /// Whether neither the node's bound nor the worker's is reached.
+    /// Whether both the node's and the worker's connection limits allow another.
     fn may_open(&self, node: NodeId, worker: WorkerId) -> bool {
         let at = |host: &NodeHost| host.links.get(&worker).map_or(0, |links| links.open);
         let total: usize = self.hosts.iter().flatten().map(at).sum();
@@ -899,7 +905,7 @@
                     HostEvent::Replied { tri, worker, forward, reply: unreachable },
                 );
             }
-            // A new connection never comes up; on one that is kept, silence is all that is heard.
+            // A new connection never comes up; on a kept one the node only sees that nothing is heard.
             Delivery::Cut if dials > 0.0 => {
                 self.schedule(
                     now + dial,
@@ -946,7 +952,7 @@
             Answer::Errored => (FinalAnswer::Failed, 0.0),
             Answer::Unfit(_) => (FinalAnswer::Unfit, 0.0),
         };
-        // Judged by when it leaves the node; the client acts on it when it has come.
+        // The checker and the client both see the answer when it arrives, one latency later.
         self.schedule(
             now + self.world.scenario.network.latency.0,
             node,
@@ -980,7 +986,7 @@
     }
 }
 
-/// Start times on the engines' clock.
+/// Converts start times to the engines' clock.
 fn on_engine_clock(mut listing: Listing) -> Listing {
     for host in &mut listing.hosts {
         host.started = if host.started > 0.0 { BASE + host.started } else { 0.0 };
--- a/crates/coveroute-emu/src/world/invariants.rs
+++ b/crates/coveroute-emu/src/world/invariants.rs
@@ -166,7 +166,7 @@
                 sent,
                 node,
                 None,
-                format!("a forward of nothing taken, {tri:08x}"),
+                format!("a forward of a try that was never received, {tri:08x}"),
             );
         };
         if let Some((at, _)) =
@@ -188,8 +188,10 @@
         let told = self.told[node][worker];
         let late = told.filter(|told| !told.wanted && sent - self.detection_lag > told.at + self.grace);
         if let Some(told) = late {
-            let words =
-                format!("worker {worker} got a forward {:.3} s after it was told as leaving", sent - told.at);
+            let words = format!(
+                "worker {worker} got a forward {:.3} s after the node was told that it leaves",
+                sent - told.at
+            );
             self.breach(Rule::NothingToTheGone, sent, node, Some(tri), words);
         }
     }
@@ -234,7 +236,7 @@
             );
         }
         if unmade {
-            self.breach(Rule::OneAnswer, now, node, Some(tri), "served with what no worker made".into());
+            self.breach(Rule::OneAnswer, now, node, Some(tri), "served although no worker ran it".into());
         }
         if let Some(words) = refused {
             self.breach(Rule::NoEffectTwice, now, node, Some(tri), words);
@@ -320,7 +322,7 @@
         if fall.informed > 2.0 / 3.0 {
             let Overload { informed, sent, most } = fall;
             let words = format!(
-                "cold worker {worker} fell: {sent:.2} requests of mean work on {most:.2}, {informed:.2} knowing"
+                "cold worker {worker} overloaded: {sent:.2} requests of mean work, limit {most:.2}, {informed:.2} from informed nodes"
             );
             self.breach(Rule::NoColdWorkerPushedOver, now, node, None, words);
         }
@@ -350,7 +352,7 @@
                 Some(format!("sent to worker {worker} though it may have run at {there}"))
             }
             (Effect::Deduplicated, _) if now - first.sent > self.terms.window + CLOCK_TOLERANCE => {
-                Some(format!("sent to worker {worker} {:.3} s on, after the window", now - first.sent))
+                Some(format!("sent to worker {worker} {:.3} s later, after the window", now - first.sent))
             }
             (Effect::Deduplicated, group) => {
                 let same = match group {
@@ -358,7 +360,7 @@
                     Group::Zone => places[worker].0 == places[there].0,
                     Group::Cell => places[worker].1 == places[there].1,
                 };
-                (!same).then(|| format!("sent to worker {worker}, out of the group of {there}"))
+                (!same).then(|| format!("sent to worker {worker}, outside the group of {there}"))
             }
         }
     }
@@ -374,7 +376,7 @@
 
     fn trace(&self) -> Vec<String> {
         let mut lines =
-            vec![format!("{:.3} taken by node {}, until {:.3}", self.taken, self.node, self.deadline)];
+            vec![format!("{:.3} received by node {}, deadline {:.3}", self.taken, self.node, self.deadline)];
         for forward in &self.forwards {
             lines.push(format!("{:.3} sent to worker {}", forward.sent, forward.worker));
             let told =
