--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -241,7 +241,7 @@
         };
         let list = at(251, 0);
         let counts = || (0..plan.executors).map(|_| AtomicU64::new(0)).collect();
-        let (news, heard): (Vec<_>, Vec<_>) =
+        let (news, lines): (Vec<_>, Vec<_>) =
             (0..plan.nodes * NEWS_CONNECTIONS).map(|_| mpsc::unbounded_channel()).unzip();
         let scenario = scenario(plan)?;
         let world = crate::world::World::new(scenario.clone(), 1, |worker| at(0, worker));
@@ -269,8 +269,8 @@
             let listener = bind(at(0, executor)).await?;
             tokio::spawn(run_executor(shared.clone(), executor, listener));
         }
-        for (lane, heard) in heard.into_iter().enumerate() {
-            tokio::spawn(send_news(shared.clone(), lane / NEWS_CONNECTIONS, heard));
+        for (lane, lines) in lines.into_iter().enumerate() {
+            tokio::spawn(send_news(shared.clone(), lane / NEWS_CONNECTIONS, lines));
         }
         tokio::spawn(serve_list(shared.clone(), bind(list).await?));
         let (children, files) = (Vec::new(), Vec::new());
@@ -444,20 +444,20 @@
 }
 
 /// Runs a future on a runtime of its own, which is shut down with it.
-pub fn on_runtime<T>(play: impl Future<Output = Result<T, String>>) -> Result<T, String> {
+pub fn on_runtime<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let played = runtime.block_on(play);
+    let played = runtime.block_on(work);
     runtime.shutdown_background();
     played
 }
 
 /// Runs a load test and measures it.
 pub fn load(plan: &Plan) -> Result<Loaded, String> {
-    on_runtime(play(plan))
+    on_runtime(work(plan))
 }
 
-async fn play(plan: &Plan) -> Result<Loaded, String> {
+async fn work(plan: &Plan) -> Result<Loaded, String> {
     let rig = Rig::begin(plan).await?;
     rig.call();
     sleep(WARMUP).await;
@@ -588,9 +588,9 @@
     Some(sender)
 }
 
-async fn send_news(shared: Arc<SharedState>, node: NodeId, mut heard: mpsc::UnboundedReceiver<Bytes>) {
+async fn send_news(shared: Arc<SharedState>, node: NodeId, mut lines: mpsc::UnboundedReceiver<Bytes>) {
     let mut sender = None;
-    while let Some(line) = heard.recv().await {
+    while let Some(line) = lines.recv().await {
         for _ in 0..10 {
             if sender.as_ref().is_none_or(client::SendRequest::is_closed) {
                 sender = connect(shared.nodes[node]).await;
--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -62,7 +62,7 @@
 
 /// Resources used by the node processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Machines {
+pub struct ResourceUsage {
     pub cpu_seconds: f64,
     pub peak_mb: f64,
     pub most_descriptors: usize,
@@ -93,7 +93,7 @@
 struct Harness {
     world: RefCell<World>,
     began: Instant,
-    base: f64,
+    epoch: f64,
     block: u8,
     pending: RefCell<Pending>,
     clients: RefCell<HashMap<TryId, AbortHandle>>,
@@ -114,7 +114,7 @@
     options: Options,
     dir: PathBuf,
     fault: RefCell<Option<String>>,
-    machines: Cell<Machines>,
+    machines: Cell<ResourceUsage>,
 }
 
 fn worker_addr(block: u8, worker: WorkerId) -> SocketAddr {
@@ -135,7 +135,7 @@
 }
 
 /// Runs a scenario against real processes in real time.
-pub fn run(scenario: &Scenario, seed: u64, options: Options) -> Result<(Outcome, Machines), String> {
+pub fn run(scenario: &Scenario, seed: u64, options: Options) -> Result<(Outcome, ResourceUsage), String> {
     if !options.node.is_file() {
         return Err(format!("{}: not found; build it first", options.node.display()));
     }
@@ -143,17 +143,17 @@
     let runtime = runtime.map_err(|e| e.to_string())?;
     let dir = std::env::temp_dir().join(format!("coveroute-emu-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-    let played = LocalSet::new().block_on(&runtime, play(scenario, seed, options, dir.clone()));
+    let result = LocalSet::new().block_on(&runtime, run_scenario(scenario, seed, options, dir.clone()));
     let _ = std::fs::remove_dir_all(&dir);
-    played
+    result
 }
 
-async fn play(
+async fn run_scenario(
     scenario: &Scenario,
     seed: u64,
     options: Options,
     dir: PathBuf,
-) -> Result<(Outcome, Machines), String> {
+) -> Result<(Outcome, ResourceUsage), String> {
     // A block of loopback addresses derived from the process id, so that parallel runs don't collide.
     let block = 16 + (std::process::id() % 200) as u8;
     let mut world = World::new(scenario.clone(), seed, |worker| worker_addr(block, worker));
@@ -173,7 +173,7 @@
         world: RefCell::new(world),
         links,
         began,
-        base: unix,
+        epoch: unix,
         block,
         pending: RefCell::default(),
         clients: RefCell::default(),
@@ -222,15 +222,15 @@
         if now >= end || harness.world.borrow().is_over(now) || harness.fault.borrow().is_some() {
             break;
         }
-        let mut outs = Vec::new();
+        let mut outputs = Vec::new();
         let due = harness.world.borrow().next_due();
         if let Some(due) = due.filter(|due| *due <= now) {
             let mut machines = harness.machines.get();
             machines.late = machines.late.max(now - due);
             harness.machines.set(machines);
         }
-        harness.world.borrow_mut().advance(now, &mut outs);
-        outs.into_iter().for_each(|out| harness.deliver_output(out));
+        harness.world.borrow_mut().advance(now, &mut outputs);
+        outputs.into_iter().for_each(|out| harness.deliver_output(out));
         let due = harness.world.borrow().next_due().unwrap_or(end).min(end);
         let at = harness.began + Duration::from_secs_f64(due.max(0.0));
         tokio::select! {
@@ -243,7 +243,7 @@
         let metric_mismatches = harness.metric_mismatches(node).await;
         harness.fault.borrow_mut().get_or_insert_with(String::new).push_str(&metric_mismatches);
     }
-    harness.fault.borrow_mut().take_if(|words| words.is_empty());
+    harness.fault.borrow_mut().take_if(|message| message.is_empty());
     harness.end_all();
     let fault = harness.fault.borrow_mut().take();
     fault.map_or_else(|| Ok((harness.world.borrow_mut().result(), harness.machines.get())), Err)
@@ -263,8 +263,8 @@
     }
 
     /// Delivers outputs, and wakes the main loop so that it asks the world for its next event.
-    fn deliver_outputs(self: &Rc<Self>, outs: Vec<Output>) {
-        outs.into_iter().for_each(|out| self.deliver_output(out));
+    fn deliver_outputs(self: &Rc<Self>, outputs: Vec<Output>) {
+        outputs.into_iter().for_each(|out| self.deliver_output(out));
         self.wakeup.notify_one();
     }
 
@@ -298,12 +298,12 @@
             // The first line is always a list, even if nothing has changed.
             Output::Begun { node, watch, version } => {
                 let line = format!("{{\"version\":{version},\"full\":false,\"servers\":[]}}\n");
-                self.line(node, watch, line.as_bytes());
+                self.send_line(node, watch, line.as_bytes());
             }
             Output::Listed { node, watch, listing } => {
-                let mut line = settings::hosts(&listing, self.base).to_string();
+                let mut line = settings::hosts(&listing, self.epoch).to_string();
                 line.push('\n');
-                self.line(node, watch, line.as_bytes());
+                self.send_line(node, watch, line.as_bytes());
                 let now = self.now();
                 self.world.borrow_mut().listed(now, node, &listing);
             }
@@ -323,7 +323,7 @@
         let _ = pending.send(ack);
     }
 
-    fn line(&self, node: NodeId, watch: u64, line: &[u8]) {
+    fn send_line(&self, node: NodeId, watch: u64, line: &[u8]) {
         if let Some(watch) = self.watches.borrow().get(&(node, watch)) {
             let _ = watch.send(Bytes::copy_from_slice(line));
         }
@@ -348,8 +348,8 @@
         if self.processes.borrow()[node].is_some() {
             return;
         }
-        if let Err(words) = self.start_process(node) {
-            *self.fault.borrow_mut() = Some(words);
+        if let Err(message) = self.start_process(node) {
+            *self.fault.borrow_mut() = Some(message);
         }
     }
 
@@ -395,7 +395,7 @@
             "discovery": list_addr(self.block, node).to_string(),
             "seed": format!("{:x}", world.seed.wrapping_mul(7919).wrapping_add(node as u64) & 0xffff_ffff),
             "limits": { "cores": 1.0, "memory_mb": scenario.nodes.memory_mb.0, "sockets": scenario.nodes.sockets.0 },
-            "known": settings::hosts(known, self.base),
+            "known": settings::hosts(known, self.epoch),
             "settings": settings::retuned(scenario, node, &zone, alternate),
         });
         let path = self.file(node);
@@ -435,8 +435,8 @@
         Ok(Process { pid, management, end_expected: false })
     }
 
-    fn report_fault(&self, words: String) {
-        self.fault.borrow_mut().get_or_insert(words);
+    fn report_fault(&self, message: String) {
+        self.fault.borrow_mut().get_or_insert(message);
         self.wakeup.notify_one();
     }
 
@@ -447,7 +447,7 @@
         self.single_process.borrow_mut()[node] = false;
         let new = match self.spawn(node) {
             Ok(new) => new,
-            Err(words) => return self.report_fault(words),
+            Err(message) => return self.report_fault(message),
         };
         let ready = timeout(REPLACEMENT_TIMEOUT, async {
             while management_get(new.management, "/v1/readyz").await.is_none_or(|answer| answer.0 != 200) {
@@ -477,8 +477,8 @@
         for fit in [false, true] {
             let written =
                 if fit { self.configure(node, &known, true) } else { cut().map_err(|e| e.to_string()) };
-            if let Err(words) = written {
-                return self.report_fault(words);
+            if let Err(message) = written {
+                return self.report_fault(message);
             }
             let _ = kill(Pid::from_raw(pid), Signal::SIGHUP);
             sleep(Duration::from_millis(300)).await;
@@ -507,11 +507,11 @@
         for ((_, operation), seen) in self.answers.borrow().iter().filter(|answers| answers.0 .0 == node) {
             let results = &told["results"][operation];
             for (name, seen) in ["succeeded", "declined", "aborted"].iter().zip(seen) {
-                let shown = results[name].as_u64().unwrap_or(u64::MAX);
+                let counted = results[name].as_u64().unwrap_or(u64::MAX);
                 // Calls that clients abandon, a few in a hundred, may be counted under any result.
-                if shown.abs_diff(*seen) > 3.max(seen / 50) {
+                if counted.abs_diff(*seen) > 3.max(seen / 50) {
                     metric_mismatches +=
-                        &format!("node {node} counts {shown} {name} of {operation}, clients saw {seen}. ");
+                        &format!("node {node} counts {counted} {name} of {operation}, clients saw {seen}. ");
                 }
             }
         }
@@ -551,12 +551,12 @@
             Order::Retune => return drop(spawn_local(self.clone().retune(node))),
             Order::Replace => return drop(spawn_local(self.clone().replace(node))),
         };
-        let stays = matches!(order, Order::Reload | Order::Stall | Order::Wake);
-        self.single_process.borrow_mut()[node] &= stays;
+        let keeps_running = matches!(order, Order::Reload | Order::Stall | Order::Wake);
+        self.single_process.borrow_mut()[node] &= keeps_running;
         self.measure(node);
         let now = self.now();
         let Some(pid) = self.processes.borrow_mut()[node].as_mut().map(|process| {
-            process.end_expected |= !stays;
+            process.end_expected |= !keeps_running;
             process.pid
         }) else {
             return;
@@ -600,7 +600,7 @@
 }
 
 /// Resources that a process has used so far.
-pub fn taken_by(pid: i32) -> Machines {
+pub fn taken_by(pid: i32) -> ResourceUsage {
     let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
     // Fields 14 and 15, counted after the name, which may contain spaces; in hundredths of a second.
     let stat = read("stat");
@@ -610,7 +610,7 @@
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let kib = peak.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok()).unwrap_or(0.0);
     let held = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |held| held.count());
-    Machines {
+    ResourceUsage {
         cpu_seconds: (ticks(11) + ticks(12)) / 100.0,
         peak_mb: kib / 1024.0,
         most_descriptors: held,
@@ -758,7 +758,7 @@
         } else if listener.is_none() {
             listener = listen(worker_addr(harness.block, worker)).ok();
         }
-        let most = harness.world.borrow().workers[worker].connections();
+        let limit = harness.world.borrow().workers[worker].connections();
         let Some(open) = &listener else {
             let _ = timeout(Duration::from_millis(20), harness.worker_changed[worker].notified()).await;
             continue;
@@ -769,7 +769,7 @@
             accepted = open.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
                 while connections.try_join_next().is_some() {}
-                if connections.len() < most {
+                if connections.len() < limit {
                     let _ = stream.set_nodelay(true);
                     connections.spawn_local(serve(harness.clone(), worker, stream));
                 }
@@ -821,14 +821,14 @@
                 return Ok(plain_response(404, String::new()));
             };
             let now = harness.now();
-            let (mut outs, mut world) = (Vec::new(), harness.world.borrow_mut());
+            let (mut outputs, mut world) = (Vec::new(), harness.world.borrow_mut());
             let node = world.clients.tries.get(tri as usize).map(|tried| tried.node);
             if let Some(node) = node {
                 world.invariants.given_up(now, tri, worker);
-                world.give_up(now, node, worker, tri, &mut outs);
+                world.give_up(now, node, worker, tri, &mut outputs);
             }
             drop(world);
-            harness.deliver_outputs(outs);
+            harness.deliver_outputs(outputs);
             Ok(plain_response(200, String::new()))
         }
         (&Method::POST, _) => job(harness, worker, request).await,
@@ -861,19 +861,19 @@
     worker: WorkerId,
     node: NodeId,
     tri: TryId,
-    over: bool,
+    answered: bool,
 }
 
 impl Drop for Unanswered<'_> {
     fn drop(&mut self) {
         let waited = self.harness.pending.borrow_mut().remove(&(self.worker, self.tri)).is_some();
-        if !self.over && waited {
-            let (now, mut outs) = (self.harness.now(), Vec::new());
+        if !self.answered && waited {
+            let (now, mut outputs) = (self.harness.now(), Vec::new());
             let mut world = self.harness.world.borrow_mut();
             world.invariants.given_up(now, self.tri, self.worker);
-            world.give_up(now, self.node, self.worker, self.tri, &mut outs);
+            world.give_up(now, self.node, self.worker, self.tri, &mut outputs);
             drop(world);
-            self.harness.deliver_outputs(outs);
+            self.harness.deliver_outputs(outputs);
         }
     }
 }
@@ -899,17 +899,17 @@
         }
     }
     request.into_body().collect().await.map_err(|_| ConnectionBroken)?;
-    let (taken, told) = oneshot::channel();
-    harness.pending.borrow_mut().insert((worker, tri), taken);
-    let mut unanswered = Unanswered { harness: &harness, worker, node, tri, over: false };
-    let (now, mut outs) = (harness.now(), Vec::new());
-    harness.world.borrow_mut().job(now, node, worker, tri, now, &mut outs);
-    harness.deliver_outputs(outs);
+    let (sender, receiver) = oneshot::channel();
+    harness.pending.borrow_mut().insert((worker, tri), sender);
+    let mut unanswered = Unanswered { harness: &harness, worker, node, tri, answered: false };
+    let (now, mut outputs) = (harness.now(), Vec::new());
+    harness.world.borrow_mut().job(now, node, worker, tri, now, &mut outputs);
+    harness.deliver_outputs(outputs);
     if matches!(delivery, Delivery::BreaksAfter(_)) {
         harness.ack(worker, tri, Ack::Breaks);
     }
-    let ack = told.await;
-    unanswered.over = true;
+    let ack = receiver.await;
+    unanswered.answered = true;
     match ack {
         Ok(Ack::Taken) => Ok(plain_response(202, String::new())),
         Ok(Ack::Rejects(report)) => {
@@ -1014,11 +1014,11 @@
     let (watch, version) = (harness.watch.get() + 1, figure("index=").unwrap_or(0));
     harness.watch.set(watch);
     harness.watches.borrow_mut().insert((node, watch), lines.clone());
-    let mut outs = Vec::new();
+    let mut outputs = Vec::new();
     let now = harness.now();
-    harness.world.borrow_mut().watch(now, node, watch, version, &mut outs);
-    let lost = outs.iter().any(|out| matches!(out, Output::Lost { .. }));
-    harness.deliver_outputs(outs);
+    harness.world.borrow_mut().watch(now, node, watch, version, &mut outputs);
+    let lost = outputs.iter().any(|out| matches!(out, Output::Lost { .. }));
+    harness.deliver_outputs(outputs);
     if lost {
         return Err(ConnectionBroken);
     }
--- a/crates/coveroute-emu/src/main.rs
+++ b/crates/coveroute-emu/src/main.rs
@@ -10,7 +10,7 @@
 use coveroute_emu::prove::prove;
 use coveroute_emu::scenario::Scenario;
 use coveroute_emu::search::{drawn, drawn_fleet, search, Found};
-use coveroute_emu::virtual_time::{run, sampled, Pace, Policy};
+use coveroute_emu::virtual_time::{run, run_sampled, Policy, RunStats};
 use coveroute_emu::world::Outcome;
 use coveroute_emu::{loopback, report, trace};
 use coveroute_fleet::explore::explore;
@@ -147,9 +147,9 @@
     },
 }
 
-fn progress_bar(most: u64, words: &'static str) -> ProgressBar {
+fn progress_bar(most: u64, message: &'static str) -> ProgressBar {
     let style = ProgressStyle::with_template("{msg} {wide_bar} {pos}/{len} {eta}");
-    let progress_bar = ProgressBar::new(most).with_message(words);
+    let progress_bar = ProgressBar::new(most).with_message(message);
     style.map(|style| progress_bar.clone().with_style(style)).unwrap_or(progress_bar)
 }
 
@@ -242,7 +242,7 @@
             let scenario = Scenario::read(&scenario)?;
             let policy = Policy::named(&policy).ok_or(format!("policy: unknown policy {policy}"))?;
             let (outcome, pace) = run(&scenario, seed.unwrap_or(scenario.seed), policy, None)?;
-            let Pace { events, seconds, wall } = pace;
+            let RunStats { events, seconds, wall } = pace;
             let speed = json!({ "events": events, "times_real": seconds / wall, "events_a_second": events as f64 / wall });
             print_result(&outcome, speed, json);
             check_rules(&outcome)
@@ -313,7 +313,7 @@
         Command::Report { scenario, to, seed } => {
             let scenario = Scenario::read(&scenario)?;
             let (seed, mut samples) = (seed.unwrap_or(scenario.seed), Vec::new());
-            let (outcome, _) = sampled(&scenario, seed, &mut samples)?;
+            let (outcome, _) = run_sampled(&scenario, seed, &mut samples)?;
             write(&to, &report::html(&scenario, seed, &outcome, &samples))?;
             write(&to.with_extension("csv"), &report::csv(&samples))
         }
@@ -334,8 +334,8 @@
 fn main() -> ExitCode {
     match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("coveroute-emu: {words}");
+        Err(message) => {
+            eprintln!("coveroute-emu: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/coveroute-emu/src/report.rs
+++ b/crates/coveroute-emu/src/report.rs
@@ -197,7 +197,7 @@
         let mut scenario = crate::search::drawn(3);
         scenario.name = "<odd>".into();
         let mut samples = Vec::new();
-        let (outcome, _) = crate::virtual_time::sampled(&scenario, 3, &mut samples).expect("a run");
+        let (outcome, _) = crate::virtual_time::run_sampled(&scenario, 3, &mut samples).expect("a run");
         let page = html(&scenario, 3, &outcome, &samples);
         assert!(page.contains("&lt;odd&gt;") && !page.contains("src=") && !page.contains("href="));
         assert!(scenario.faults.iter().all(|fault| page.contains(&format!("{:?}", fault.what))));
--- a/crates/coveroute-emu/src/scenario.rs
+++ b/crates/coveroute-emu/src/scenario.rs
@@ -4,9 +4,9 @@
 use coveroute_fleet::plan::one_line;
 use serde::{Deserialize, Serialize};
 
-macro_rules! figure {
+macro_rules! bounded_number {
     ($name:ident, $words:literal, $fits:expr) => {
-        #[doc = concat!("A figure: ", $words, ".")]
+        #[doc = concat!("A number: ", $words, ".")]
         #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, PartialOrd, Serialize)]
         #[serde(try_from = "f64", into = "f64")]
         pub struct $name(pub f64);
@@ -14,28 +14,28 @@
         impl TryFrom<f64> for $name {
             type Error = String;
 
-            fn try_from(told: f64) -> Result<Self, String> {
+            fn try_from(value: f64) -> Result<Self, String> {
                 let fits: fn(f64) -> bool = $fits;
-                if fits(told) {
-                    Ok($name(told))
+                if fits(value) {
+                    Ok($name(value))
                 } else {
-                    Err(format!(concat!("{} is not ", $words), told))
+                    Err(format!(concat!("{} is not ", $words), value))
                 }
             }
         }
 
         impl From<$name> for f64 {
-            fn from(figure: $name) -> f64 {
-                figure.0
+            fn from(number: $name) -> f64 {
+                number.0
             }
         }
     };
 }
 
-figure!(Span, "a time in seconds, 0 to 86400", |v| (0.0..=86_400.0).contains(&v));
-figure!(Positive, "a number over 0, 1e9 at most", |v| v > 0.0 && v <= 1e9);
-figure!(Amount, "a number of 0 or more, 1e9 at most", |v| (0.0..=1e9).contains(&v));
-figure!(Part, "a part, 0 to 1", |v| (0.0..=1.0).contains(&v));
+bounded_number!(Span, "a time in seconds, 0 to 86400", |v| (0.0..=86_400.0).contains(&v));
+bounded_number!(Positive, "a number over 0, 1e9 at most", |v| v > 0.0 && v <= 1e9);
+bounded_number!(Amount, "a number of 0 or more, 1e9 at most", |v| (0.0..=1e9).contains(&v));
+bounded_number!(Part, "a part, 0 to 1", |v| (0.0..=1.0).contains(&v));
 
 /// A count, limited to what a machine can hold.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
@@ -45,10 +45,10 @@
 impl TryFrom<u64> for Count {
     type Error = String;
 
-    fn try_from(told: u64) -> Result<Self, String> {
-        match usize::try_from(told).ok().filter(|count| *count <= 100_000) {
+    fn try_from(value: u64) -> Result<Self, String> {
+        match usize::try_from(value).ok().filter(|count| *count <= 100_000) {
             Some(count) => Ok(Count(count)),
-            None => Err(format!("{told} is not a count, 0 to 100000")),
+            None => Err(format!("{value} is not a count, 0 to 100000")),
         }
     }
 }
@@ -653,9 +653,9 @@
 
     pub fn parse(text: &str) -> Result<Self, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| one_line(text, &e))?;
-        scenario.check().map_err(|(key, nth, words)| match line_of(text, key, nth) {
-            Some(line) => format!("line {line}: {key}: {words}"),
-            None => format!("{key}: {words}"),
+        scenario.check().map_err(|(key, nth, message)| match line_of(text, key, nth) {
+            Some(line) => format!("line {line}: {key}: {message}"),
+            None => format!("{key}: {message}"),
         })?;
         Ok(scenario)
     }
@@ -674,7 +674,7 @@
     /// Checks that concern several values. Returns the key, its index among tables of that name, and the
     /// problem.
     fn check(&self) -> Result<(), (&'static str, usize, String)> {
-        let fault = |key, nth, words: String| Err((key, nth, words));
+        let fault = |key, nth, message: String| Err((key, nth, message));
         if self.nodes.count.0 == 0 {
             return fault("nodes", 0, "count: at least one node is needed".into());
         }
@@ -724,7 +724,7 @@
     }
 
     fn check_fault(&self, at: usize, f: &Fault) -> Result<(), (&'static str, usize, String)> {
-        let fault = |words: String| Err(("faults", at, words));
+        let fault = |message: String| Err(("faults", at, message));
         let fits = match (f.what.strength(), f.by) {
             (Strength::None, None) => true,
             (Strength::Part, Some(by)) => by.0 <= 1.0,
--- a/crates/coveroute-emu/src/trace.rs
+++ b/crates/coveroute-emu/src/trace.rs
@@ -25,8 +25,8 @@
     events: u64,
 }
 
-fn line(now: f64, node: NodeId, words: &str) -> String {
-    format!("{now:.9} n{node} {words}")
+fn line(now: f64, node: NodeId, message: &str) -> String {
+    format!("{now:.9} n{node} {message}")
 }
 
 struct Writer<W: Write> {
@@ -36,10 +36,10 @@
 }
 
 impl<W: Write> Sink for Writer<W> {
-    fn event(&mut self, now: f64, node: NodeId, words: &str) {
+    fn event(&mut self, now: f64, node: NodeId, message: &str) {
         self.events += 1;
         if self.failed.is_none() {
-            self.failed = writeln!(self.to, "{}", line(now, node, words)).err();
+            self.failed = writeln!(self.to, "{}", line(now, node, message)).err();
         }
     }
 }
@@ -86,10 +86,10 @@
 }
 
 impl Sink for ReplayChecker {
-    fn event(&mut self, now: f64, node: NodeId, words: &str) {
-        let same = || self.lines.get(self.at) == Some(&line(now, node, words));
+    fn event(&mut self, now: f64, node: NodeId, message: &str) {
+        let same = || self.lines.get(self.at) == Some(&line(now, node, message));
         if self.divergence.is_none() && !same() {
-            self.divergence = Some((self.at, line(now, node, words)));
+            self.divergence = Some((self.at, line(now, node, message)));
         }
         self.at += 1;
     }
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -28,7 +28,7 @@
 
 /// The engines' clock at the scenario's start. It is far from zero because a start time of zero means "long
 /// ago".
-pub const BASE: f64 = 1e6;
+pub const CLOCK_BASE: f64 = 1e6;
 
 /// The policy that decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -169,7 +169,7 @@
 
 impl HostEvent {
     /// Whether a node's process has to handle the event; the others are on their way elsewhere.
-    fn is_for_the_node(&self) -> bool {
+    fn needs_process(&self) -> bool {
         !matches!(
             self,
             HostEvent::Job { .. }
@@ -207,10 +207,10 @@
     /// Number of the process: events for an earlier process are dropped.
     process: u64,
     wake: f64,
-    ids: BTreeMap<InvId, TryId>,
-    next: InvId,
-    waits: BTreeMap<(TryId, WorkerId), PendingForward>,
-    links: BTreeMap<WorkerId, Connections>,
+    invocations: BTreeMap<InvId, TryId>,
+    next_id: InvId,
+    pending: BTreeMap<(TryId, WorkerId), PendingForward>,
+    connections: BTreeMap<WorkerId, Connections>,
     /// Outstanding probes, by number.
     probes: BTreeMap<u64, WorkerId>,
     served: bool,
@@ -218,7 +218,7 @@
 
 /// Execution statistics of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Pace {
+pub struct RunStats {
     pub events: u64,
     pub seconds: f64,
     pub wall: f64,
@@ -245,10 +245,10 @@
 }
 
 /// Delay before a worker sends its news again, and how many tries it makes.
-const NEWS_AGAIN: f64 = 0.2;
-const NEWS_TRIES: u32 = 10;
+const NEWS_RETRY_DELAY: f64 = 0.2;
+const MAX_NEWS_TRIES: u32 = 10;
 /// Nodes start at this time, and the first clients come when all are ready.
-const READY: f64 = 0.0;
+const START_TIME: f64 = 0.0;
 
 /// The nominal address of a worker; nothing listens there.
 fn addr(worker: WorkerId) -> std::net::SocketAddr {
@@ -261,12 +261,16 @@
     seed: u64,
     policy: Policy,
     sink: Option<&mut dyn Sink>,
-) -> Result<(Outcome, Pace), String> {
+) -> Result<(Outcome, RunStats), String> {
     run_inner(scenario, seed, policy, sink, None)
 }
 
 /// Runs the node's policy and samples the state every second.
-pub fn sampled(scenario: &Scenario, seed: u64, samples: &mut Vec<Sample>) -> Result<(Outcome, Pace), String> {
+pub fn run_sampled(
+    scenario: &Scenario,
+    seed: u64,
+    samples: &mut Vec<Sample>,
+) -> Result<(Outcome, RunStats), String> {
     run_inner(scenario, seed, Policy::Node, None, Some(samples))
 }
 
@@ -276,7 +280,7 @@
     policy: Policy,
     sink: Option<&'a mut dyn Sink>,
     samples: Option<&'a mut Vec<Sample>>,
-) -> Result<(Outcome, Pace), String> {
+) -> Result<(Outcome, RunStats), String> {
     if scenario.faults.iter().any(|fault| fault.what == What::NodesReplace) {
         return Err("nodes-replace is supported on loopback only: use --loopback".into());
     }
@@ -305,39 +309,39 @@
         fault: None,
     };
     for node in 0..nodes {
-        run.start(READY, node);
+        run.start(START_TIME, node);
     }
-    let now = run.play();
+    let now = run.run_to_end();
     if let Some(fault) = run.fault {
         return Err(fault);
     }
     let wall = began.elapsed().as_secs_f64();
-    for (words, stage) in run.fleet.iter().flat_map(|f| f.witness.breaches.iter().map(move |w| (w, f))) {
-        run.world.invariants.fleet_breach(words.clone(), stage.witness.broken);
+    for (message, stage) in run.fleet.iter().flat_map(|f| f.witness.breaches.iter().map(move |w| (w, f))) {
+        run.world.invariants.fleet_breach(message.clone(), stage.witness.broken);
     }
-    Ok((run.world.result(), Pace { events: run.events, seconds: now, wall }))
+    Ok((run.world.result(), RunStats { events: run.events, seconds: now, wall }))
 }
 
 impl Run<'_> {
-    fn play(&mut self) -> f64 {
+    fn run_to_end(&mut self) -> f64 {
         let (mut now, end) = (0.0, self.world.end());
-        let (mut outs, mut sampled) = (Vec::new(), 0.0);
+        let (mut outputs, mut next_sample) = (Vec::new(), 0.0);
         while now < end && !self.world.is_over(now) && self.fault.is_none() {
-            if self.samples.is_some() && now >= sampled {
-                sampled = now.floor() + 1.0;
+            if self.samples.is_some() && now >= next_sample {
+                next_sample = now.floor() + 1.0;
                 self.sample(now);
             }
-            let mine = self.queue.next_at();
-            let its = self.world.next_due();
+            let host_due = self.queue.next_at();
+            let world_due = self.world.next_due();
             if let Some(at) = self.fleet.as_ref().and_then(Stage::next_due) {
-                if [mine, its].into_iter().flatten().all(|other| at < other) {
+                if [host_due, world_due].into_iter().flatten().all(|other| at < other) {
                     now = at;
                     self.fleet.iter_mut().for_each(Stage::advance);
                     continue;
                 }
             }
-            match (mine, its) {
-                (Some(at), its) if its.is_none_or(|its| at <= its) => {
+            match (host_due, world_due) {
+                (Some(at), world_due) if world_due.is_none_or(|world_due| at <= world_due) => {
                     now = at;
                     let Some((_, queued)) = self.queue.pop() else { break };
                     self.deliver(now, queued);
@@ -345,8 +349,8 @@
                 (_, Some(at)) => {
                     now = at;
                     self.events += 1;
-                    self.world.advance(now, &mut outs);
-                    self.deliver_outputs(now, &mut outs);
+                    self.world.advance(now, &mut outputs);
+                    self.deliver_outputs(now, &mut outputs);
                 }
                 (_, None) => break,
             }
@@ -357,11 +361,11 @@
     fn sample(&mut self, now: f64) {
         let workers = &self.world.workers;
         let mut beta = vec![0.0; workers.len()];
-        let minds = self.hosts.iter().flatten().map(|host| host.engine.decisions());
+        let all_decisions = self.hosts.iter().flatten().map(|host| host.engine.decisions());
         let nodes = self.hosts.iter().flatten().count().max(1) as f64;
         let number: BTreeMap<u32, WorkerId> = (0..workers.len()).map(|at| (mark(&name(at)), at)).collect();
-        for mind in minds {
-            if let Decisions::Node(node) = mind {
+        for decisions in all_decisions {
+            if let Decisions::Node(node) = decisions {
                 for (mark, share) in node.shares() {
                     number.get(&mark).into_iter().for_each(|&at| beta[at] += share / nodes);
                 }
@@ -377,7 +381,7 @@
         self.queue.push(at, Queued { node, process, ev });
     }
 
-    fn mind(&self, setup: &coveroute_engine::Setup) -> Decisions {
+    fn decisions(&self, setup: &coveroute_engine::Setup) -> Decisions {
         match self.policy {
             Policy::Node => Decisions::Node(Box::new(Node::new(setup.settings.clone(), setup.seed))),
             Policy::Violation(violation) => Decisions::Baseline(Box::new(Baseline::violation(
@@ -403,16 +407,25 @@
         self.world.node_started(now, node, &known);
         let setup = match settings::setup(&self.world.scenario, node, &zone, seed, on_engine_clock(known)) {
             Ok(setup) => setup,
-            Err(words) => return self.fault = Some(words),
+            Err(message) => return self.fault = Some(message),
         };
-        let (mind, mut actions) = (self.mind(&setup), Vec::new());
-        let engine = Engine::deciding(BASE + now, mind, setup, &mut actions);
-        let (ids, waits, links, probes) =
+        let (decisions, mut actions) = (self.decisions(&setup), Vec::new());
+        let engine = Engine::deciding(CLOCK_BASE + now, decisions, setup, &mut actions);
+        let (invocations, pending, connections, probes) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (process, wake) = (self.processes, f64::INFINITY);
         self.fleet.iter_mut().for_each(|fleet| fleet.start(now, node, false));
-        self.hosts[node] =
-            Some(NodeHost { engine, process, wake, ids, next: 0, waits, links, probes, served: false });
+        self.hosts[node] = Some(NodeHost {
+            engine,
+            process,
+            wake,
+            invocations,
+            next_id: 0,
+            pending,
+            connections,
+            probes,
+            served: false,
+        });
         self.actions = actions;
         self.carry_out(now, node);
     }
@@ -423,14 +436,14 @@
         self.paused[node] = None;
         self.fleet.iter_mut().for_each(|fleet| fleet.kill(node));
         self.world.node_gone(now, node);
-        let mut outs = Vec::new();
-        for (tri, worker) in host.waits.keys() {
-            self.world.give_up(now, node, *worker, *tri, &mut outs);
+        let mut outputs = Vec::new();
+        for (tri, worker) in host.pending.keys() {
+            self.world.give_up(now, node, *worker, *tri, &mut outputs);
         }
-        for tri in host.ids.values() {
+        for tri in host.invocations.values() {
             self.world.connection_lost(now, *tri);
         }
-        self.deliver_outputs(now, &mut outs);
+        self.deliver_outputs(now, &mut outputs);
     }
 
     fn order(&mut self, now: f64, node: NodeId, order: Order) {
@@ -477,15 +490,15 @@
     }
 
     /// Delivers the world's outputs to the nodes.
-    fn deliver_outputs(&mut self, now: f64, outs: &mut Vec<Output>) {
-        while !outs.is_empty() {
-            for out in std::mem::take(outs) {
-                self.deliver_output(now, out, outs);
+    fn deliver_outputs(&mut self, now: f64, outputs: &mut Vec<Output>) {
+        while !outputs.is_empty() {
+            for out in std::mem::take(outputs) {
+                self.deliver_output(now, out, outputs);
             }
         }
     }
 
-    fn deliver_output(&mut self, now: f64, out: Output, outs: &mut Vec<Output>) {
+    fn deliver_output(&mut self, now: f64, out: Output, outputs: &mut Vec<Output>) {
         let at = now + self.world.scenario.network.latency.0;
         match out {
             Output::Submit { node, tri } => {
@@ -501,10 +514,10 @@
             }
             Output::Reset { node, worker, tri: TryId::MAX } => {
                 let of = |host: &NodeHost| {
-                    host.waits.keys().filter(|key| key.1 == worker).map(|key| key.0).collect()
+                    host.pending.keys().filter(|key| key.1 == worker).map(|key| key.0).collect()
                 };
                 let waiting: Vec<TryId> = self.hosts[node].as_ref().map(of).unwrap_or_default();
-                outs.extend(waiting.into_iter().map(|tri| Output::Reset { node, worker, tri }));
+                outputs.extend(waiting.into_iter().map(|tri| Output::Reset { node, worker, tri }));
             }
             Output::Reset { node, worker, tri } => {
                 self.reply(now, node, worker, tri, Reply::Ended(Ended::Reset, Report::default()));
@@ -527,8 +540,8 @@
 
     /// Sends back an answer to a forward that still waits for one.
     fn reply(&mut self, now: f64, node: NodeId, worker: WorkerId, tri: TryId, reply: Reply) {
-        let waits = self.hosts[node].as_ref().and_then(|host| host.waits.get(&(tri, worker))).copied();
-        let Some(PendingForward { forward, .. }) = waits else { return };
+        let pending = self.hosts[node].as_ref().and_then(|host| host.pending.get(&(tri, worker))).copied();
+        let Some(PendingForward { forward, .. }) = pending else { return };
         match self.world.delivery(node, worker, tri, 100 + forward) {
             Delivery::Cut => {}
             // Once the connection is up, breaks are drawn on the way to the worker only.
@@ -549,21 +562,21 @@
         match self.world.delivery(node, *worker, *tri, 200 + *tries as usize) {
             Delivery::Arrives(takes) | Delivery::Refused(takes) => self.schedule(now + takes, node, ev),
             Delivery::Cut | Delivery::BreaksBefore(_) | Delivery::BreaksAfter(_) => {
-                self.news_again(now, node, ev)
+                self.retry_news(now, node, ev)
             }
         }
     }
 
-    fn news_again(&mut self, now: f64, node: NodeId, ev: HostEvent) {
+    fn retry_news(&mut self, now: f64, node: NodeId, ev: HostEvent) {
         let HostEvent::News { tri, worker, word, report, tries } = ev else { return };
-        if tries + 1 < NEWS_TRIES {
+        if tries + 1 < MAX_NEWS_TRIES {
             let again = HostEvent::News { tri, worker, word, report, tries: tries + 1 };
-            self.schedule(now + NEWS_AGAIN, node, again);
+            self.schedule(now + NEWS_RETRY_DELAY, node, again);
         }
     }
 
     fn deliver(&mut self, now: f64, queued: Queued) {
-        if let Some(held) = self.paused[queued.node].as_mut().filter(|_| queued.ev.is_for_the_node()) {
+        if let Some(held) = self.paused[queued.node].as_mut().filter(|_| queued.ev.needs_process()) {
             return held.push(queued);
         }
         let Queued { node, process, ev } = queued;
@@ -572,37 +585,37 @@
             sink.event(now, node, &format!("{ev:?}"));
         }
         self.events += 1;
-        let mut outs = Vec::new();
+        let mut outputs = Vec::new();
         match ev {
             HostEvent::Submit(tri) if self.hosts[node].is_some() => self.submit(now, node, tri),
             HostEvent::Submit(tri) => self.world.refused(now, tri),
             // A job that has left its node arrives whatever becomes of the node.
             HostEvent::Job { tri, worker, forward, sent, breaks } => {
-                let waits =
-                    self.hosts[node].as_ref().filter(|_| here).and_then(|h| h.waits.get(&(tri, worker)));
+                let pending =
+                    self.hosts[node].as_ref().filter(|_| here).and_then(|h| h.pending.get(&(tri, worker)));
                 // A connection closed meanwhile delivers no job.
-                if waits.is_some_and(|waits| waits.forward == forward) || !here {
-                    self.world.job(now, node, worker, tri, sent, &mut outs);
+                if pending.is_some_and(|pending| pending.forward == forward) || !here {
+                    self.world.job(now, node, worker, tri, sent, &mut outputs);
                     if breaks {
                         let reply = Reply::Ended(Ended::Reset, Report::default());
                         self.schedule(now, node, HostEvent::Replied { tri, worker, forward, reply });
                     }
                 }
             }
-            HostEvent::GiveUp { tri, worker } => self.world.give_up(now, node, worker, tri, &mut outs),
+            HostEvent::GiveUp { tri, worker } => self.world.give_up(now, node, worker, tri, &mut outputs),
             HostEvent::Probe { worker, tgt, asked } if here => self.probe(now, node, worker, tgt, asked),
             HostEvent::Answered { tri, answer, pause } => self.world.answered(now, tri, answer, pause),
             HostEvent::News { tri, worker, word, report, .. } if self.hosts[node].is_some() => {
                 self.deliver_news(now, node, tri, worker, word, report);
             }
-            ev @ HostEvent::News { .. } => self.news_again(now, node, ev),
+            ev @ HostEvent::News { .. } => self.retry_news(now, node, ev),
             _ if !here => {}
             HostEvent::Leave(tri) => self.leave(now, node, tri),
             HostEvent::Replied { tri, worker, forward, reply } => {
                 self.replied(now, node, tri, worker, forward, reply)
             }
             HostEvent::Patience { tri, worker, forward, last } => {
-                self.patience(now, node, tri, worker, forward, last)
+                self.ack_timeout(now, node, tri, worker, forward, last)
             }
             HostEvent::Probed { tgt, asked, outcome, report } => {
                 let worker = self.hosts[node].as_mut().and_then(|host| host.probes.remove(&asked));
@@ -611,7 +624,7 @@
                     self.notify(now, node, Event::Probed(tgt, outcome, report));
                 }
             }
-            HostEvent::Follow { watch, version } => self.world.watch(now, node, watch, version, &mut outs),
+            HostEvent::Follow { watch, version } => self.world.watch(now, node, watch, version, &mut outputs),
             HostEvent::Watched { watch, watched } => {
                 if let Watched::Listed(listing) = &watched {
                     self.world.listed(now, node, listing);
@@ -628,14 +641,14 @@
             HostEvent::Wake => self.wake(now, node),
             HostEvent::Probe { .. } => {}
         }
-        self.deliver_outputs(now, &mut outs);
+        self.deliver_outputs(now, &mut outputs);
     }
 
     fn wake(&mut self, now: f64, node: NodeId) {
         let Some(host) = self.hosts[node].as_mut().filter(|host| host.wake <= now) else { return };
         host.wake = f64::INFINITY;
         let mut actions = std::mem::take(&mut self.actions);
-        host.engine.advance(BASE + now, &mut actions);
+        host.engine.advance(CLOCK_BASE + now, &mut actions);
         self.actions = actions;
         self.carry_out(now, node);
     }
@@ -643,9 +656,9 @@
     fn submit(&mut self, now: f64, node: NodeId, tri: TryId) {
         self.world.taken(now, tri);
         let Some(host) = self.hosts[node].as_mut() else { return };
-        let id = host.next;
-        host.next += 1;
-        host.ids.insert(id, tri);
+        let id = host.next_id;
+        host.next_id += 1;
+        host.invocations.insert(id, tri);
         let ask = self.world.clients.ask_of(tri);
         let scenario = &self.world.scenario;
         let op = &scenario.operations[ask.op];
@@ -661,16 +674,16 @@
             memory: Some(op.memory.0).filter(|memory| *memory > 0.0),
             key: None,
             again: false,
-            came: BASE + now,
+            came: CLOCK_BASE + now,
         };
         self.notify(now, node, Event::Taken(id, &told));
     }
 
     fn leave(&mut self, now: f64, node: NodeId, tri: TryId) {
         let Some(host) = self.hosts[node].as_mut() else { return };
-        let id = host.ids.iter().find(|(_, held)| **held == tri).map(|(id, _)| *id);
+        let id = host.invocations.iter().find(|(_, held)| **held == tri).map(|(id, _)| *id);
         if let Some(id) = id {
-            host.ids.remove(&id);
+            host.invocations.remove(&id);
             self.notify(now, node, Event::Left(id));
         }
     }
@@ -685,23 +698,31 @@
         reply: Reply,
     ) {
         let Some(host) = self.hosts[node].as_mut() else { return };
-        let Some(waits) = host.waits.get(&(tri, worker)).copied().filter(|w| w.forward == forward) else {
+        let Some(pending) = host.pending.get(&(tri, worker)).copied().filter(|w| w.forward == forward) else {
             return;
         };
-        host.waits.remove(&(tri, worker));
+        host.pending.remove(&(tri, worker));
         self.return_connection(node, worker);
         if let Reply::Ended(outcome, _) = reply {
             self.world.outcome(now, tri, worker, outcome.never_ran());
         }
-        self.notify(now, node, Event::Replied(waits.id, forward, reply));
+        self.notify(now, node, Event::Replied(pending.id, forward, reply));
     }
 
     /// The worker has not acknowledged the job in time: the node is first notified, then gives up.
-    fn patience(&mut self, now: f64, node: NodeId, tri: TryId, worker: WorkerId, forward: usize, last: bool) {
-        let waits = self.hosts[node].as_ref().and_then(|host| host.waits.get(&(tri, worker))).copied();
-        let Some(waits) = waits.filter(|waits| waits.forward == forward) else { return };
+    fn ack_timeout(
+        &mut self,
+        now: f64,
+        node: NodeId,
+        tri: TryId,
+        worker: WorkerId,
+        forward: usize,
+        last: bool,
+    ) {
+        let pending = self.hosts[node].as_ref().and_then(|host| host.pending.get(&(tri, worker))).copied();
+        let Some(pending) = pending.filter(|pending| pending.forward == forward) else { return };
         if !last {
-            return self.notify(now, node, Event::Replied(waits.id, forward, Reply::Unheard));
+            return self.notify(now, node, Event::Replied(pending.id, forward, Reply::Unheard));
         }
         self.schedule(now + self.world.scenario.network.latency.0, node, HostEvent::GiveUp { tri, worker });
         let reply = Reply::Ended(Ended::TimedOut, Report::default());
@@ -746,7 +767,7 @@
         }
         let Some(host) = self.hosts[node].as_mut() else { return };
         let mut actions = std::mem::take(&mut self.actions);
-        host.engine.handle(BASE + now, event, &mut actions);
+        host.engine.handle(CLOCK_BASE + now, event, &mut actions);
         self.actions = actions;
         self.carry_out(now, node);
     }
@@ -763,12 +784,12 @@
                 && !faults.paused
                 && faults.errors + faults.loses < 0.5;
             let capacity = worker.capacity(now) * (1.0 - faults.stolen);
-            let waits =
+            let start_delay =
                 if worker.held() < worker.spec.slots.0 { 0.0 } else { worker.backlog() / capacity.max(1e-3) };
             let slots = worker.spec.slots.0 as f64;
             let pace = (capacity / (worker.held() as f64 + 1.0).min(slots)).min(worker.spec.speed.0);
-            let known =
-                (serves && worker.queued() < worker.spec.queue.0 && pace > 0.0).then_some((waits, pace));
+            let known = (serves && worker.queued() < worker.spec.queue.0 && pace > 0.0)
+                .then_some((start_delay, pace));
             oracle.insert(mark(&name(at)), known);
         }
     }
@@ -787,13 +808,13 @@
         if phase == Phase::Ended {
             return self.end(now, node);
         }
-        if phase == Phase::Closing && host.ids.is_empty() {
+        if phase == Phase::Closing && host.invocations.is_empty() {
             let mut actions = std::mem::take(&mut self.actions);
-            host.engine.handle(BASE + now, Event::Idle, &mut actions);
+            host.engine.handle(CLOCK_BASE + now, Event::Idle, &mut actions);
             self.actions = actions;
         }
         let Some(host) = self.hosts[node].as_mut() else { return };
-        let due = host.engine.next_due().map_or(f64::INFINITY, |due| (due - BASE).max(now));
+        let due = host.engine.next_due().map_or(f64::INFINITY, |due| (due - CLOCK_BASE).max(now));
         if due < host.wake {
             host.wake = due;
             self.schedule(due, node, HostEvent::Wake);
@@ -818,14 +839,15 @@
             Action::Probe(tgt) => self.send_probe(now, node, tgt),
             Action::Release(tgt) => {
                 let worker = self.worker(node, tgt);
-                let links = worker.and_then(|worker| self.hosts[node].as_mut()?.links.get_mut(&worker));
-                links.into_iter().for_each(|links| links.open = links.in_use);
+                let connections =
+                    worker.and_then(|worker| self.hosts[node].as_mut()?.connections.get_mut(&worker));
+                connections.into_iter().for_each(|connections| connections.open = connections.in_use);
             }
             Action::At(..) => {}
             Action::Gone(tgt) => {
                 let worker = self.worker(node, tgt);
                 let host = self.hosts[node].as_mut();
-                worker.zip(host).map(|(worker, host)| host.links.remove(&worker));
+                worker.zip(host).map(|(worker, host)| host.connections.remove(&worker));
             }
             Action::Follow { watch, version } => {
                 self.schedule(now + latency, node, HostEvent::Follow { watch, version })
@@ -846,49 +868,56 @@
     /// Takes a connection to the worker. Returns how long it takes to come up, or none if the node or the
     /// worker has reached its limit.
     fn lease(&mut self, node: NodeId, worker: WorkerId) -> Option<f64> {
-        let links = self.hosts[node].as_mut()?.links.entry(worker).or_default();
-        let idle = links.in_use < links.open;
+        let connections = self.hosts[node].as_mut()?.connections.entry(worker).or_default();
+        let idle = connections.in_use < connections.open;
         // Checked for new connections only, since the count goes over all nodes.
         if !idle && !self.may_open(node, worker) {
             return None;
         }
-        let links = self.hosts[node].as_mut()?.links.entry(worker).or_default();
-        links.in_use += 1;
-        links.open = links.open.max(links.in_use);
+        let connections = self.hosts[node].as_mut()?.connections.entry(worker).or_default();
+        connections.in_use += 1;
+        connections.open = connections.open.max(connections.in_use);
         Some(if idle { 0.0 } else { 2.0 * self.world.scenario.network.latency.0 })
     }
 
     /// Whether both the node's and the worker's connection limits allow another.
     fn may_open(&self, node: NodeId, worker: WorkerId) -> bool {
-        let at = |host: &NodeHost| host.links.get(&worker).map_or(0, |links| links.open);
+        let at = |host: &NodeHost| host.connections.get(&worker).map_or(0, |connections| connections.open);
         let total: usize = self.hosts.iter().flatten().map(at).sum();
-        let own = |host: &NodeHost| host.links.values().map(|links| links.open).sum::<usize>();
+        let own =
+            |host: &NodeHost| host.connections.values().map(|connections| connections.open).sum::<usize>();
         let own = self.hosts[node].as_ref().map_or(0, own);
         own < self.world.scenario.nodes.sockets.0 / 3 && total < self.world.workers[worker].connections()
     }
 
     fn return_connection(&mut self, node: NodeId, worker: WorkerId) {
-        let links = self.hosts[node].as_mut().and_then(|host| host.links.get_mut(&worker));
-        links.into_iter().for_each(|links| links.in_use = links.in_use.saturating_sub(1));
+        let connections = self.hosts[node].as_mut().and_then(|host| host.connections.get_mut(&worker));
+        connections
+            .into_iter()
+            .for_each(|connections| connections.in_use = connections.in_use.saturating_sub(1));
     }
 
     fn send(&mut self, now: f64, node: NodeId, id: InvId, forward: usize, tgt: Tgt) {
         let worker = self.worker(node, tgt);
-        let tri = self.hosts[node].as_ref().and_then(|host| host.ids.get(&id)).copied();
+        let tri = self.hosts[node].as_ref().and_then(|host| host.invocations.get(&id)).copied();
         let lease = worker.and_then(|worker| self.lease(node, worker));
         let (Some(worker), Some(tri), Some(dials)) = (worker, tri, lease) else {
-            let moot = Reply::Ended(Ended::Moot, Report::default());
+            let not_sent = Reply::Ended(Ended::Moot, Report::default());
             let Some(host) = self.hosts[node].as_mut() else { return };
-            return host.engine.handle(BASE + now, Event::Replied(id, forward, moot), &mut self.actions);
+            return host.engine.handle(
+                CLOCK_BASE + now,
+                Event::Replied(id, forward, not_sent),
+                &mut self.actions,
+            );
         };
         let Some(host) = self.hosts[node].as_mut() else { return };
-        host.waits.insert((tri, worker), PendingForward { id, forward });
+        host.pending.insert((tri, worker), PendingForward { id, forward });
         let dial = self.world.scenario.platform.dial.0;
         let unreachable = Reply::Ended(Ended::Unreachable, Report::default());
-        let way = self.world.delivery(node, worker, tri, forward);
-        match way {
+        let delivery = self.world.delivery(node, worker, tri, forward);
+        match delivery {
             Delivery::Arrives(takes) | Delivery::BreaksAfter(takes) => {
-                let breaks = matches!(way, Delivery::BreaksAfter(_));
+                let breaks = matches!(delivery, Delivery::BreaksAfter(_));
                 let sent = now + dials;
                 self.schedule(sent + takes, node, HostEvent::Job { tri, worker, forward, sent, breaks });
                 self.schedule(now + dial, node, HostEvent::Patience { tri, worker, forward, last: false });
@@ -927,9 +956,9 @@
     fn abort(&mut self, now: f64, node: NodeId, id: InvId, forward: usize) {
         let Some(host) = self.hosts[node].as_mut() else { return };
         let of = |w: &(&(TryId, WorkerId), &PendingForward)| w.1.id == id && w.1.forward == forward;
-        let key = host.waits.iter().find(of).map(|(key, _)| *key);
+        let key = host.pending.iter().find(of).map(|(key, _)| *key);
         if let Some((tri, worker)) = key {
-            host.waits.remove(&(tri, worker));
+            host.pending.remove(&(tri, worker));
             self.return_connection(node, worker);
             self.world.invariants.given_up(now, tri, worker);
             self.schedule(
@@ -942,7 +971,7 @@
 
     fn answer(&mut self, now: f64, node: NodeId, id: InvId, answer: Answer) {
         let Some(host) = self.hosts[node].as_mut() else { return };
-        let Some(tri) = host.ids.remove(&id) else { return };
+        let Some(tri) = host.invocations.remove(&id) else { return };
         let (told, pause) = match answer {
             Answer::Succeeded(result) => {
                 let right = result == call(self.world.seed, tri).as_bytes();
@@ -966,7 +995,7 @@
         let (Some(worker), Some(dials)) = (worker, lease) else {
             let Some(host) = self.hosts[node].as_mut() else { return };
             let full = Event::Probed(tgt, Ended::Full, Report::default());
-            return host.engine.handle(BASE + now, full, &mut self.actions);
+            return host.engine.handle(CLOCK_BASE + now, full, &mut self.actions);
         };
         self.asked += 1;
         let (asked, dial) = (self.asked, self.world.scenario.platform.dial.0);
@@ -989,7 +1018,7 @@
 /// Converts start times to the engines' clock.
 fn on_engine_clock(mut listing: Listing) -> Listing {
     for host in &mut listing.hosts {
-        host.started = if host.started > 0.0 { BASE + host.started } else { 0.0 };
+        host.started = if host.started > 0.0 { CLOCK_BASE + host.started } else { 0.0 };
     }
     listing
 }
--- a/crates/coveroute-emu/src/world/clients.rs
+++ b/crates/coveroute-emu/src/world/clients.rs
@@ -147,18 +147,19 @@
         let terms = &scenario.operations[op];
         // Every draw is made even if the candidate is rejected, so that the rest of the stream stays the
         // same.
-        let (comes, heavier, part): (f64, f64, f64) = (stream.random(), stream.random(), stream.random());
+        let (arrival_draw, heavy_draw, tenant_draw): (f64, f64, f64) =
+            (stream.random(), stream.random(), stream.random());
         let (spread, noise): (f64, f64) = (StandardNormal.sample(stream), StandardNormal.sample(stream));
-        if comes >= surge / self.peak_surge {
+        if arrival_draw >= surge / self.peak_surge {
             return None;
         }
-        let times = heavy * if heavier < terms.heavy.0 { terms.heavy_times.0 } else { 1.0 };
+        let times = heavy * if heavy_draw < terms.heavy.0 { terms.heavy_times.0 } else { 1.0 };
         let work = terms.work.0 * (spread * terms.spread.0).exp() * times;
         let hint = terms.hint.map(|hint| work * (noise * hint.0).exp());
         let mut sum = 0.0;
         let tenant = scenario.tenants.iter().position(|tenant| {
             sum += tenant.part.0;
-            part < sum
+            tenant_draw < sum
         });
         let (tries, refused, done, effects) = (0, 0, false, 0);
         self.asks.push(Ask { op, tenant, work, hint, created_at: now, tries, refused, done, effects });
@@ -220,7 +221,7 @@
     }
 
     /// Records the end of an ask, once. The scenario began at `began`.
-    pub fn end(&mut self, scenario: &Scenario, began: f64, ask: AskId, end: End) {
+    pub fn end(&mut self, scenario: &Scenario, start: f64, ask: AskId, end: End) {
         let asked = &mut self.asks[ask];
         if std::mem::replace(&mut asked.done, true) {
             return;
@@ -228,11 +229,11 @@
         self.open -= 1;
         let terms = &scenario.operations[asked.op];
         let (value, late) = (terms.value.0, terms.late_value.0);
-        let ten = ((asked.created_at - began).max(0.0) / 10.0) as usize;
-        if self.service.tens.len() <= ten {
-            self.service.tens.resize(ten + 1, Sums::default());
+        let interval = ((asked.created_at - start).max(0.0) / 10.0) as usize;
+        if self.service.tens.len() <= interval {
+            self.service.tens.resize(interval + 1, Sums::default());
         }
-        self.service.tens[ten].add(value, late, end);
+        self.service.tens[interval].add(value, late, end);
         self.service.whole.add(value, late, end);
         self.service.operations[asked.op].1.add(value, late, end);
         asked.tenant.into_iter().for_each(|tenant| self.service.tenants[tenant].1.add(value, late, end));
--- a/crates/coveroute-emu/src/world/invariants.rs
+++ b/crates/coveroute-emu/src/world/invariants.rs
@@ -133,19 +133,25 @@
         }
     }
 
-    fn breach(&mut self, rule: Rule, at: f64, node: NodeId, tri: Option<TryId>, words: String) {
+    fn breach(&mut self, rule: Rule, at: f64, node: NodeId, tri: Option<TryId>, message: String) {
         self.broken += 1;
         if self.breaches.len() < MAX_KEPT_BREACHES {
             let trace = tri.and_then(|tri| self.tracked.get(&tri)).map_or(Vec::new(), TrackedTry::trace);
-            self.breaches.push(Breach { rule, at, node, words, trace });
+            self.breaches.push(Breach { rule, at, node, words: message, trace });
         }
     }
 
     /// Records a breach that the fleet's own witness found; `all` is the witness's total.
-    pub fn fleet_breach(&mut self, words: String, all: u64) {
+    pub fn fleet_breach(&mut self, message: String, all: u64) {
         self.broken = self.broken.max(all);
         if self.breaches.len() < MAX_KEPT_BREACHES {
-            self.breaches.push(Breach { rule: Rule::OneTable, at: 0.0, node: 0, words, trace: Vec::new() });
+            self.breaches.push(Breach {
+                rule: Rule::OneTable,
+                at: 0.0,
+                node: 0,
+                words: message,
+                trace: Vec::new(),
+            });
         }
     }
 
@@ -172,15 +178,15 @@
         if let Some((at, _)) =
             tried.answer.filter(|(at, _)| sent - self.detection_lag > *at + CLOCK_TOLERANCE)
         {
-            let words = format!("a forward to worker {worker} {:.3} s after the final answer", sent - at);
-            return self.breach(Rule::OneAnswer, sent, node, Some(tri), words);
+            let message = format!("a forward to worker {worker} {:.3} s after the final answer", sent - at);
+            return self.breach(Rule::OneAnswer, sent, node, Some(tri), message);
         }
         let out = |f: &Forward| f.told.is_none();
         self.second_copies += u64::from(tried.forwards.iter().any(out));
         let fault = tried.repeat_violation(sent, &self.places, worker);
         tried.forwards.push(Forward { worker, sent, told: None });
-        if let Some(words) = fault {
-            self.breach(Rule::NoEffectTwice, sent, node, Some(tri), words);
+        if let Some(message) = fault {
+            self.breach(Rule::NoEffectTwice, sent, node, Some(tri), message);
         }
     }
 
@@ -188,11 +194,11 @@
         let told = self.told[node][worker];
         let late = told.filter(|told| !told.wanted && sent - self.detection_lag > told.at + self.grace);
         if let Some(told) = late {
-            let words = format!(
+            let message = format!(
                 "worker {worker} got a forward {:.3} s after the node was told that it leaves",
                 sent - told.at
             );
-            self.breach(Rule::NothingToTheGone, sent, node, Some(tri), words);
+            self.breach(Rule::NothingToTheGone, sent, node, Some(tri), message);
         }
     }
 
@@ -218,12 +224,12 @@
         let Some(tried) = self.tracked.get_mut(&tri) else { return };
         let node = tried.node;
         if let Some((at, _)) = tried.answer {
-            let words = format!("a second answer, {:.3} s after the first", now - at);
-            return self.breach(Rule::OneAnswer, now, node, Some(tri), words);
+            let message = format!("a second answer, {:.3} s after the first", now - at);
+            return self.breach(Rule::OneAnswer, now, node, Some(tri), message);
         }
         tried.answer = Some((now, answer));
         let late = now - tried.deadline;
-        let unmade = answer == FinalAnswer::Served && !tried.ran;
+        let without_result = answer == FinalAnswer::Served && !tried.ran;
         let refused = (answer == FinalAnswer::Refused).then(|| tried.refusal_violation(now)).flatten();
         let void = tried.void;
         if late > self.slack && !void {
@@ -235,11 +241,11 @@
                 format!("answered {late:.3} s after the deadline"),
             );
         }
-        if unmade {
+        if without_result {
             self.breach(Rule::OneAnswer, now, node, Some(tri), "served although no worker ran it".into());
         }
-        if let Some(words) = refused {
-            self.breach(Rule::NoEffectTwice, now, node, Some(tri), words);
+        if let Some(message) = refused {
+            self.breach(Rule::NoEffectTwice, now, node, Some(tri), message);
         }
     }
 
@@ -321,10 +327,10 @@
     pub fn worker_overloaded(&mut self, now: f64, node: NodeId, worker: WorkerId, fall: Overload) {
         if fall.informed > 2.0 / 3.0 {
             let Overload { informed, sent, most } = fall;
-            let words = format!(
+            let message = format!(
                 "cold worker {worker} overloaded: {sent:.2} requests of mean work, limit {most:.2}, {informed:.2} from informed nodes"
             );
-            self.breach(Rule::NoColdWorkerPushedOver, now, node, None, words);
+            self.breach(Rule::NoColdWorkerPushedOver, now, node, None, message);
         }
     }
 
--- a/crates/coveroute-emu/src/world/mod.rs
+++ b/crates/coveroute-emu/src/world/mod.rs
@@ -215,12 +215,12 @@
     /// Forwards that arrived at each worker.
     pub forwards: Vec<u64>,
     /// The list that each node last received, which its next process starts with.
-    had: Vec<Listing>,
+    last_lists: Vec<Listing>,
     /// By worker: the change that every node is taken to know, including nodes that start later.
     assumed_told: Vec<Option<AssumedTold>>,
     /// When each node process started, and how long after that discovery answered it.
     follows: Vec<(f64, f64)>,
-    due: Queue<Event>,
+    events: Queue<Event>,
     generations: Vec<u64>,
     /// By fault: the workers or nodes that it affects now.
     fault_targets: Vec<Vec<usize>>,
@@ -231,7 +231,7 @@
     latency: f64,
     resets: (f64, f64),
     partitions: Vec<String>,
-    delayed: f64,
+    start_delay: f64,
 }
 
 /// The name of worker `worker` in the list and in its news.
@@ -284,13 +284,13 @@
         let list = Discovery::new(workers.iter().enumerate().map(host).collect(), nodes.len());
         let mut world = World {
             clients: Clients::new(&scenario, seed),
-            had: vec![list.full_list(); nodes.len()],
+            last_lists: vec![list.full_list(); nodes.len()],
             assumed_told: vec![None; workers.len()],
             follows: Vec::new(),
             generations: vec![0; workers.len()],
             fault_targets: vec![Vec::new(); scenario.faults.len()],
             draw: Pcg64Mcg::seed_from_u64(seed ^ 0xfa17),
-            due: Queue::new(),
+            events: Queue::new(),
             messages: VecDeque::new(),
             counts: Counts::default(),
             forwards: vec![0; workers.len()],
@@ -299,7 +299,7 @@
             latency: 0.0,
             resets: (0.0, 0.0),
             partitions: Vec::new(),
-            delayed: 0.0,
+            start_delay: 0.0,
             scenario,
             seed,
             workers,
@@ -326,18 +326,18 @@
     /// Postpones every scheduled event and the scenario's times by `by` seconds. Called before the first
     /// event, so that the time until the nodes are ready doesn't count towards the scenario.
     pub fn delay(&mut self, by: f64) {
-        self.due.delay(by);
+        self.events.delay(by);
         self.scenario.seconds.0 += by;
         self.scenario.faults.iter_mut().for_each(|fault| fault.at.0 += by);
-        self.delayed = by;
+        self.start_delay = by;
     }
 
-    fn schedule(&mut self, at: f64, due: Event) {
-        self.due.push(at, due);
+    fn schedule(&mut self, at: f64, event: Event) {
+        self.events.push(at, event);
     }
 
     pub fn next_due(&self) -> Option<f64> {
-        self.due.next_at()
+        self.events.next_at()
     }
 
     /// Whether every request has ended and no more will arrive.
@@ -352,18 +352,18 @@
     }
 
     pub fn advance(&mut self, now: f64, out: &mut Vec<Output>) {
-        while self.due.next_at().is_some_and(|at| at <= now) {
-            let Some((at, due)) = self.due.pop() else { return };
+        while self.events.next_at().is_some_and(|at| at <= now) {
+            let Some((at, event)) = self.events.pop() else { return };
             // The next arrival is drawn from the time when this one was due: a late host must not lower the
             // arrival rate.
-            let now = if matches!(due, Event::Arrival(_)) { at } else { now };
-            self.handle_event(now, due, out);
+            let now = if matches!(event, Event::Arrival(_)) { at } else { now };
+            self.handle_event(now, event, out);
             self.dispatch_messages(now, out);
         }
     }
 
-    fn handle_event(&mut self, now: f64, due: Event, out: &mut Vec<Output>) {
-        match due {
+    fn handle_event(&mut self, now: f64, event: Event, out: &mut Vec<Output>) {
+        match event {
             Event::Arrival(op) => self.arrival(now, op, out),
             Event::Attempt(ask) => self.attempt(now, ask, out),
             Event::Deadline(tri) => self.deadline(now, tri, out),
@@ -417,11 +417,11 @@
             return if now + NO_NODE_RETRY < deadline {
                 self.schedule(now + NO_NODE_RETRY, Event::Attempt(ask));
             } else {
-                self.clients.end(&self.scenario, self.delayed, ask, End::Failed);
+                self.clients.end(&self.scenario, self.start_delay, ask, End::Failed);
             };
         };
         let Some(tri) = self.clients.attempt(&self.scenario, now, ask, node) else {
-            return self.clients.end(&self.scenario, self.delayed, ask, End::Failed);
+            return self.clients.end(&self.scenario, self.start_delay, ask, End::Failed);
         };
         self.counts.tries += 1;
         self.schedule(deadline + self.scenario.platform.slack.0 + 0.01, Event::Deadline(tri));
@@ -440,8 +440,8 @@
 
     /// The connection to the node failed, or broke before the request was written.
     pub fn refused(&mut self, now: f64, tri: TryId) {
-        let (ask, over) = self.close_try(tri);
-        if over {
+        let (ask, was_over) = self.close_try(tri);
+        if was_over {
             return;
         }
         let asked = &mut self.clients.asks[ask];
@@ -449,6 +449,7 @@
         self.schedule(now + REDIAL_DELAY, Event::Attempt(ask));
     }
 
+    /// Marks a try as over. Returns its ask, and whether the try was over before.
     fn close_try(&mut self, tri: TryId) -> (AskId, bool) {
         let tried = &mut self.clients.tries[tri as usize];
         (tried.ask, std::mem::replace(&mut tried.over, true))
@@ -470,33 +471,33 @@
     }
 
     fn try_ended(&mut self, now: f64, tri: TryId, answer: Option<FinalAnswer>, pause: f64) {
-        let (ask, over) = self.close_try(tri);
-        if over {
+        let (ask, was_over) = self.close_try(tri);
+        if was_over {
             return;
         }
         match self.clients.next_step(&self.scenario, self.seed, now, tri, answer, pause) {
-            NextStep::Over(end) => self.clients.end(&self.scenario, self.delayed, ask, end),
+            NextStep::Over(end) => self.clients.end(&self.scenario, self.start_delay, ask, end),
             NextStep::Again { at } => self.schedule(at, Event::Attempt(ask)),
         }
     }
 
     fn deadline(&mut self, now: f64, tri: TryId, out: &mut Vec<Output>) {
-        let (ask, over) = self.close_try(tri);
-        if over {
+        let (ask, was_over) = self.close_try(tri);
+        if was_over {
             return;
         }
         self.invariants.expired(now, tri);
-        self.clients.end(&self.scenario, self.delayed, ask, End::Failed);
+        self.clients.end(&self.scenario, self.start_delay, ask, End::Failed);
         out.push(Output::Leave { node: self.clients.tries[tri as usize].node, tri });
     }
 
     fn leave(&mut self, tri: TryId, out: &mut Vec<Output>) {
-        let (ask, over) = self.close_try(tri);
-        if over {
+        let (ask, was_over) = self.close_try(tri);
+        if was_over {
             return;
         }
         self.invariants.void(tri);
-        self.clients.end(&self.scenario, self.delayed, ask, End::Left);
+        self.clients.end(&self.scenario, self.start_delay, ask, End::Left);
         out.push(Output::Leave { node: self.clients.tries[tri as usize].node, tri });
     }
 
@@ -543,12 +544,16 @@
         let memory = self.scenario.operations[self.clients.ask_of(tri).op].memory.0;
         let informed = self.invariants.informed(node, worker, self.workers[worker].started);
         let fate = uniform_draw(self.seed, tri, 7 + 8 * worker as u64);
-        let (mut messages, at) = (Vec::new(), &mut self.workers[worker]);
-        if matches!(at.life, Liveness::Down | Liveness::Vanished) {
+        let (mut messages, target) = (Vec::new(), &mut self.workers[worker]);
+        if matches!(target.life, Liveness::Down | Liveness::Vanished) {
             return out.push(Output::Reset { node, worker, tri });
         }
-        let fall =
-            at.arrive(now, Arrival { tri, node, work, memory, informed }, FaultDraw { fate }, &mut messages);
+        let fall = target.arrive(
+            now,
+            Arrival { tri, node, work, memory, informed },
+            FaultDraw { fate },
+            &mut messages,
+        );
         self.queue_messages(worker, messages);
         if let Some(fall) = fall {
             self.counts.falls += 1;
@@ -572,9 +577,10 @@
     /// A probe has arrived; returns the worker's answer, if it gives one.
     pub fn probe(&mut self, now: f64, worker: WorkerId) -> Option<(bool, Report)> {
         self.counts.probes += 1;
-        let at = &self.workers[worker];
-        at.answers_probes()
-            .then(|| (at.life == Liveness::Up, at.report(now, self.scenario.platform.report_age.0)))
+        let target = &self.workers[worker];
+        target
+            .answers_probes()
+            .then(|| (target.life == Liveness::Up, target.report(now, self.scenario.platform.report_age.0)))
     }
 
     fn advance_worker(&mut self, now: f64, worker: WorkerId) {
@@ -655,9 +661,10 @@
     }
 
     fn ack(&mut self, worker: WorkerId, node: NodeId, tri: TryId, process: u64, out: &mut Vec<Output>) {
-        let at = &self.workers[worker];
-        let same = at.started.to_bits() == process && matches!(at.life, Liveness::Up | Liveness::Draining);
-        if same && !at.faults.silent && !at.faults.paused {
+        let target = &self.workers[worker];
+        let same =
+            target.started.to_bits() == process && matches!(target.life, Liveness::Up | Liveness::Draining);
+        if same && !target.faults.silent && !target.faults.paused {
             out.push(Output::Ack { node, worker, tri });
         }
     }
@@ -803,13 +810,13 @@
         let hosts: Vec<(usize, &Host)> = listing.hosts.iter().filter_map(|h| Some((number(h)?, h))).collect();
         if listing.full {
             let named: Vec<usize> = hosts.iter().map(|host| host.0).collect();
-            let lacking = (0..self.workers.len()).filter(|worker| !named.contains(worker));
-            lacking.for_each(|worker| self.invariants.told(now, node, worker, false, f64::NEG_INFINITY));
+            let unlisted = (0..self.workers.len()).filter(|worker| !named.contains(worker));
+            unlisted.for_each(|worker| self.invariants.told(now, node, worker, false, f64::NEG_INFINITY));
         }
         for (worker, host) in hosts {
             self.invariants.told(now, node, worker, host.standing == Standing::Ready, host.started);
         }
-        self.had[node] = self.list.full_list();
+        self.last_lists[node] = self.list.full_list();
         let start = &mut self.nodes[node].start;
         if *start == StartPhase::Loading {
             *start = StartPhase::AwaitingDiscovery(now);
@@ -819,7 +826,7 @@
     /// The list that a starting node begins with.
     pub fn known_list(&self, node: NodeId) -> Listing {
         match self.scenario.discovery.known {
-            true => self.had[node].clone(),
+            true => self.last_lists[node].clone(),
             false => Listing::default(),
         }
     }
@@ -962,12 +969,12 @@
 
     /// The greatest strength among the faults of a kind that are active now.
     fn strongest(&self, now: f64, what: What, target: Option<usize>) -> Option<f64> {
-        let strikes = |(at, fault): &(usize, &Fault)| {
+        let is_active = |(at, fault): &(usize, &Fault)| {
             fault.what == what
                 && (fault.at.0..fault.until()).contains(&now)
                 && target.is_none_or(|target| self.fault_targets[*at].contains(&target))
         };
-        let faults = self.scenario.faults.iter().enumerate().filter(strikes);
+        let faults = self.scenario.faults.iter().enumerate().filter(is_active);
         faults.map(|(_, fault)| fault.strength()).reduce(f64::max)
     }
 
@@ -987,16 +994,16 @@
             old_reports: by(What::OldReports).unwrap_or(0.0),
             connections: by(What::Connections).map(|most| most as usize),
         };
-        let (mut messages, at) = (Vec::new(), &mut self.workers[worker]);
-        at.steal(now, faults.stolen);
+        let (mut messages, target) = (Vec::new(), &mut self.workers[worker]);
+        target.steal(now, faults.stolen);
         let (silent, paused) = (faults.silent, faults.paused);
-        let (was_silent, was_paused) = (at.faults.silent, at.faults.paused);
-        at.faults = worker::ActiveFaults { silent: was_silent, paused: was_paused, ..faults };
+        let (was_silent, was_paused) = (target.faults.silent, target.faults.paused);
+        target.faults = worker::ActiveFaults { silent: was_silent, paused: was_paused, ..faults };
         if silent != was_silent {
-            at.set_silent(silent, &mut messages);
+            target.set_silent(silent, &mut messages);
         }
         if paused != was_paused {
-            at.set_paused(now, paused, &mut messages);
+            target.set_paused(now, paused, &mut messages);
         }
         self.queue_messages(worker, messages);
         self.schedule_worker(now, worker);
@@ -1026,7 +1033,7 @@
 
     pub fn result(&mut self) -> Outcome {
         for ask in 0..self.clients.asks.len() {
-            self.clients.end(&self.scenario, self.delayed, ask, End::Failed);
+            self.clients.end(&self.scenario, self.start_delay, ask, End::Failed);
         }
         self.counts.second_copies = self.invariants.second_copies;
         self.counts.watches = self.list.calls;
