--- a/crates/coveroute-emu/src/compare.rs
+++ b/crates/coveroute-emu/src/compare.rs
@@ -31,10 +31,10 @@
             Side::Policy(policy) => Ok(run(scenario, seed, *policy, None)?.0.figure()),
             Side::Build(build) => {
                 let args = ["run", "--json", "--seed", &seed.to_string()];
-                let told = Command::new(build).args(args).arg(path).output().map_err(|e| e.to_string())?;
-                let told: serde_json::Value =
-                    serde_json::from_slice(&told.stdout).map_err(|e| format!("{}: {e}", build.display()))?;
-                told["figure"].as_f64().ok_or(format!("{} printed no figure", build.display()))
+                let output = Command::new(build).args(args).arg(path).output().map_err(|e| e.to_string())?;
+                let output: serde_json::Value = serde_json::from_slice(&output.stdout)
+                    .map_err(|e| format!("{}: {e}", build.display()))?;
+                output["figure"].as_f64().ok_or(format!("{} printed no figure", build.display()))
             }
         }
     }
@@ -90,9 +90,12 @@
     #[test]
     fn differences_are_computed_pairwise() {
         let same: Vec<(f64, f64)> = (0..9).map(|i| (f64::from(i) + 0.5, f64::from(i))).collect();
-        let told = paired(&same);
-        assert!((told.difference - 0.5).abs() < 1e-12 && told.within < 1e-12, "{told:?}");
-        let told = paired(&[(1.0, 0.0), (0.0, 1.0)]);
-        assert!(told.difference == 0.0 && told.within > 1.0, "two seeds give a wide interval: {told:?}");
+        let compared = paired(&same);
+        assert!((compared.difference - 0.5).abs() < 1e-12 && compared.within < 1e-12, "{compared:?}");
+        let compared = paired(&[(1.0, 0.0), (0.0, 1.0)]);
+        assert!(
+            compared.difference == 0.0 && compared.within > 1.0,
+            "two seeds give a wide interval: {compared:?}"
+        );
     }
 }
--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -447,9 +447,9 @@
 pub fn on_runtime<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let played = runtime.block_on(work);
+    let result = runtime.block_on(work);
     runtime.shutdown_background();
-    played
+    result
 }
 
 /// Runs a load test and measures it.
--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -250,11 +250,11 @@
 }
 
 fn listen(addr: SocketAddr) -> Result<TcpListener, String> {
-    let told = |e: std::io::Error| format!("{addr}: {e}");
-    let socket = TcpSocket::new_v4().map_err(told)?;
-    socket.set_reuseaddr(true).map_err(told)?;
-    socket.bind(addr).map_err(told)?;
-    socket.listen(1024).map_err(told)
+    let with_addr = |e: std::io::Error| format!("{addr}: {e}");
+    let socket = TcpSocket::new_v4().map_err(with_addr)?;
+    socket.set_reuseaddr(true).map_err(with_addr)?;
+    socket.bind(addr).map_err(with_addr)?;
+    socket.listen(1024).map_err(with_addr)
 }
 
 impl Harness {
@@ -483,10 +483,11 @@
             let _ = kill(Pid::from_raw(pid), Signal::SIGHUP);
             sleep(Duration::from_millis(300)).await;
         }
-        let told = management_get(management, "/v1/metrics").await.map(|(_, body)| body).unwrap_or_default();
-        if told["sighup_applied"].as_u64() < Some(1) || told["sighup_rejected"].as_u64() < Some(1) {
+        let metrics =
+            management_get(management, "/v1/metrics").await.map(|(_, body)| body).unwrap_or_default();
+        if metrics["sighup_applied"].as_u64() < Some(1) || metrics["sighup_rejected"].as_u64() < Some(1) {
             self.report_fault(format!(
-                "node {node}: new settings were not applied, or a truncated file was: {told}"
+                "node {node}: new settings were not applied, or a truncated file was: {metrics}"
             ));
         }
     }
@@ -500,12 +501,12 @@
         else {
             return String::new();
         };
-        let Some((200, told)) = management_get(management, "/v1/metrics").await else {
+        let Some((200, metrics)) = management_get(management, "/v1/metrics").await else {
             return format!("node {node} returned no metrics. ");
         };
         let mut metric_mismatches = String::new();
         for ((_, operation), seen) in self.answers.borrow().iter().filter(|answers| answers.0 .0 == node) {
-            let results = &told["results"][operation];
+            let results = &metrics["results"][operation];
             for (name, seen) in ["succeeded", "declined", "aborted"].iter().zip(seen) {
                 let counted = results[name].as_u64().unwrap_or(u64::MAX);
                 // Calls that clients abandon, a few in a hundred, may be counted under any result.
@@ -681,9 +682,9 @@
     let addr = node_addr(harness.block, node);
     let mut written = false;
     loop {
-        let kept = harness.idle.borrow_mut()[node].pop();
-        let reused = kept.is_some();
-        let sender = match kept {
+        let idle_sender = harness.idle.borrow_mut()[node].pop();
+        let reused = idle_sender.is_some();
+        let sender = match idle_sender {
             Some(sender) if sender.is_closed() => continue,
             Some(sender) => Ok(sender),
             None => dial(addr).await,
@@ -845,8 +846,8 @@
     if harness.world.borrow().workers[worker].life == Liveness::Vanished {
         return std::future::pending().await;
     }
-    let told = harness.world.borrow_mut().probe(now, worker);
-    match told {
+    let answer = harness.world.borrow_mut().probe(now, worker);
+    match answer {
         None => std::future::pending().await,
         Some((up, report)) => {
             let body = if path == "/alive" { String::new() } else { load_report(&report).to_string() };
@@ -963,8 +964,8 @@
 
 /// Posts an update to a node; returns whether it was answered.
 async fn post_news(harness: &Rc<Harness>, node: NodeId, text: &Bytes) -> bool {
-    let kept = harness.news.borrow_mut()[node].pop();
-    let sender = match kept.filter(|kept| !kept.is_closed()) {
+    let idle_sender = harness.news.borrow_mut()[node].pop();
+    let sender = match idle_sender.filter(|idle_sender| !idle_sender.is_closed()) {
         Some(sender) => Ok(sender),
         None => dial(node_addr(harness.block, node)).await,
     };
--- a/crates/coveroute-emu/src/trace.rs
+++ b/crates/coveroute-emu/src/trace.rs
@@ -46,36 +46,37 @@
 
 /// Runs a scenario and writes every event to a file.
 pub fn record(scenario: &Scenario, seed: u64, policy: Policy, path: &Path) -> Result<Outcome, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", path.display());
-    let file = std::fs::File::create(path).map_err(told)?;
+    let with_path = |e: std::io::Error| format!("{}: {e}", path.display());
+    let file = std::fs::File::create(path).map_err(with_path)?;
     let mut writer = Writer { to: BufWriter::new(file), events: 0, failed: None };
-    let head = Header { policy: policy.name().into(), seed, scenario: scenario.clone() };
-    let head = serde_json::to_string(&head).map_err(|e| e.to_string())?;
-    writeln!(writer.to, "{head}").map_err(told)?;
+    let header = Header { policy: policy.name().into(), seed, scenario: scenario.clone() };
+    let header = serde_json::to_string(&header).map_err(|e| e.to_string())?;
+    writeln!(writer.to, "{header}").map_err(with_path)?;
     let (outcome, _) = run(scenario, seed, policy, Some(&mut writer))?;
-    let tail = Footer { figure: outcome.figure(), broken: outcome.broken, events: writer.events };
-    let tail = serde_json::to_string(&tail).map_err(|e| e.to_string())?;
-    writeln!(writer.to, "{tail}").and_then(|()| writer.to.flush()).map_err(told)?;
-    writer.failed.map_or(Ok(outcome), |e| Err(told(e)))
+    let footer = Footer { figure: outcome.figure(), broken: outcome.broken, events: writer.events };
+    let footer = serde_json::to_string(&footer).map_err(|e| e.to_string())?;
+    writeln!(writer.to, "{footer}").and_then(|()| writer.to.flush()).map_err(with_path)?;
+    writer.failed.map_or(Ok(outcome), |e| Err(with_path(e)))
 }
 
 struct Record {
-    head: Header,
+    header: Header,
     lines: Vec<String>,
-    tail: Footer,
+    footer: Footer,
 }
 
 fn read(path: &Path) -> Result<Record, String> {
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let file = std::fs::File::open(path).map_err(|e| told(&e))?;
-    let mut lines = BufReader::new(file).lines().collect::<Result<Vec<_>, _>>().map_err(|e| told(&e))?;
+    let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+    let file = std::fs::File::open(path).map_err(|e| with_path(&e))?;
+    let mut lines = BufReader::new(file).lines().collect::<Result<Vec<_>, _>>().map_err(|e| with_path(&e))?;
     if lines.len() < 2 {
-        return Err(told(&"not a record: a header and a footer are required"));
+        return Err(with_path(&"not a record: a header and a footer are required"));
     }
-    let head: Header = serde_json::from_str(&lines.remove(0)).map_err(|e| told(&format!("line 1: {e}")))?;
+    let header: Header =
+        serde_json::from_str(&lines.remove(0)).map_err(|e| with_path(&format!("line 1: {e}")))?;
     let last = lines.pop().unwrap_or_default();
-    let tail: Footer = serde_json::from_str(&last).map_err(|e| told(&format!("footer: {e}")))?;
-    Ok(Record { head, lines, tail })
+    let footer: Footer = serde_json::from_str(&last).map_err(|e| with_path(&format!("footer: {e}")))?;
+    Ok(Record { header, lines, footer })
 }
 
 /// Compares each event with the recorded one.
@@ -97,18 +98,18 @@
 
 /// Replays a record. Returns its outcome, or the first event where the run diverges from it.
 pub fn replay(path: &Path) -> Result<Outcome, String> {
-    let Record { head, lines, tail } = read(path)?;
-    let policy = Policy::named(&head.policy).ok_or(format!("unknown policy {}", head.policy))?;
+    let Record { header, lines, footer } = read(path)?;
+    let policy = Policy::named(&header.policy).ok_or(format!("unknown policy {}", header.policy))?;
     let mut checker = ReplayChecker { lines, at: 0, divergence: None };
-    let (outcome, _) = run(&head.scenario, head.seed, policy, Some(&mut checker))?;
+    let (outcome, _) = run(&header.scenario, header.seed, policy, Some(&mut checker))?;
     if let Some((at, now)) = checker.divergence {
         let then = checker.lines.get(at).map_or("the end of the record", |line| line);
         return Err(format!("differs at event {}: recorded {then}; now {now}", at + 1));
     }
     // The figure's text form may be off in its last digit.
-    if checker.at < checker.lines.len() || (outcome.figure() - tail.figure).abs() > 1e-12 {
+    if checker.at < checker.lines.len() || (outcome.figure() - footer.figure).abs() > 1e-12 {
         let (events, figure) = (checker.at, outcome.figure());
-        return Err(format!("ends after {events} events with {figure}, recorded {tail:?}"));
+        return Err(format!("ends after {events} events with {figure}, recorded {footer:?}"));
     }
     Ok(outcome)
 }
@@ -144,10 +145,10 @@
         let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
         lines[40] += "!";
         std::fs::write(&one, lines.join("\n") + "\n").expect("written");
-        let told = replay(&one).expect_err("a difference");
-        assert!(told.contains("event 40"), "{told}");
+        let difference = replay(&one).expect_err("a difference");
+        assert!(difference.contains("event 40"), "{difference}");
         std::fs::write(&one, "nonsense\nmore\n").expect("written");
-        assert!(replay(&one).is_err_and(|told| told.contains("line 1")));
+        assert!(replay(&one).is_err_and(|error| error.contains("line 1")));
         let _ = std::fs::remove_file(one).and(std::fs::remove_file(two));
     }
 }
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -664,7 +664,7 @@
         let op = &scenario.operations[ask.op];
         let deadline = self.world.clients.tries[tri as usize].deadline;
         let sent = self.world.clients.tries[tri as usize].at;
-        let told = Call {
+        let new_call = Call {
             call: call(self.world.seed, tri).into(),
             class: op.name.clone(),
             caller: ask.tenant.map(|tenant| scenario.tenants[tenant].name.clone()),
@@ -676,7 +676,7 @@
             again: false,
             came: CLOCK_BASE + now,
         };
-        self.notify(now, node, Event::Taken(id, &told));
+        self.notify(now, node, Event::Taken(id, &new_call));
     }
 
     fn leave(&mut self, now: f64, node: NodeId, tri: TryId) {
@@ -739,16 +739,16 @@
         report: Report,
     ) {
         let done = call(self.world.seed, tri);
-        let heard = match word {
+        let update = match word {
             JobUpdate::Started | JobUpdate::Running => Heard::Alive,
             JobUpdate::Done => Heard::Succeeded(Bytes::copy_from_slice(done.as_bytes())),
             JobUpdate::Returned => Heard::Ended(Ended::Full),
             JobUpdate::Lost => Heard::Ended(Ended::Reset),
         };
-        if let Heard::Ended(outcome) = heard {
+        if let Heard::Ended(outcome) = update {
             self.world.outcome(now, tri, worker, outcome.never_ran());
         }
-        let news = News { call: done, from: name(worker), word: heard, report };
+        let news = News { call: done, from: name(worker), word: update, report };
         self.notify(now, node, Event::News(news));
     }
 
@@ -972,7 +972,7 @@
     fn answer(&mut self, now: f64, node: NodeId, id: InvId, answer: Answer) {
         let Some(host) = self.hosts[node].as_mut() else { return };
         let Some(tri) = host.invocations.remove(&id) else { return };
-        let (told, pause) = match answer {
+        let (final_answer, pause) = match answer {
             Answer::Succeeded(result) => {
                 let right = result == call(self.world.seed, tri).as_bytes();
                 (if right { FinalAnswer::Served } else { FinalAnswer::Failed }, 0.0)
@@ -985,7 +985,7 @@
         self.schedule(
             now + self.world.scenario.network.latency.0,
             node,
-            HostEvent::Answered { tri, answer: told, pause },
+            HostEvent::Answered { tri, answer: final_answer, pause },
         );
     }
 
@@ -1001,17 +1001,17 @@
         let (asked, dial) = (self.asked, self.world.scenario.platform.dial.0);
         let Some(host) = self.hosts[node].as_mut() else { return };
         host.probes.insert(asked, worker);
-        let told = |outcome| HostEvent::Probed { tgt, asked, outcome, report: Report::default() };
+        let probed = |outcome| HostEvent::Probed { tgt, asked, outcome, report: Report::default() };
         match self.world.delivery(node, worker, asked as TryId, 300) {
-            Delivery::Refused(takes) => self.schedule(now + takes, node, told(Ended::Unreachable)),
-            Delivery::Cut if dials > 0.0 => self.schedule(now + dial, node, told(Ended::Unreachable)),
+            Delivery::Refused(takes) => self.schedule(now + takes, node, probed(Ended::Unreachable)),
+            Delivery::Cut if dials > 0.0 => self.schedule(now + dial, node, probed(Ended::Unreachable)),
             Delivery::Cut => {}
             // A probe whose connection breaks is sent again.
             Delivery::Arrives(takes) | Delivery::BreaksBefore(takes) | Delivery::BreaksAfter(takes) => {
                 self.schedule(now + dials + takes, node, HostEvent::Probe { worker, tgt, asked });
             }
         }
-        self.schedule(now + 2.0 * dial, node, told(Ended::TimedOut));
+        self.schedule(now + 2.0 * dial, node, probed(Ended::TimedOut));
     }
 }
 
--- a/crates/coveroute-emu/src/virtual_time/tests.rs
+++ b/crates/coveroute-emu/src/virtual_time/tests.rs
@@ -39,11 +39,11 @@
 #[test_case(Violation::OverloadsCold, fault(3.0, 2.0, What::Dies, None, Some(1)), Rule::NoColdWorkerPushedOver; "overloads cold workers")]
 fn a_policy_that_breaks_a_rule_is_detected(violation: Violation, injected: Fault, rule: Rule) {
     let scenario = with(vec![injected]);
-    let play = |policy| run(&scenario, 4, policy, None).expect("a run").0;
+    let outcome = |policy| run(&scenario, 4, policy, None).expect("a run").0;
     let rules: Vec<Rule> =
-        play(Policy::Violation(violation)).breaches.iter().map(|breach| breach.rule).collect();
+        outcome(Policy::Violation(violation)).breaches.iter().map(|breach| breach.rule).collect();
     assert!(rules.contains(&rule), "{rules:?}");
-    assert_eq!(play(Policy::Node).breaches, []);
+    assert_eq!(outcome(Policy::Node).breaches, []);
 }
 
 // The engine answers at the client's deadline if the policy never does.
--- a/crates/coveroute-emu/src/world/invariants.rs
+++ b/crates/coveroute-emu/src/world/invariants.rs
@@ -61,7 +61,7 @@
 struct Forward {
     worker: WorkerId,
     sent: f64,
-    told: Option<(f64, Proof)>,
+    outcome: Option<(f64, Proof)>,
 }
 
 #[derive(Clone, Debug)]
@@ -98,12 +98,12 @@
     /// Paused nodes, and since when.
     paused: BTreeMap<NodeId, f64>,
     /// By node and worker; none until the node was told anything.
-    told: Vec<Vec<Option<KnownState>>>,
+    known_states: Vec<Vec<Option<KnownState>>>,
     pub breaches: Vec<Breach>,
     /// Total number of breaches, including those not kept.
     pub broken: u64,
     pub second_copies: u64,
-    pub judged: u64,
+    pub tries_received: u64,
 }
 
 /// Breaches kept in full.
@@ -116,7 +116,7 @@
 impl InvariantChecker {
     /// `places` holds each worker's zone and cell.
     pub fn new(nodes: usize, places: Vec<(String, i64)>, slack: f64, grace: f64) -> Self {
-        let told = vec![vec![None; places.len()]; nodes];
+        let known_states = vec![vec![None; places.len()]; nodes];
         let (tracked, breaches) = (BTreeMap::new(), Vec::new());
         InvariantChecker {
             slack,
@@ -125,11 +125,11 @@
             places,
             tracked,
             paused: BTreeMap::new(),
-            told,
+            known_states,
             breaches,
             broken: 0,
             second_copies: 0,
-            judged: 0,
+            tries_received: 0,
         }
     }
 
@@ -160,7 +160,7 @@
         let (answer, forwards, void, ran) = (None, Vec::new(), false, false);
         self.tracked
             .insert(tri, TrackedTry { node, terms, taken: now, deadline, answer, forwards, void, ran });
-        self.judged += 1;
+        self.tries_received += 1;
     }
 
     /// A worker has received a job's last byte, which was sent at `sent` at the latest.
@@ -181,22 +181,22 @@
             let message = format!("a forward to worker {worker} {:.3} s after the final answer", sent - at);
             return self.breach(Rule::OneAnswer, sent, node, Some(tri), message);
         }
-        let out = |f: &Forward| f.told.is_none();
+        let out = |f: &Forward| f.outcome.is_none();
         self.second_copies += u64::from(tried.forwards.iter().any(out));
         let fault = tried.repeat_violation(sent, &self.places, worker);
-        tried.forwards.push(Forward { worker, sent, told: None });
+        tried.forwards.push(Forward { worker, sent, outcome: None });
         if let Some(message) = fault {
             self.breach(Rule::NoEffectTwice, sent, node, Some(tri), message);
         }
     }
 
     fn check_destination(&mut self, sent: f64, node: NodeId, worker: WorkerId, tri: TryId) {
-        let told = self.told[node][worker];
-        let late = told.filter(|told| !told.wanted && sent - self.detection_lag > told.at + self.grace);
-        if let Some(told) = late {
+        let known = self.known_states[node][worker];
+        let late = known.filter(|known| !known.wanted && sent - self.detection_lag > known.at + self.grace);
+        if let Some(known) = late {
             let message = format!(
                 "worker {worker} got a forward {:.3} s after the node was told that it leaves",
-                sent - told.at
+                sent - known.at
             );
             self.breach(Rule::NothingToTheGone, sent, node, Some(tri), message);
         }
@@ -205,9 +205,9 @@
     /// The outcome of a forward has reached its node.
     pub fn outcome(&mut self, now: f64, tri: TryId, worker: WorkerId, proof: Proof) {
         let forwards = self.tracked.get_mut(&tri).map(|tried| &mut tried.forwards);
-        let open = |f: &&mut Forward| f.worker == worker && f.told.is_none();
+        let open = |f: &&mut Forward| f.worker == worker && f.outcome.is_none();
         let forward = forwards.and_then(|forwards| forwards.iter_mut().rev().find(open));
-        forward.into_iter().for_each(|forward| forward.told = Some((now, proof)));
+        forward.into_iter().for_each(|forward| forward.outcome = Some((now, proof)));
     }
 
     /// The node gave up on a forward.
@@ -286,7 +286,7 @@
     /// The node's process died: it knows nothing any more, and its open tries are void.
     pub fn node_died(&mut self, node: NodeId) {
         self.paused.remove(&node);
-        self.told[node].iter_mut().for_each(|told| *told = None);
+        self.known_states[node].iter_mut().for_each(|known| *known = None);
         let its = self.tracked.values_mut().filter(|tried| tried.node == node && tried.answer.is_none());
         its.for_each(|tried| tried.void = true);
     }
@@ -305,23 +305,23 @@
     }
 
     /// Discovery has told a node of a worker, or is taken to have done so.
-    pub fn told(&mut self, now: f64, node: NodeId, worker: WorkerId, wanted: bool, started: f64) {
-        let told = &mut self.told[node][worker];
+    pub fn announce(&mut self, now: f64, node: NodeId, worker: WorkerId, wanted: bool, started: f64) {
+        let known = &mut self.known_states[node][worker];
         // A repeated announcement doesn't restart the grace period.
-        let same = |told: &KnownState| told.wanted == wanted && told.started == started;
-        if !told.as_ref().is_some_and(same) {
-            *told = Some(KnownState { at: now, wanted, started });
+        let same = |known: &KnownState| known.wanted == wanted && known.started == started;
+        if !known.as_ref().is_some_and(same) {
+            *known = Some(KnownState { at: now, wanted, started });
         }
     }
 
     /// Whether a node knows of the start of a worker's process.
     pub fn informed(&self, node: NodeId, worker: WorkerId, started: f64) -> bool {
-        self.told[node][worker].is_some_and(|told| told.started >= started)
+        self.known_states[node][worker].is_some_and(|known| known.started >= started)
     }
 
     /// Whether a node knows of a process of the worker that started later than `started`.
     pub fn knows_later_start(&self, node: NodeId, worker: WorkerId, started: f64) -> bool {
-        self.told[node][worker].is_some_and(|told| told.started > started)
+        self.known_states[node][worker].is_some_and(|known| known.started > started)
     }
 
     pub fn worker_overloaded(&mut self, now: f64, node: NodeId, worker: WorkerId, fall: Overload) {
@@ -344,8 +344,7 @@
 impl TrackedTry {
     /// Forwards not proved to have never run, as far as the node could know at `now`.
     fn may_have_run(&self, now: f64) -> impl Iterator<Item = &Forward> {
-        let never =
-            move |f: &&Forward| matches!(f.told, Some((at, Proof::NeverRan)) if at <= now + CLOCK_TOLERANCE);
+        let never = move |f: &&Forward| matches!(f.outcome, Some((at, Proof::NeverRan)) if at <= now + CLOCK_TOLERANCE);
         self.forwards.iter().filter(move |f| !never(f))
     }
 
@@ -385,9 +384,9 @@
             vec![format!("{:.3} received by node {}, deadline {:.3}", self.taken, self.node, self.deadline)];
         for forward in &self.forwards {
             lines.push(format!("{:.3} sent to worker {}", forward.sent, forward.worker));
-            let told =
-                forward.told.map(|(at, proof)| format!("{at:.3} of worker {}: {proof:?}", forward.worker));
-            lines.extend(told);
+            let outcome =
+                forward.outcome.map(|(at, proof)| format!("{at:.3} of worker {}: {proof:?}", forward.worker));
+            lines.extend(outcome);
         }
         lines.extend(self.answer.map(|(at, answer)| format!("{at:.3} answered: {answer:?}")));
         lines
--- a/crates/coveroute-emu/src/world/invariants/tests.rs
+++ b/crates/coveroute-emu/src/world/invariants/tests.rs
@@ -74,8 +74,8 @@
 #[test_case(1.6, &[Rule::NothingToTheGone]; "after the grace period")]
 fn nothing_to_the_gone(sent: f64, expected: &[Rule]) {
     let mut invariants = invariants(READ, Group::All);
-    invariants.told(1.0, 0, 2, false, 0.0);
-    invariants.told(1.5, 0, 2, false, 0.0);
+    invariants.announce(1.0, 0, 2, false, 0.0);
+    invariants.announce(1.5, 0, 2, false, 0.0);
     invariants.forwarded(1, 0, 2, sent);
     assert_eq!(rules(&invariants), expected);
 }
--- a/crates/coveroute-emu/src/world/mod.rs
+++ b/crates/coveroute-emu/src/world/mod.rs
@@ -740,10 +740,10 @@
         if let Some(later) = later {
             return self.schedule(later, Event::SendList(node));
         }
-        let told = self.list.pending_update(node);
-        let lines = told.as_ref().map_or(0, |(_, listing)| listing.hosts.len());
+        let update = self.list.pending_update(node);
+        let lines = update.as_ref().map_or(0, |(_, listing)| listing.hosts.len());
         self.list.occupy(now, lines as f64, limits);
-        out.extend(told.map(|(watch, listing)| Output::Listed { node, watch, listing }));
+        out.extend(update.map(|(watch, listing)| Output::Listed { node, watch, listing }));
     }
 
     /// Takes a change as known to every node once the longest allowed delay has passed, unless discovery was
@@ -757,7 +757,7 @@
         let wanted = standing == Standing::Ready;
         self.assumed_told[worker] = Some(AssumedTold { at: now, wanted, started });
         for node in (0..self.nodes.len()).filter(|&node| self.nodes[node].alive) {
-            self.invariants.told(now, node, worker, wanted, started);
+            self.invariants.announce(now, node, worker, wanted, started);
         }
     }
 
@@ -767,7 +767,7 @@
         for (worker, assumed_told) in self.assumed_told.iter().enumerate() {
             let Some(AssumedTold { at, wanted, started }) = *assumed_told else { continue };
             if !self.invariants.knows_later_start(node, worker, started) {
-                self.invariants.told(at, node, worker, wanted, started);
+                self.invariants.announce(at, node, worker, wanted, started);
             }
         }
     }
@@ -811,10 +811,10 @@
         if listing.full {
             let named: Vec<usize> = hosts.iter().map(|host| host.0).collect();
             let unlisted = (0..self.workers.len()).filter(|worker| !named.contains(worker));
-            unlisted.for_each(|worker| self.invariants.told(now, node, worker, false, f64::NEG_INFINITY));
+            unlisted.for_each(|worker| self.invariants.announce(now, node, worker, false, f64::NEG_INFINITY));
         }
         for (worker, host) in hosts {
-            self.invariants.told(now, node, worker, host.standing == Standing::Ready, host.started);
+            self.invariants.announce(now, node, worker, host.standing == Standing::Ready, host.started);
         }
         self.last_lists[node] = self.list.full_list();
         let start = &mut self.nodes[node].start;
@@ -866,8 +866,8 @@
 
     fn targets(&mut self, fault: &Fault) -> Vec<usize> {
         let fits = |zone: &String, kind: Option<&String>| {
-            fault.zone.as_ref().is_none_or(|told| told == zone)
-                && fault.kind.as_ref().is_none_or(|told| Some(told) == kind)
+            fault.zone.as_ref().is_none_or(|wanted| wanted == zone)
+                && fault.kind.as_ref().is_none_or(|wanted| Some(wanted) == kind)
         };
         let mut fit: Vec<usize> = match fault.what.place() {
             Place::Workers => {
