--- a/crates/coveroute-emu/src/trace.rs
+++ b/crates/coveroute-emu/src/trace.rs
@@ -1,5 +1,6 @@
-//! Recorded runs: a header with the scenario and the seed, then each event in a line. A record plays again to the same
-//! figure, and two records are compared to the first event where they part.
+//! Recorded runs: a header with the scenario and the seed, one line for each event, and a footer with the
+//! result. A replay must give the same figure, and two records are compared up to the first event where they
+//! differ.
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
@@ -11,21 +12,21 @@
 use crate::world::{NodeId, Outcome};
 
 #[derive(Debug, Deserialize, Serialize)]
-struct Head {
+struct Header {
     policy: String,
     seed: u64,
     scenario: Scenario,
 }
 
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
-struct Tail {
+struct Footer {
     figure: f64,
     broken: u64,
     events: u64,
 }
 
-fn line(now: f64, node: NodeId, words: &str) -> String {
-    format!("{now:.9} n{node} {words}")
+fn line(now: f64, node: NodeId, message: &str) -> String {
+    format!("{now:.9} n{node} {message}")
 }
 
 struct Writer<W: Write> {
@@ -35,90 +36,91 @@
 }
 
 impl<W: Write> Sink for Writer<W> {
-    fn event(&mut self, now: f64, node: NodeId, words: &str) {
+    fn event(&mut self, now: f64, node: NodeId, message: &str) {
         self.events += 1;
         if self.failed.is_none() {
-            self.failed = writeln!(self.to, "{}", line(now, node, words)).err();
+            self.failed = writeln!(self.to, "{}", line(now, node, message)).err();
         }
     }
 }
 
-/// Plays a scenario and writes every event down.
+/// Runs a scenario and writes every event to a file.
 pub fn record(scenario: &Scenario, seed: u64, policy: Policy, path: &Path) -> Result<Outcome, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", path.display());
-    let file = std::fs::File::create(path).map_err(told)?;
+    let with_path = |e: std::io::Error| format!("{}: {e}", path.display());
+    let file = std::fs::File::create(path).map_err(with_path)?;
     let mut writer = Writer { to: BufWriter::new(file), events: 0, failed: None };
-    let head = Head { policy: policy.name().into(), seed, scenario: scenario.clone() };
-    let head = serde_json::to_string(&head).map_err(|e| e.to_string())?;
-    writeln!(writer.to, "{head}").map_err(told)?;
+    let header = Header { policy: policy.name().into(), seed, scenario: scenario.clone() };
+    let header = serde_json::to_string(&header).map_err(|e| e.to_string())?;
+    writeln!(writer.to, "{header}").map_err(with_path)?;
     let (outcome, _) = run(scenario, seed, policy, Some(&mut writer))?;
-    let tail = Tail { figure: outcome.figure(), broken: outcome.broken, events: writer.events };
-    let tail = serde_json::to_string(&tail).map_err(|e| e.to_string())?;
-    writeln!(writer.to, "{tail}").and_then(|()| writer.to.flush()).map_err(told)?;
-    writer.failed.map_or(Ok(outcome), |e| Err(told(e)))
+    let footer = Footer { figure: outcome.figure(), broken: outcome.broken, events: writer.events };
+    let footer = serde_json::to_string(&footer).map_err(|e| e.to_string())?;
+    writeln!(writer.to, "{footer}").and_then(|()| writer.to.flush()).map_err(with_path)?;
+    writer.failed.map_or(Ok(outcome), |e| Err(with_path(e)))
 }
 
 struct Record {
-    head: Head,
+    header: Header,
     lines: Vec<String>,
-    tail: Tail,
+    footer: Footer,
 }
 
 fn read(path: &Path) -> Result<Record, String> {
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let file = std::fs::File::open(path).map_err(|e| told(&e))?;
-    let mut lines = BufReader::new(file).lines().collect::<Result<Vec<_>, _>>().map_err(|e| told(&e))?;
+    let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+    let file = std::fs::File::open(path).map_err(|e| with_path(&e))?;
+    let mut lines = BufReader::new(file).lines().collect::<Result<Vec<_>, _>>().map_err(|e| with_path(&e))?;
     if lines.len() < 2 {
-        return Err(told(&"no record: a head and an end are wanted"));
+        return Err(with_path(&"not a record: a header and a footer are required"));
     }
-    let head: Head = serde_json::from_str(&lines.remove(0)).map_err(|e| told(&format!("line 1: {e}")))?;
+    let header: Header =
+        serde_json::from_str(&lines.remove(0)).map_err(|e| with_path(&format!("line 1: {e}")))?;
     let last = lines.pop().unwrap_or_default();
-    let tail: Tail = serde_json::from_str(&last).map_err(|e| told(&format!("its end: {e}")))?;
-    Ok(Record { head, lines, tail })
+    let footer: Footer = serde_json::from_str(&last).map_err(|e| with_path(&format!("footer: {e}")))?;
+    Ok(Record { header, lines, footer })
 }
 
-/// Compares each event with a record's.
-struct Checker {
+/// Compares each event with the recorded one.
+struct ReplayChecker {
     lines: Vec<String>,
     at: usize,
-    parted: Option<(usize, String)>,
+    divergence: Option<(usize, String)>,
 }
 
-impl Sink for Checker {
-    fn event(&mut self, now: f64, node: NodeId, words: &str) {
-        let same = || self.lines.get(self.at) == Some(&line(now, node, words));
-        if self.parted.is_none() && !same() {
-            self.parted = Some((self.at, line(now, node, words)));
+impl Sink for ReplayChecker {
+    fn event(&mut self, now: f64, node: NodeId, message: &str) {
+        let same = || self.lines.get(self.at) == Some(&line(now, node, message));
+        if self.divergence.is_none() && !same() {
+            self.divergence = Some((self.at, line(now, node, message)));
         }
         self.at += 1;
     }
 }
 
-/// Plays a record again; its figure, or the first event where the run parts from it.
+/// Replays a record. Returns its outcome, or the first event where the run diverges from it.
 pub fn replay(path: &Path) -> Result<Outcome, String> {
-    let Record { head, lines, tail } = read(path)?;
-    let policy = Policy::named(&head.policy).ok_or(format!("no policy {}", head.policy))?;
-    let mut checker = Checker { lines, at: 0, parted: None };
-    let (outcome, _) = run(&head.scenario, head.seed, policy, Some(&mut checker))?;
-    if let Some((at, now)) = checker.parted {
-        let then = checker.lines.get(at).map_or("the record's end", |line| line);
-        return Err(format!("parts at event {}: recorded {then}; now {now}", at + 1));
+    let Record { header, lines, footer } = read(path)?;
+    let policy = Policy::named(&header.policy).ok_or(format!("unknown policy {}", header.policy))?;
+    let mut checker = ReplayChecker { lines, at: 0, divergence: None };
+    let (outcome, _) = run(&header.scenario, header.seed, policy, Some(&mut checker))?;
+    if let Some((at, now)) = checker.divergence {
+        let then = checker.lines.get(at).map_or("the end of the record", |line| line);
+        return Err(format!("differs at event {}: recorded {then}; now {now}", at + 1));
     }
-    // Text keeps a figure to its last digit but one.
-    if checker.at < checker.lines.len() || (outcome.figure() - tail.figure).abs() > 1e-12 {
+    // The figure's text form may be off in its last digit.
+    if checker.at < checker.lines.len() || (outcome.figure() - footer.figure).abs() > 1e-12 {
         let (events, figure) = (checker.at, outcome.figure());
-        return Err(format!("ends after {events} events with {figure}, recorded {tail:?}"));
+        return Err(format!("ends after {events} events with {figure}, recorded {footer:?}"));
     }
     Ok(outcome)
 }
 
-/// The first event where two records part, if any.
+/// The first event where two records differ, if any.
 pub fn diff(one: &Path, two: &Path) -> Result<Option<(usize, String, String)>, String> {
     let (one, two) = (read(one)?, read(two)?);
     let most = one.lines.len().max(two.lines.len());
     let text = |record: &Record, at: usize| record.lines.get(at).map_or("the end".to_owned(), String::clone);
-    let parted = (0..most).find(|&at| one.lines.get(at) != two.lines.get(at));
-    Ok(parted.map(|at| (at + 1, text(&one, at), text(&two, at))))
+    let divergence = (0..most).find(|&at| one.lines.get(at) != two.lines.get(at));
+    Ok(divergence.map(|at| (at + 1, text(&one, at), text(&two, at))))
 }
 
 #[cfg(test)]
@@ -131,22 +133,22 @@
     }
 
     #[test]
-    fn a_record_plays_again_and_shows_where_another_parts() {
+    fn records_replay_and_report_the_first_difference() {
         let (one, two) = (path("one"), path("two"));
         let outcome = record(&drawn(5), 5, Policy::Node, &one).expect("recorded");
         assert_eq!(replay(&one).map(|again| again.figure()), Ok(outcome.figure()));
         assert_eq!(diff(&one, &one), Ok(None));
         record(&drawn(5), 6, Policy::Node, &two).expect("recorded");
         assert!(matches!(diff(&one, &two), Ok(Some((at, a, b))) if at >= 1 && a != b));
-        // One event that is not as it was is told with its number.
+        // An altered event is reported with its number.
         let text = std::fs::read_to_string(&one).expect("a record");
         let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
         lines[40] += "!";
         std::fs::write(&one, lines.join("\n") + "\n").expect("written");
-        let told = replay(&one).expect_err("it parts");
-        assert!(told.contains("event 40"), "{told}");
+        let difference = replay(&one).expect_err("a difference");
+        assert!(difference.contains("event 40"), "{difference}");
         std::fs::write(&one, "nonsense\nmore\n").expect("written");
-        assert!(replay(&one).is_err_and(|told| told.contains("line 1")));
+        assert!(replay(&one).is_err_and(|error| error.contains("line 1")));
         let _ = std::fs::remove_file(one).and(std::fs::remove_file(two));
     }
 }
