--- a/crates/coveroute-node/src/attempt.rs
+++ b/crates/coveroute-node/src/attempt.rs
@@ -12,8 +12,8 @@
 use coveroute_engine::ANSWER_TAKES;
 use log::{debug, warn};
 
+use crate::client_connection::ClientConnection;
 use crate::clock::seconds;
-use crate::guest::Guest;
 use crate::socket::Socket;
 
 mod counts;
@@ -100,7 +100,7 @@
     /// When the attempt was decided on.
     decided: Instant,
     deadline: Deadline,
-    client: Option<Rc<Guest>>,
+    client: Option<Rc<ClientConnection>>,
     counts: Rc<AttemptCounts>,
     /// The time budget stated in the request.
     budget_told: Cell<Duration>,
@@ -125,7 +125,7 @@
     pub fn new(
         (id, number): (InvId, usize),
         deadline: Deadline,
-        client: Option<Rc<Guest>>,
+        client: Option<Rc<ClientConnection>>,
         counts: Rc<AttemptCounts>,
     ) -> Self {
         Attempt {
@@ -154,7 +154,7 @@
         CURRENT.scope(self.clone(), exchange).await
     }
 
-    pub fn client(&self) -> Option<&Rc<Guest>> {
+    pub fn client(&self) -> Option<&Rc<ClientConnection>> {
         self.client.as_ref()
     }
 
--- a/crates/coveroute-node/src/guest.rs
+++ b/crates/coveroute-node/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! Guest: the state of one accepted client connection, and the stream wrapper that updates it as bytes
+//! Client connection: the state of one accepted client connection, and the stream wrapper that updates it as bytes
 //! arrive.
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,28 +23,28 @@
 
 /// Where a connection stands in the request cycle.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Doing {
-    /// Connected; no byte has arrived yet.
-    Silent,
+pub enum ConnectionState {
+    /// No byte has arrived yet.
+    Connected,
     /// A request has begun to arrive and is incomplete.
-    Asking,
+    ReadingRequest,
     /// The request is complete; its response is pending.
-    Waiting,
+    AwaitingAnswer,
     /// The last request has been answered.
-    Resting,
+    Idle,
 }
 
 /// A connection's eviction class. Lower values are closed first to make room for new connections.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub enum Claim {
+pub enum EvictionClass {
     /// Exceeded the time limit for sending a request.
-    Overdue,
+    TimedOut,
     /// Has not completed a request yet.
-    None,
+    NoRequest,
     /// Idle after an answered request.
-    Rested,
+    Idle,
     /// A response is pending or was sent only just now: not evicted.
-    Owed,
+    Protected,
 }
 
 /// Time limit from connecting, or from a request's first byte, to its last byte: many times what a
@@ -75,8 +75,8 @@
 }
 
 /// The state of one accepted client connection.
-pub struct Guest {
-    doing: Cell<Doing>,
+pub struct ClientConnection {
+    state: Cell<ConnectionState>,
     /// When the connection entered this state; a request counts from connecting if it is the first.
     since: Cell<Instant>,
     /// When the newest byte from the client arrived.
@@ -105,29 +105,29 @@
 pub struct Client {
     pub answer: oneshot::Sender<Answer>,
     /// `None` when no connection belongs to the job.
-    pub guest: Option<Rc<Guest>>,
+    pub connection: Option<Rc<ClientConnection>>,
 }
 
 /// All open client connections of a [`crate::server::Door`], by peer address.
-pub type Guests = Rc<RefCell<BTreeMap<SocketAddr, Rc<Guest>>>>;
+pub type ClientConnections = Rc<RefCell<BTreeMap<SocketAddr, Rc<ClientConnection>>>>;
 
 /// How a connection can be handed over to another process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Leaves {
+pub enum Handover {
     Idle,
     Waiting(InvId),
 }
 
-impl Guest {
+impl ClientConnection {
     pub fn new(socket: RawFd) -> Self {
         let now = Instant::now();
-        let (doing, since, job) = (Cell::new(Doing::Silent), Cell::new(now), Cell::new(None));
+        let (state, since, job) = (Cell::new(ConnectionState::Connected), Cell::new(now), Cell::new(None));
         let (newest_arrival, accept_wait_since) = (Cell::new(now), Cell::new(None));
         let (has_pipelined, is_write_pending, is_handed_over) =
             (Cell::new(false), Cell::new(false), Cell::new(false));
         let (received, has_overrun, socket) = (Cell::new((0, 0)), Cell::new(false), Cell::new(Some(socket)));
-        Guest {
-            doing,
+        ClientConnection {
+            state,
             since,
             newest_arrival,
             accept_wait_since,
@@ -150,17 +150,17 @@
 
     /// A connection that has been in the given state for the given time.
     #[cfg(test)]
-    pub fn since_long(doing: Doing, age: Duration) -> Self {
+    pub fn with_age(state: ConnectionState, age: Duration) -> Self {
         let since = Instant::now().checked_sub(age).expect("a machine that is up for longer");
-        let guest = Guest::new(-1);
-        guest.closed();
-        guest.doing.set(doing);
-        guest.since.set(since);
-        guest
+        let connection = ClientConnection::new(-1);
+        connection.set_closed();
+        connection.state.set(state);
+        connection.since.set(since);
+        connection
     }
 
-    pub fn doing(&self) -> Doing {
-        self.doing.get()
+    pub fn state(&self) -> ConnectionState {
+        self.state.get()
     }
 
     pub fn since(&self) -> Instant {
@@ -168,22 +168,26 @@
     }
 
     pub fn idle_for(&self, least: Duration) -> bool {
-        !self.is_busy() && self.doing() != Doing::Waiting && self.since().elapsed() >= least
+        !self.is_busy() && self.state() != ConnectionState::AwaitingAnswer && self.since().elapsed() >= least
     }
 
     /// Whether a request is being received or a response being written. The node must not stop in between:
     /// the request's last byte may be in the next read, and then the request counts as accepted.
     pub fn is_busy(&self) -> bool {
-        self.doing() == Doing::Asking || self.is_write_pending.get()
+        self.state() == ConnectionState::ReadingRequest || self.is_write_pending.get()
     }
 
-    pub fn claim(&self) -> Claim {
+    pub fn eviction_class(&self) -> EvictionClass {
         let stood = self.since().elapsed();
-        match self.doing() {
-            Doing::Silent | Doing::Asking if stood >= REQUEST_TIMEOUT => Claim::Overdue,
-            Doing::Silent | Doing::Asking if stood >= MIN_IDLE => Claim::None,
-            Doing::Resting if stood >= MIN_IDLE => Claim::Rested,
-            _ => Claim::Owed,
+        match self.state() {
+            ConnectionState::Connected | ConnectionState::ReadingRequest if stood >= REQUEST_TIMEOUT => {
+                EvictionClass::TimedOut
+            }
+            ConnectionState::Connected | ConnectionState::ReadingRequest if stood >= MIN_IDLE => {
+                EvictionClass::NoRequest
+            }
+            ConnectionState::Idle if stood >= MIN_IDLE => EvictionClass::Idle,
+            _ => EvictionClass::Protected,
         }
     }
 
@@ -191,12 +195,14 @@
     /// behind all those bytes, so reading must go on until it is reached.
     fn read_action(&self) -> ReadAction {
         let (received, parsed) = self.received.get();
-        match self.doing() {
-            Doing::Waiting if received >= MAX_BUFFERED => {
+        match self.state() {
+            ConnectionState::AwaitingAnswer if received >= MAX_BUFFERED => {
                 self.set_overrun();
                 ReadAction::Discard
             }
-            Doing::Silent | Doing::Asking | Doing::Resting if received - parsed >= MAX_READ_BURST => {
+            ConnectionState::Connected | ConnectionState::ReadingRequest | ConnectionState::Idle
+                if received - parsed >= MAX_READ_BURST =>
+            {
                 self.received.set((received, received));
                 ReadAction::Yield
             }
@@ -228,17 +234,17 @@
         self.newest_arrival.set(newest_arrival);
         let (received, parsed) = self.received.get();
         self.received.set((received + count, parsed));
-        match self.doing() {
-            Doing::Silent => self.doing.set(Doing::Asking),
-            Doing::Resting => self.enter(Doing::Asking),
-            Doing::Asking => {}
-            Doing::Waiting => self.has_pipelined.set(true),
+        match self.state() {
+            ConnectionState::Connected => self.state.set(ConnectionState::ReadingRequest),
+            ConnectionState::Idle => self.enter(ConnectionState::ReadingRequest),
+            ConnectionState::ReadingRequest => {}
+            ConnectionState::AwaitingAnswer => self.has_pipelined.set(true),
         }
     }
 
     /// A complete request has arrived.
     pub fn set_waiting(&self) {
-        self.enter(Doing::Waiting);
+        self.enter(ConnectionState::AwaitingAnswer);
     }
 
     /// Sets the id of the pending job.
@@ -248,17 +254,17 @@
 
     /// Whether and how the connection can be handed over now: only if nothing received is unparsed and every
     /// response is completely written.
-    pub fn leaves(&self) -> Option<Leaves> {
-        match (self.doing(), self.job.get()) {
+    pub fn handover(&self) -> Option<Handover> {
+        match (self.state(), self.job.get()) {
             _ if self.has_pipelined.get() || self.is_write_pending.get() || self.is_handed_over.get() => None,
-            (Doing::Waiting, Some(id)) => Some(Leaves::Waiting(id)),
-            (Doing::Silent | Doing::Resting, _) => Some(Leaves::Idle),
-            (Doing::Waiting | Doing::Asking, _) => None,
+            (ConnectionState::AwaitingAnswer, Some(id)) => Some(Handover::Waiting(id)),
+            (ConnectionState::Connected | ConnectionState::Idle, _) => Some(Handover::Idle),
+            (ConnectionState::AwaitingAnswer | ConnectionState::ReadingRequest, _) => None,
         }
     }
 
     /// Marks the connection as handed over: the task that serves it here ends before it reads again.
-    pub fn goes(&self) {
+    pub fn set_handed_over(&self) {
         self.is_handed_over.set(true);
         self.close.notify_one();
     }
@@ -266,7 +272,7 @@
     /// Duplicates the connection's socket.
     pub fn socket(&self) -> io::Result<OwnedFd> {
         let socket = self.socket.get().ok_or(io::ErrorKind::NotConnected)?;
-        // SAFETY: `closed` is called before the socket is closed, so the descriptor is still open here.
+        // SAFETY: `set_closed` is called before the socket is closed, so the descriptor is still open here.
         unsafe { BorrowedFd::borrow_raw(socket) }.try_clone_to_owned()
     }
 
@@ -289,8 +295,8 @@
         self.has_pipelined.set(true);
     }
 
-    /// The socket is about to be closed, or now belongs to another `Guest`.
-    pub fn closed(&self) {
+    /// The socket is about to be closed, or now belongs to another `ClientConnection`.
+    pub fn set_closed(&self) {
         self.socket.set(None);
     }
 
@@ -307,11 +313,11 @@
     pub fn set_answered(&self) {
         self.job.set(None);
         self.received.set((0, 0));
-        self.enter(Doing::Resting);
+        self.enter(ConnectionState::Idle);
     }
 
-    fn enter(&self, doing: Doing) {
-        self.doing.set(doing);
+    fn enter(&self, state: ConnectionState) {
+        self.state.set(state);
         self.since.set(Instant::now());
     }
 }
@@ -320,24 +326,24 @@
 /// a request are disconnected on any request: actix-http's timeout covers only the first request head.
 pub struct Stream {
     socket: Socket,
-    guest: Rc<Guest>,
+    connection: Rc<ClientConnection>,
 }
 
 impl Stream {
-    pub fn new(socket: TcpStream, guest: Rc<Guest>) -> Self {
-        Stream { socket: Socket::new(socket), guest }
+    pub fn new(socket: TcpStream, connection: Rc<ClientConnection>) -> Self {
+        Stream { socket: Socket::new(socket), connection }
     }
 }
 
 impl Drop for Stream {
     fn drop(&mut self) {
-        self.guest.closed();
+        self.connection.set_closed();
     }
 }
 
 impl AsyncRead for Stream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        match self.guest.read_action() {
+        match self.connection.read_action() {
             ReadAction::Read => {}
             ReadAction::Yield => {
                 cx.waker().wake_by_ref();
@@ -349,11 +355,11 @@
         let mut part = [MaybeUninit::uninit(); MAX_READ];
         let room = buf.remaining().min(MAX_READ);
         let mut part = ReadBuf::uninit(&mut part[..room]);
-        let newest_arrival = self.guest.newest_byte_time();
+        let newest_arrival = self.connection.newest_byte_time();
         let read = Pin::new(&mut self.socket).poll_read(cx, &mut part);
         if !part.filled().is_empty() {
             buf.put_slice(part.filled());
-            self.guest.bytes_received(part.filled().len(), newest_arrival);
+            self.connection.bytes_received(part.filled().len(), newest_arrival);
         }
         read
     }
@@ -376,7 +382,7 @@
 impl AsyncWrite for Stream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.socket).poll_write(cx, bytes);
-        self.guest.is_write_pending.set(written.is_pending());
+        self.connection.is_write_pending.set(written.is_pending());
         written
     }
 
--- a/crates/coveroute-node/src/crossings.rs
+++ b/crates/coveroute-node/src/crossings.rs
@@ -12,8 +12,8 @@
 use test_case::test_case;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
+use crate::client_connection::{ClientConnection, ClientConnections, Stream};
 use crate::clock::{seconds, Clock};
-use crate::guest::{Guest, Guests, Stream};
 use crate::happening::Happening;
 use crate::phase::Life;
 use crate::server::{self, Door};
@@ -72,14 +72,14 @@
 
 /// Records the turns of this thread, and whether the kernel then had neither a byte nor a close from any
 /// client for it.
-fn turns(guests: Guests) -> Rc<RefCell<Vec<(Instant, bool)>>> {
+fn turns(connections: ClientConnections) -> Rc<RefCell<Vec<(Instant, bool)>>> {
     let turns: Rc<RefCell<Vec<(Instant, bool)>>> = Rc::default();
     let mine = turns.clone();
     actix_rt::spawn(async move {
         loop {
-            let unread = |guest: &Rc<Guest>| guest.unread();
-            let has_event = |guest| unread(guest) > 0 || guest.has_disconnected();
-            let idle = !guests.borrow().is_empty() && !guests.borrow().values().any(has_event);
+            let unread = |connection: &Rc<ClientConnection>| connection.unread();
+            let has_event = |connection| unread(connection) > 0 || connection.has_disconnected();
+            let idle = !connections.borrow().is_empty() && !connections.borrow().values().any(has_event);
             mine.borrow_mut().push((Instant::now(), idle));
             actix_rt::time::sleep(seconds(TURN_INTERVAL)).await;
         }
@@ -127,7 +127,7 @@
             left
         });
         let (id, _answer) = first_job(&mut happens).await;
-        let turns = turns(door.guests());
+        let turns = turns(door.connections());
         go.send(()).expect("a client");
         let noticed = timeout(seconds(3.0), async {
             loop {
@@ -190,17 +190,20 @@
         let addr = listener.local_addr().expect("an address");
         let client = actix_rt::net::TcpStream::connect(addr).await.expect("a connection");
         let socket = listener.accept().await.expect("a connection").0;
-        let guest = Rc::new(Guest::new(-1));
-        let mut stream = Stream::new(socket, guest.clone());
-        guest.set_answered();
-        assert!(!guest.is_busy(), "nothing is being written");
+        let connection = Rc::new(ClientConnection::new(-1));
+        let mut stream = Stream::new(socket, connection.clone());
+        connection.set_answered();
+        assert!(!connection.is_busy(), "nothing is being written");
         // More than the kernel buffers for a client that reads nothing.
         let answer = vec![b'x'; 32 << 20];
         let mut client = client;
         let write = stream.write_all(&answer);
         tokio::pin!(write);
         assert!(timeout(seconds(0.2), &mut write).await.is_err(), "it can't be written completely");
-        assert!(guest.is_busy() && !guest.idle_for(Duration::ZERO), "a part is still to be written");
+        assert!(
+            connection.is_busy() && !connection.idle_for(Duration::ZERO),
+            "a part is still to be written"
+        );
         let read = async {
             let mut buffer = vec![0; 1 << 20];
             let mut count = 0;
@@ -210,7 +213,7 @@
         };
         let (written, ()) = tokio::join!(write, read);
         written.expect("all of it");
-        assert!(!guest.is_busy(), "everything is written");
+        assert!(!connection.is_busy(), "everything is written");
     });
 }
 
@@ -218,10 +221,10 @@
 // process, which would continue in the middle of them.
 #[test]
 fn a_connection_with_discarded_bytes_is_not_handed_over() {
-    let guest = Guest::new(-1);
-    guest.set_waiting();
-    guest.set_job(1);
-    assert!(guest.leaves().is_some() && guest.is_reusable());
-    guest.set_overrun();
-    assert!(guest.leaves().is_none() && !guest.is_reusable());
+    let connection = ClientConnection::new(-1);
+    connection.set_waiting();
+    connection.set_job(1);
+    assert!(connection.handover().is_some() && connection.is_reusable());
+    connection.set_overrun();
+    assert!(connection.handover().is_none() && !connection.is_reusable());
 }
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -17,12 +17,12 @@
 
 use crate::attempt::{Attempt, AttemptCounts, Deadline, Progress};
 use crate::callbacks;
+use crate::client_connection::{Client, ClientConnection, ClientConnections, Handover};
 use crate::clock::{seconds, Clock};
 use crate::config::Config;
 use crate::discovery::Discovery;
 use crate::executors::Links;
 use crate::fleet::Carrier;
-use crate::guest::{Client, Guest, Guests, Leaves};
 use crate::handed::{Handed, TransferredJob};
 use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::link::{Link, Said, Side};
@@ -98,7 +98,7 @@
     pub predecessor: Option<(Rc<Link>, Handed)>,
     pub successor_socket: Option<SuccessorSocket>,
     /// The clients' connections, and the queue for connections that the predecessor hands over.
-    pub guests: Guests,
+    pub connections: ClientConnections,
     pub adopted: Option<mpsc::UnboundedSender<Comes>>,
 }
 
@@ -129,7 +129,7 @@
     /// The socket for successors, until it is bound and once it is.
     successor_socket: Option<SuccessorSocket>,
     bound_socket: Option<BoundSocket>,
-    guests: Guests,
+    connections: ClientConnections,
     adopted: Option<mpsc::UnboundedSender<Comes>>,
     /// Whether the predecessor was told that this process serves.
     announced: bool,
@@ -147,7 +147,7 @@
         endpoints: Endpoints,
         happenings: Happenings,
     ) -> Result<Self, String> {
-        let Endpoints { datagrams, carrier, predecessor, successor_socket, guests, adopted } = endpoints;
+        let Endpoints { datagrams, carrier, predecessor, successor_socket, connections, adopted } = endpoints;
         life.take_lists_from(config.pushed_by());
         life.take_max_pause(config.settings.max_pause);
         let applied = AppliedConfig::of(&config);
@@ -178,7 +178,7 @@
             predecessor,
             successor: None,
             successor_socket,
-            guests,
+            connections,
             adopted,
             bound_socket: None,
             announced: false,
@@ -213,7 +213,7 @@
                 self.hand_over();
             }
             // A connection stays busy until its answer has been written.
-            let busy = || self.guests.borrow().values().any(|guest| guest.is_busy());
+            let busy = || self.connections.borrow().values().any(|connection| connection.is_busy());
             if closing.is_some() && self.life.idle() && !busy() {
                 self.dispatch(Event::Idle);
             }
@@ -448,12 +448,12 @@
         let Some(job) = job else { return error!("invalid job handed over by the predecessor") };
         let (id, (answer, answered)) = (self.life.next_id(), oneshot::channel());
         // The client may have disconnected during the handover, so the socket is checked before anything is sent.
-        let guest = Rc::new(Guest::new(socket.as_raw_fd()));
-        let client = Client { answer, guest: Some(guest.clone()) };
+        let connection = Rc::new(ClientConnection::new(socket.as_raw_fd()));
+        let client = Client { answer, connection: Some(connection.clone()) };
         self.jobs.insert(id, PendingJob { job: Rc::new(job), client });
-        let mine = guest.clone();
+        let mine = connection.clone();
         if !self.adopt_connection(socket, |stream| Comes::Waiting(stream, mine, id, answered)) {
-            guest.closed();
+            connection.set_closed();
         }
         self.engine.take_in(self.clock.now(), id, handed.parcel, &mut self.actions);
         self.execute_actions();
@@ -463,22 +463,22 @@
     /// After a stop request this process exits once nothing is left.
     fn hand_over(&mut self) {
         let Some(successor) = self.successor.clone().filter(|_| !self.life.takes()) else { return };
-        let guests: Vec<_> = self.guests.borrow().values().cloned().collect();
-        for guest in &guests {
-            let Some(leaves) = guest.leaves() else { continue };
-            let Ok(socket) = guest.socket() else { continue };
+        let connections: Vec<_> = self.connections.borrow().values().cloned().collect();
+        for connection in &connections {
+            let Some(leaves) = connection.handover() else { continue };
+            let Ok(socket) = connection.socket() else { continue };
             match leaves {
-                Leaves::Idle => successor.send_connection(socket),
-                Leaves::Waiting(id) => {
+                Handover::Idle => successor.send_connection(socket),
+                Handover::Waiting(id) => {
                     let Some(job) = self.jobs.get(&id).map(|pending| pending.job.clone()) else { continue };
                     let Some(parcel) = self.engine.part_with(id) else { continue };
                     self.jobs.remove(&id);
                     successor.send_job(TransferredJob::of(parcel, &job), socket);
                 }
             }
-            guest.goes();
+            connection.set_handed_over();
         }
-        if guests.is_empty() && successor.is_flushed() && self.life.phase() == Phase::Leaving {
+        if connections.is_empty() && successor.is_flushed() && self.life.phase() == Phase::Leaving {
             self.dispatch(Event::Relieved);
         }
     }
@@ -558,7 +558,7 @@
 
     fn send(&mut self, id: InvId, forward: usize, tgt: Tgt, deadline: Deadline) -> Option<Event<'static>> {
         let Some((job, client)) =
-            self.jobs.get(&id).map(|pending| (pending.job.clone(), pending.client.guest.clone()))
+            self.jobs.get(&id).map(|pending| (pending.job.clone(), pending.client.connection.clone()))
         else {
             debug!("forward {forward} of {id} not started: the client disconnected");
             self.attempts.client_left();
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -16,7 +16,7 @@
 
 /// A client without a connection.
 fn client(answer: oneshot::Sender<Answer>) -> Client {
-    Client { answer, guest: None }
+    Client { answer, connection: None }
 }
 
 /// Runs the driver until the client has its answer; returns the answer and the time it took.
--- a/crates/coveroute-node/src/happening.rs
+++ b/crates/coveroute-node/src/happening.rs
@@ -8,8 +8,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::attempt::AttemptFigures;
+use crate::client_connection::Client;
 use crate::config::Config;
-use crate::guest::Client;
 use crate::handed::Handed;
 use crate::link::{Link, Said, Side};
 use crate::take_in::Job;
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -5,6 +5,7 @@
 mod at_size;
 mod attempt;
 mod callbacks;
+mod client_connection;
 mod clock;
 mod config;
 mod connection;
@@ -17,7 +18,6 @@
 mod driver;
 mod executors;
 mod fleet;
-mod guest;
 mod handed;
 mod happening;
 mod hosts;
@@ -270,7 +270,7 @@
         carrier,
         predecessor,
         successor_socket,
-        guests: door.guests(),
+        connections: door.connections(),
         adopted: Some(adopt),
     };
     let driver = Driver::new(config, clock, life, links, endpoints, happenings)?;
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -21,9 +21,11 @@
 use tokio::io::{AsyncWriteExt, Interest};
 use tokio::sync::{mpsc, oneshot, Notify};
 
+use crate::client_connection::{
+    Client, ClientConnection, ClientConnections, ConnectionState, EvictionClass, Stream,
+};
 use crate::clock::Clock;
 use crate::descriptors::Descriptors;
-use crate::guest::{Claim, Client, Doing, Guest, Guests, Stream};
 use crate::happening::{Happening, Happenings};
 use crate::hosts::Hosts;
 use crate::phase::Life;
@@ -53,7 +55,7 @@
     clock: Clock,
     life: Rc<Life>,
     happenings: Happenings,
-    guests: Guests,
+    connections: ClientConnections,
     /// Maximum number of connections with a pending request.
     max_waiting: usize,
     /// Maximum number of connections beyond those: idle, or given only an immediate answer.
@@ -76,7 +78,7 @@
             clock,
             life,
             happenings,
-            guests: Guests::default(),
+            connections: ClientConnections::default(),
             max_waiting,
             max_others,
             accept_wait_since: Cell::new(None),
@@ -85,22 +87,27 @@
         }
     }
 
-    pub fn guests(&self) -> Guests {
-        self.guests.clone()
+    pub fn connections(&self) -> ClientConnections {
+        self.connections.clone()
     }
 
-    fn close_all(&self, which: impl Fn(&Guest) -> bool) {
-        self.guests.borrow().values().filter(|guest| which(guest)).for_each(|guest| guest.close.notify_one());
+    fn close_all(&self, which: impl Fn(&ClientConnection) -> bool) {
+        self.connections
+            .borrow()
+            .values()
+            .filter(|connection| which(connection))
+            .for_each(|connection| connection.close.notify_one());
     }
 
     /// Closes up to `most` connections to make room: first those without a completed request, then those that
     /// are idle after one, and in each group the longest idle first.
     fn evict_idle(&self, most: usize) {
-        let guests = self.guests.borrow();
-        let mut idle: Vec<_> = guests.values().map(|guest| (guest.claim(), guest)).collect();
-        idle.retain(|guest| guest.0 < Claim::Owed);
-        idle.sort_by_key(|(claim, guest)| (*claim == Claim::Rested, guest.since()));
-        idle.into_iter().take(most).for_each(|guest| guest.1.close.notify_one());
+        let connections = self.connections.borrow();
+        let mut idle: Vec<_> =
+            connections.values().map(|connection| (connection.eviction_class(), connection)).collect();
+        idle.retain(|connection| connection.0 < EvictionClass::Protected);
+        idle.sort_by_key(|(class, connection)| (*class == EvictionClass::Idle, connection.since()));
+        idle.into_iter().take(most).for_each(|connection| connection.1.close.notify_one());
     }
 
     /// Waits until one more connection may be opened, evicting idle ones. Otherwise clients could stay
@@ -110,7 +117,7 @@
         // Idle connections closed for each new one, so that clients that only connect lose their places
         // first.
         const AT_ONCE: usize = 16;
-        let open = || self.guests.borrow().len();
+        let open = || self.connections.borrow().len();
         let (waiting, others) = (self.life.part(self.max_waiting), self.life.part(self.max_others));
         let all = (waiting + others).min(self.descriptors.get().max_connections());
         // Evicts early, to keep half of the places beyond the waiting connections free.
@@ -136,7 +143,7 @@
     fn descriptors_exhausted(&self) {
         const CLOSED: usize = 4; // At most one in this many open connections is evicted at a time.
         const LEAST: usize = 4; // The limit is not lowered below the configured one divided by this.
-        let open = self.guests.borrow().len();
+        let open = self.connections.borrow().len();
         let least = (self.life.part(self.max_waiting) + self.life.part(self.max_others)) / LEAST;
         self.update_descriptors(|descriptors| descriptors.exhausted(open, least));
         self.evict_idle(open.div_ceil(CLOSED));
@@ -174,11 +181,11 @@
     }
 
     async fn serve(self: Rc<Self>, request: Request) -> Response<BoxBody> {
-        let guest = request.peer_addr().and_then(|peer| self.guests.borrow().get(&peer).cloned());
-        let (answer, next) = self.answer(request, guest.as_ref()).await;
-        let is_reusable = guest.as_ref().is_none_or(|guest| guest.is_reusable());
+        let connection = request.peer_addr().and_then(|peer| self.connections.borrow().get(&peer).cloned());
+        let (answer, next) = self.answer(request, connection.as_ref()).await;
+        let is_reusable = connection.as_ref().is_none_or(|connection| connection.is_reusable());
         let keep = next == AfterResponse::KeepOpen && is_reusable && self.keeps(&answer);
-        guest.iter().for_each(|guest| guest.set_answered());
+        connection.iter().for_each(|connection| connection.set_answered());
         answer.response(keep)
     }
 
@@ -197,8 +204,13 @@
         }
     }
 
-    async fn answer(&self, mut request: Request, guest: Option<&Rc<Guest>>) -> (Answer, AfterResponse) {
-        let came = guest.map_or_else(|| self.clock.now(), |guest| self.clock.at(guest.newest_arrival()));
+    async fn answer(
+        &self,
+        mut request: Request,
+        connection: Option<&Rc<ClientConnection>>,
+    ) -> (Answer, AfterResponse) {
+        let came = connection
+            .map_or_else(|| self.clock.now(), |connection| self.clock.at(connection.newest_arrival()));
         let answer = match (request.path(), request.method()) {
             (wire::UP, &Method::GET | &Method::HEAD) if self.life.is_up() => Answer::Succeeded("up\n".into()),
             (wire::UP, _) => Answer::Throttled { pause: 0.0 },
@@ -209,8 +221,8 @@
                 let class = take_in::class(request.path()).to_owned();
                 match take_in::job(request, came).await {
                     Ok(job) => {
-                        guest.iter().for_each(|guest| guest.set_waiting());
-                        return self.job(job, guest).await;
+                        connection.iter().for_each(|connection| connection.set_waiting());
+                        return self.job(job, connection).await;
                     }
                     Err(unfit) => {
                         if !matches!(unfit, Answer::Unfit(_, take_in::BODY_INCOMPLETE)) {
@@ -283,10 +295,15 @@
         }
     }
 
-    async fn job(&self, job: take_in::Job, guest: Option<&Rc<Guest>>) -> (Answer, AfterResponse) {
+    async fn job(
+        &self,
+        job: take_in::Job,
+        connection: Option<&Rc<ClientConnection>>,
+    ) -> (Answer, AfterResponse) {
         let _guard = self.life.request_guard();
-        let is_waiting = |guest: &&Rc<Guest>| guest.doing() == Doing::Waiting;
-        if self.guests.borrow().values().filter(is_waiting).count() > self.life.part(self.max_waiting) {
+        let is_waiting =
+            |connection: &&Rc<ClientConnection>| connection.state() == ConnectionState::AwaitingAnswer;
+        if self.connections.borrow().values().filter(is_waiting).count() > self.life.part(self.max_waiting) {
             let _ = self.happenings.send(Happening::Ended(job.call.class, Verdict::Throttled));
             return (
                 Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.life.max_pause()) },
@@ -294,9 +311,9 @@
             );
         }
         let id = self.life.next_id();
-        guest.iter().for_each(|guest| guest.set_job(id));
+        connection.iter().for_each(|connection| connection.set_job(id));
         let (answer, answered) = oneshot::channel();
-        let client = Client { answer, guest: guest.cloned() };
+        let client = Client { answer, connection: connection.cloned() };
         let _ = self.happenings.send(Happening::Taken(id, Box::new(job), client));
         // actix-http drops this future, and the guard with it, when the client closes the connection.
         let mut guard = DisconnectGuard { id, happenings: &self.happenings, answered: false };
@@ -377,7 +394,7 @@
 pub enum Comes {
     Idle(TcpStream),
     /// The client waits for the answer to this job.
-    Waiting(TcpStream, Rc<Guest>, InvId, oneshot::Receiver<Answer>),
+    Waiting(TcpStream, Rc<ClientConnection>, InvId, oneshot::Receiver<Answer>),
 }
 
 impl Comes {
@@ -388,21 +405,22 @@
     {
         let (socket, job) = match self {
             Comes::Idle(socket) => (socket, None),
-            Comes::Waiting(socket, guest, id, answered) => (socket, Some((guest, id, answered))),
+            Comes::Waiting(socket, connection, id, answered) => (socket, Some((connection, id, answered))),
         };
         match (socket.peer_addr(), job) {
             (Ok(peer), None) => serve_connection(door, service, socket, peer, None),
-            (Ok(peer), Some((guest, id, answered))) => {
+            (Ok(peer), Some((connection, id, answered))) => {
                 let (door, service) = (door.clone(), service.clone());
                 actix_rt::spawn(async move {
-                    if let Some(socket) = door.answer_pending(socket, (peer, guest), id, answered).await {
+                    if let Some(socket) = door.answer_pending(socket, (peer, connection), id, answered).await
+                    {
                         serve_connection(&door, &service, socket, peer, None);
                     }
                 });
             }
             // The client disconnected during the handover.
-            (Err(_), Some((guest, id, _))) => {
-                guest.closed();
+            (Err(_), Some((connection, id, _))) => {
+                connection.set_closed();
                 let _ = door.happenings.send(Happening::Left(id));
             }
             (Err(_), None) => {}
@@ -415,16 +433,16 @@
     async fn answer_pending(
         &self,
         stream: TcpStream,
-        (peer, guest): (SocketAddr, Rc<Guest>),
+        (peer, connection): (SocketAddr, Rc<ClientConnection>),
         id: InvId,
         answered: oneshot::Receiver<Answer>,
     ) -> Option<TcpStream> {
         let _guard = self.life.request_guard();
         let mut socket = Socket::new(stream);
-        guest.set_waiting();
-        guest.set_job(id);
-        let own = guest.clone();
-        self.guests.borrow_mut().insert(peer, guest);
+        connection.set_waiting();
+        connection.set_job(id);
+        let own = connection.clone();
+        self.connections.borrow_mut().insert(peer, connection);
         let mut guard = DisconnectGuard { id, happenings: &self.happenings, answered: false };
         let answer = tokio::select! {
             // The close request comes first: once the job is handed over to the next process, the answer's
@@ -442,8 +460,8 @@
             }
             None => false,
         };
-        own.closed();
-        self.guests.borrow_mut().remove(&peer);
+        own.set_closed();
+        self.connections.borrow_mut().remove(&peer);
         self.connection_ended.notify_one();
         kept.then(|| socket.into_stream())
     }
@@ -452,9 +470,9 @@
 /// Waits until the client has closed the connection, even behind unread bytes. Up to `MAX_UNREAD` such bytes
 /// stay in the kernel's buffer; more are read and discarded, as the close could not arrive behind a full
 /// buffer.
-async fn until_disconnected(socket: &TcpStream, guest: &Guest) {
+async fn until_disconnected(socket: &TcpStream, connection: &ClientConnection) {
     const MAX_UNREAD: usize = 32 * 1024; // Half of the kernel's smallest receive buffer.
-    let poll = || match (guest.has_disconnected(), guest.unread()) {
+    let poll = || match (connection.has_disconnected(), connection.unread()) {
         (true, _) => Ok(true),
         (false, MAX_UNREAD..) => Ok(false),
         (false, _) => Err(std::io::ErrorKind::WouldBlock.into()),
@@ -462,7 +480,7 @@
     let mut scratch = vec![0; MAX_UNREAD];
     // `WouldBlock` makes `async_io` wait for the kernel's next readiness event.
     while let Ok(false) = socket.async_io(Interest::READABLE, poll).await {
-        guest.set_overrun();
+        connection.set_overrun();
         while let Ok(1..) = socket.try_read(&mut scratch) {}
     }
 }
@@ -478,19 +496,19 @@
     S: Service<(Stream, Option<SocketAddr>), Response = ()> + 'static,
     S::Error: std::fmt::Debug,
 {
-    let guest = Rc::new(Guest::new(socket.as_raw_fd()).accept_wait_since(accept_wait_since));
-    door.guests.borrow_mut().insert(peer, guest.clone());
-    let stream = Stream::new(socket, guest.clone());
+    let connection = Rc::new(ClientConnection::new(socket.as_raw_fd()).accept_wait_since(accept_wait_since));
+    door.connections.borrow_mut().insert(peer, connection.clone());
+    let stream = Stream::new(socket, connection.clone());
     let (door, serving) = (door.clone(), service.call((stream, Some(peer))));
     actix_rt::spawn(async move {
         tokio::select! {
             // The close request comes first, so that no request is read in the same poll in which the
             // connection closes.
             biased;
-            () = guest.close.notified() => {}
+            () = connection.close.notified() => {}
             ended = serving => if let Err(e) = ended { debug!("{peer}: {e:?}") },
         }
-        door.guests.borrow_mut().remove(&peer);
+        door.connections.borrow_mut().remove(&peer);
         door.connection_ended.notify_one();
     });
 }
@@ -503,6 +521,8 @@
         door.update_descriptors(|descriptors| descriptors.grow(SWEEP_INTERVAL));
         let closing = door.life.phase() == Phase::Closing;
         let idle = if closing { Duration::from_millis(100) } else { MAX_IDLE };
-        door.close_all(|guest| guest.claim() == Claim::Overdue || guest.idle_for(idle));
+        door.close_all(|connection| {
+            connection.eviction_class() == EvictionClass::TimedOut || connection.idle_for(idle)
+        });
     }
 }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -19,13 +19,13 @@
 
 use crate::attempt::{Attempt, AttemptFigures, Deadline};
 use crate::callbacks;
+use crate::client_connection::{Client, ClientConnection, ConnectionState, EvictionClass};
 use crate::clock::{seconds, Clock};
 use crate::config::{self, Config};
 use crate::discovery::{Discovery, ListParser, WatchItem};
 use crate::driver::{Driver, Endpoints};
 use crate::executors::{Links, Patience};
 use crate::fleet::{Carrier, Membership};
-use crate::guest::{Claim, Client, Doing, Guest};
 use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::hosts::Hosts;
 use crate::logger::{Pace, Turn};
@@ -401,15 +401,15 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-#[test_case(Doing::Silent, 100, Claim::Owed; "it has just connected")]
-#[test_case(Doing::Silent, 300, Claim::None; "it has sent nothing")]
-#[test_case(Doing::Asking, 300, Claim::None; "its request is slow")]
-#[test_case(Doing::Asking, 2500, Claim::Overdue; "its request is overdue")]
-#[test_case(Doing::Resting, 2500, Claim::Rested; "it has had its answer")]
-#[test_case(Doing::Resting, 100, Claim::Owed; "its answer may still be in transit")]
-#[test_case(Doing::Waiting, 9000, Claim::Owed; "its answer is pending")]
-fn connections_with_a_pending_answer_are_kept(doing: Doing, age: u32, expected: Claim) {
-    assert_eq!(Guest::since_long(doing, age * MS).claim(), expected);
+#[test_case(ConnectionState::Connected, 100, EvictionClass::Protected; "it has just connected")]
+#[test_case(ConnectionState::Connected, 300, EvictionClass::NoRequest; "it has sent nothing")]
+#[test_case(ConnectionState::ReadingRequest, 300, EvictionClass::NoRequest; "its request is slow")]
+#[test_case(ConnectionState::ReadingRequest, 2500, EvictionClass::TimedOut; "its request is overdue")]
+#[test_case(ConnectionState::Idle, 2500, EvictionClass::Idle; "it has had its answer")]
+#[test_case(ConnectionState::Idle, 100, EvictionClass::Protected; "its answer may still be in transit")]
+#[test_case(ConnectionState::AwaitingAnswer, 9000, EvictionClass::Protected; "its answer is pending")]
+fn connections_with_a_pending_answer_are_kept(state: ConnectionState, age: u32, expected: EvictionClass) {
+    assert_eq!(ClientConnection::with_age(state, age * MS).eviction_class(), expected);
 }
 
 const HEAD: &str = "POST /look HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nX-Budget-Ms: 900\r\n";
@@ -819,7 +819,7 @@
         let _ = happenings.send(Happening::Taken(
             7,
             Box::new(job("c", "look", 3.0, Clock::new().now())),
-            Client { answer, guest: None },
+            Client { answer, connection: None },
         ));
         let driver = actix_rt::spawn(driver.run(happens));
         let sent = actix_rt::task::spawn_blocking(move || came.recv_timeout(seconds(2.0)));
--- a/crates/coveroute-node/src/watches.rs
+++ b/crates/coveroute-node/src/watches.rs
@@ -15,8 +15,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::oneshot;
 
+use crate::client_connection::Client;
 use crate::clock::seconds;
-use crate::guest::Client;
 use crate::happening::{Happening, Happenings};
 use crate::tests::{block, changed, driver_by, job, NO_REPORTS, PUSHED};
 
@@ -206,7 +206,7 @@
             let call = format!("c-{id}");
             let mut job = job(&call, "look", 1.0, clock.now());
             job.headers.insert(HeaderName::from_static("x-call-id"), call.try_into().expect("a value"));
-            let client = Client { answer, guest: None };
+            let client = Client { answer, connection: None };
             tell.send(Happening::Taken(id, Box::new(job), client)).expect("a driver");
         }
         let first = service.came.borrow()[0];
