--- a/crates/coveroute-node/src/client_connection.rs
+++ b/crates/coveroute-node/src/client_connection.rs
@@ -108,7 +108,7 @@
     pub connection: Option<Rc<ClientConnection>>,
 }
 
-/// All open client connections of a [`crate::server::Door`], by peer address.
+/// All open client connections of a [`crate::server::ClientServer`], by peer address.
 pub type ClientConnections = Rc<RefCell<BTreeMap<SocketAddr, Rc<ClientConnection>>>>;
 
 /// How a connection can be handed over to another process.
--- a/crates/coveroute-node/src/crossings.rs
+++ b/crates/coveroute-node/src/crossings.rs
@@ -16,7 +16,7 @@
 use crate::clock::{seconds, Clock};
 use crate::happening::Happening;
 use crate::phase::Life;
-use crate::server::{self, Door};
+use crate::server::{self, ClientServer};
 use crate::tests::block;
 
 /// The time in seconds in which a node must notice that a client has disconnected; set by the operators.
@@ -26,13 +26,13 @@
 const TURN_INTERVAL: f64 = 0.001;
 
 /// Starts a server on a port of its own. The test takes the place of the driver and receives its events.
-async fn door() -> (SocketAddr, UnboundedReceiver<Happening>, Rc<Door>) {
+async fn server() -> (SocketAddr, UnboundedReceiver<Happening>, Rc<ClientServer>) {
     let (happenings, happens) = unbounded_channel();
-    let door = Rc::new(Door::new(Clock::new(), Rc::new(Life::new()), happenings, (8, 4)));
+    let server = Rc::new(ClientServer::new(Clock::new(), Rc::new(Life::new()), happenings, (8, 4)));
     let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    actix_rt::spawn(server::accept(listener, door.clone(), unbounded_channel().1));
-    (addr, happens, door)
+    actix_rt::spawn(server::accept(listener, server.clone(), unbounded_channel().1));
+    (addr, happens, server)
 }
 
 fn request(id: usize) -> String {
@@ -111,7 +111,7 @@
 #[test_case(0, 300_000, Disconnect::Close; "behind invalid bytes")]
 fn a_disconnect_while_the_request_is_pending_is_noticed(ahead: usize, junk: usize, how: Disconnect) {
     block(async move {
-        let (addr, mut happens, door) = door().await;
+        let (addr, mut happens, server) = server().await;
         let (go, started) = std::sync::mpsc::channel::<()>();
         let client = spawn_blocking(move || {
             let mut stream = TcpStream::connect(addr).expect("a connection");
@@ -127,7 +127,7 @@
             left
         });
         let (id, _answer) = first_job(&mut happens).await;
-        let turns = turns(door.connections());
+        let turns = turns(server.connections());
         go.send(()).expect("a client");
         let noticed = timeout(seconds(3.0), async {
             loop {
@@ -157,7 +157,7 @@
 #[test]
 fn a_client_that_sends_too_much_while_it_waits_takes_up_no_core() {
     block(async move {
-        let (addr, mut happens, _door) = door().await;
+        let (addr, mut happens, _server) = server().await;
         let client = spawn_blocking(move || {
             let mut stream = TcpStream::connect(addr).expect("a connection");
             stream.set_write_timeout(Some(seconds(0.2))).expect("a limit");
--- a/crates/coveroute-node/src/departures.rs
+++ b/crates/coveroute-node/src/departures.rs
@@ -22,7 +22,7 @@
 use crate::clock::seconds;
 use crate::crossings::{disconnect, kernel_value, Disconnect, MAX_NOTICE_DELAY};
 use crate::happening::Happening;
-use crate::server::{self, Door};
+use crate::server::{self, ClientServer};
 use crate::tests::{block, changed, driver_by, followed};
 
 /// Free slots reported by an executor with room.
@@ -189,10 +189,11 @@
     block(async move {
         let (mut driver, happenings, happens, life) = driver_by(config);
         driver.happened(followed());
-        let door = Rc::new(Door::new(crate::clock::Clock::new(), life, happenings.clone(), (600, 64)));
+        let server =
+            Rc::new(ClientServer::new(crate::clock::Clock::new(), life, happenings.clone(), (600, 64)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        actix_rt::spawn(server::accept(listener, door, unbounded_channel().1));
+        actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
         let driver = actix_rt::spawn(driver.run(happens));
         *world.node.lock().expect("a node") = Some(addr);
         let (busy, mut blocks) = unbounded_channel();
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -31,7 +31,7 @@
 use crate::probe::{give_up, probe};
 use crate::replace::{self, BoundSocket};
 use crate::send;
-use crate::server::Comes;
+use crate::server::AdoptedConnection;
 use crate::take_in::Job;
 use crate::validation::Keys;
 
@@ -99,7 +99,7 @@
     pub successor_socket: Option<SuccessorSocket>,
     /// The clients' connections, and the queue for connections that the predecessor hands over.
     pub connections: ClientConnections,
-    pub adopted: Option<mpsc::UnboundedSender<Comes>>,
+    pub adopted: Option<mpsc::UnboundedSender<AdoptedConnection>>,
 }
 
 /// The Unix socket at which successors connect, and the sockets that are passed to them.
@@ -130,7 +130,7 @@
     successor_socket: Option<SuccessorSocket>,
     bound_socket: Option<BoundSocket>,
     connections: ClientConnections,
-    adopted: Option<mpsc::UnboundedSender<Comes>>,
+    adopted: Option<mpsc::UnboundedSender<AdoptedConnection>>,
     /// Whether the predecessor was told that this process serves.
     announced: bool,
     happenings: Happenings,
@@ -404,7 +404,7 @@
             }
             (Side::Predecessor, Said::Stopped) => self.takeover_complete(),
             (Side::Predecessor, Said::Guest(socket)) => {
-                self.adopt_connection(socket, Comes::Idle);
+                self.adopt_connection(socket, AdoptedConnection::Idle);
             }
             (Side::Predecessor, Said::Job(job, socket)) => self.adopt_job(*job, socket),
             (Side::Successor, Said::Guest(_) | Said::Job(..)) => {
@@ -432,7 +432,11 @@
     }
 
     /// Passes a connection from the predecessor to the server; returns whether the server took it.
-    fn adopt_connection(&mut self, socket: OwnedFd, wrap: impl FnOnce(TcpStream) -> Comes) -> bool {
+    fn adopt_connection(
+        &mut self,
+        socket: OwnedFd,
+        wrap: impl FnOnce(TcpStream) -> AdoptedConnection,
+    ) -> bool {
         let stream = TcpStream::from_std(std::net::TcpStream::from(socket));
         match (stream, &self.adopted) {
             (Ok(stream), Some(adopted)) => return adopted.send(wrap(stream)).is_ok(),
@@ -452,7 +456,7 @@
         let client = Client { answer, connection: Some(connection.clone()) };
         self.jobs.insert(id, PendingJob { job: Rc::new(job), client });
         let mine = connection.clone();
-        if !self.adopt_connection(socket, |stream| Comes::Waiting(stream, mine, id, answered)) {
+        if !self.adopt_connection(socket, |stream| AdoptedConnection::Waiting(stream, mine, id, answered)) {
             connection.set_closed();
         }
         self.engine.take_in(self.clock.now(), id, handed.parcel, &mut self.actions);
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -223,9 +223,9 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("a non-blocking socket");
         let (mut driver, _happens, _) = driver(&[listener.local_addr().expect("an address")]);
-        let (comes, _coming) = mpsc::unbounded_channel();
+        let (adopted, _adopted_connections) = mpsc::unbounded_channel();
         (driver.predecessor, driver.adopted) =
-            (Some(Rc::new(Link::new(Side::Predecessor, 0, mpsc::unbounded_channel().0))), Some(comes));
+            (Some(Rc::new(Link::new(Side::Predecessor, 0, mpsc::unbounded_channel().0))), Some(adopted));
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
         driver.dispatch(Event::Probed(0, Outcome::Succeeded, room));
         driver.happened(Happening::Said(Side::Predecessor, 0, Said::Job(Box::new(handed), socket.into())));
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -63,7 +63,7 @@
 use fleet::Carrier;
 use happening::{Happening, Happenings};
 use phase::Life;
-use server::Door;
+use server::ClientServer;
 
 const USAGE: &str = "\
 coveroute: accepts invocations from clients and pushes them to executors
@@ -242,7 +242,7 @@
     let life = Rc::new(Life::new());
     let (executors, clients) = descriptor_limits(config.sockets, config.memory_mb);
     let links = Links::new(executors, config.dial, config.idle);
-    let door = Rc::new(Door::new(clock, life.clone(), happenings.clone(), clients));
+    let server = Rc::new(ClientServer::new(clock, life.clone(), happenings.clone(), clients));
     let carrier = match (fleet, &datagrams) {
         (Some((membership, plan, _)), Some(socket)) => {
             let socket = socket.try_clone().map_err(|e| e.to_string())?;
@@ -270,12 +270,12 @@
         carrier,
         predecessor,
         successor_socket,
-        connections: door.connections(),
+        connections: server.connections(),
         adopted: Some(adopt),
     };
     let driver = Driver::new(config, clock, life, links, endpoints, happenings)?;
-    actix_rt::spawn(server::accept(listener, door.clone(), adopted));
-    actix_rt::spawn(server::sweep(door));
+    actix_rt::spawn(server::accept(listener, server.clone(), adopted));
+    actix_rt::spawn(server::sweep(server));
     driver.run(happens).await;
     info!("stopped");
     Ok(())
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -51,7 +51,7 @@
 }
 
 /// The state shared by all client connections.
-pub struct Door {
+pub struct ClientServer {
     clock: Clock,
     life: Rc<Life>,
     happenings: Happenings,
@@ -67,14 +67,14 @@
     connection_ended: Notify,
 }
 
-impl Door {
+impl ClientServer {
     pub fn new(
         clock: Clock,
         life: Rc<Life>,
         happenings: Happenings,
         (max_waiting, max_others): (usize, usize),
     ) -> Self {
-        Door {
+        ClientServer {
             clock,
             life,
             happenings,
@@ -184,7 +184,7 @@
         let connection = request.peer_addr().and_then(|peer| self.connections.borrow().get(&peer).cloned());
         let (answer, next) = self.answer(request, connection.as_ref()).await;
         let is_reusable = connection.as_ref().is_none_or(|connection| connection.is_reusable());
-        let keep = next == AfterResponse::KeepOpen && is_reusable && self.keeps(&answer);
+        let keep = next == AfterResponse::KeepOpen && is_reusable && self.keeps_open(&answer);
         connection.iter().for_each(|connection| connection.set_answered());
         answer.response(keep)
     }
@@ -193,7 +193,7 @@
     /// elsewhere but open ones stay in use, so that a restart does not leave clients without a node while the
     /// one restarted before is not up yet; a client whose job is returned to it for an immediate retry is
     /// sent to another node by closing. After an invalid request the connection is closed to free its place.
-    pub fn keeps(&self, answer: &Answer) -> bool {
+    pub fn keeps_open(&self, answer: &Answer) -> bool {
         match self.life.phase() {
             _ if matches!(answer, Answer::Unfit(..)) => false,
             // The connection will be handed over to the successor process.
@@ -340,8 +340,12 @@
 
 /// Accepts connections for as long as the process runs; also serves those that the previous process hands
 /// over.
-pub async fn accept(listener: TcpListener, door: Rc<Door>, mut handed_over: mpsc::UnboundedReceiver<Comes>) {
-    let serve = door.clone();
+pub async fn accept(
+    listener: TcpListener,
+    server: Rc<ClientServer>,
+    mut handed_over: mpsc::UnboundedReceiver<AdoptedConnection>,
+) {
+    let serve = server.clone();
     let service = HttpService::build()
         // Idle connections are closed by `sweep` and by eviction; actix-http's timeout could race with a
         // request.
@@ -352,8 +356,8 @@
         // A half-closed connection counts as a disconnected client: its request's future is dropped.
         .h1_allow_half_closed(false)
         .h1(fn_service(move |request| {
-            let door = serve.clone();
-            async move { Ok::<_, std::convert::Infallible>(door.serve(request).await) }
+            let server = serve.clone();
+            async move { Ok::<_, std::convert::Infallible>(server.serve(request).await) }
         }))
         .new_service(());
     let Ok(service) = service.await else { return };
@@ -363,26 +367,26 @@
             // Handed-over connections come first; new ones belong to the successor once it takes them.
             biased;
             Some(connection) = handed_over.recv() => {
-                connection.serve(&door, &service);
+                connection.serve(&server, &service);
                 continue;
             }
-            accepted = door.next_connection(&listener) => accepted,
+            accepted = server.next_connection(&listener) => accepted,
         };
         match accepted {
             Ok((socket, peer)) => {
-                door.update_descriptors(Descriptors::accept_succeeded);
+                server.update_descriptors(Descriptors::accept_succeeded);
                 let _ = socket.set_nodelay(true);
-                let accept_wait_since = door.accept_wait_since.get();
-                serve_connection(&door, &service, socket, peer, accept_wait_since);
+                let accept_wait_since = server.accept_wait_since.get();
+                serve_connection(&server, &service, socket, peer, accept_wait_since);
             }
             // Transient: retried at once.
             Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
             Err(e) => {
                 warn!("can't accept a connection: {e}");
-                door.note_accept_blocked();
+                server.note_accept_blocked();
                 if e.raw_os_error().is_some_and(|code| DESCRIPTORS_EXHAUSTED.contains(&Errno::from_raw(code)))
                 {
-                    door.descriptors_exhausted();
+                    server.descriptors_exhausted();
                 }
                 sleep(Duration::from_millis(10)).await;
             }
@@ -391,44 +395,47 @@
 }
 
 /// A client connection handed over by the previous process.
-pub enum Comes {
+pub enum AdoptedConnection {
     Idle(TcpStream),
     /// The client waits for the answer to this job.
     Waiting(TcpStream, Rc<ClientConnection>, InvId, oneshot::Receiver<Answer>),
 }
 
-impl Comes {
-    fn serve<S>(self, door: &Rc<Door>, service: &Rc<S>)
+impl AdoptedConnection {
+    fn serve<S>(self, server: &Rc<ClientServer>, service: &Rc<S>)
     where
         S: Service<(Stream, Option<SocketAddr>), Response = ()> + 'static,
         S::Error: std::fmt::Debug,
     {
         let (socket, job) = match self {
-            Comes::Idle(socket) => (socket, None),
-            Comes::Waiting(socket, connection, id, answered) => (socket, Some((connection, id, answered))),
+            AdoptedConnection::Idle(socket) => (socket, None),
+            AdoptedConnection::Waiting(socket, connection, id, answered) => {
+                (socket, Some((connection, id, answered)))
+            }
         };
         match (socket.peer_addr(), job) {
-            (Ok(peer), None) => serve_connection(door, service, socket, peer, None),
+            (Ok(peer), None) => serve_connection(server, service, socket, peer, None),
             (Ok(peer), Some((connection, id, answered))) => {
-                let (door, service) = (door.clone(), service.clone());
+                let (server, service) = (server.clone(), service.clone());
                 actix_rt::spawn(async move {
-                    if let Some(socket) = door.answer_pending(socket, (peer, connection), id, answered).await
+                    if let Some(socket) =
+                        server.answer_pending(socket, (peer, connection), id, answered).await
                     {
-                        serve_connection(&door, &service, socket, peer, None);
+                        serve_connection(&server, &service, socket, peer, None);
                     }
                 });
             }
             // The client disconnected during the handover.
             (Err(_), Some((connection, id, _))) => {
                 connection.set_closed();
-                let _ = door.happenings.send(Happening::Left(id));
+                let _ = server.happenings.send(Happening::Left(id));
             }
             (Err(_), None) => {}
         }
     }
 }
 
-impl Door {
+impl ClientServer {
     /// Waits for the answer to a handed-over job and writes it. Returns the connection if it stays open.
     async fn answer_pending(
         &self,
@@ -455,7 +462,7 @@
         let kept = match answer {
             Some(answer) => {
                 guard.answered = true;
-                let keep = self.keeps(&answer) && own.is_reusable();
+                let keep = self.keeps_open(&answer) && own.is_reusable();
                 socket.write_all(&answer.bytes(keep)).await.is_ok() && keep
             }
             None => false,
@@ -487,7 +494,7 @@
 
 /// Registers the connection and serves it in a task of its own.
 fn serve_connection<S>(
-    door: &Rc<Door>,
+    server: &Rc<ClientServer>,
     service: &Rc<S>,
     socket: TcpStream,
     peer: SocketAddr,
@@ -497,9 +504,9 @@
     S::Error: std::fmt::Debug,
 {
     let connection = Rc::new(ClientConnection::new(socket.as_raw_fd()).accept_wait_since(accept_wait_since));
-    door.connections.borrow_mut().insert(peer, connection.clone());
+    server.connections.borrow_mut().insert(peer, connection.clone());
     let stream = Stream::new(socket, connection.clone());
-    let (door, serving) = (door.clone(), service.call((stream, Some(peer))));
+    let (server, serving) = (server.clone(), service.call((stream, Some(peer))));
     actix_rt::spawn(async move {
         tokio::select! {
             // The close request comes first, so that no request is read in the same poll in which the
@@ -508,20 +515,20 @@
             () = connection.close.notified() => {}
             ended = serving => if let Err(e) = ended { debug!("{peer}: {e:?}") },
         }
-        door.connections.borrow_mut().remove(&peer);
-        door.connection_ended.notify_one();
+        server.connections.borrow_mut().remove(&peer);
+        server.connection_ended.notify_one();
     });
 }
 
 /// Periodically closes connections that exceed the request timeout and idle ones: after `MAX_IDLE`, or almost
 /// at once while the node is closing.
-pub async fn sweep(door: Rc<Door>) {
+pub async fn sweep(server: Rc<ClientServer>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
-        door.update_descriptors(|descriptors| descriptors.grow(SWEEP_INTERVAL));
-        let closing = door.life.phase() == Phase::Closing;
+        server.update_descriptors(|descriptors| descriptors.grow(SWEEP_INTERVAL));
+        let closing = server.life.phase() == Phase::Closing;
         let idle = if closing { Duration::from_millis(100) } else { MAX_IDLE };
-        door.close_all(|connection| {
+        server.close_all(|connection| {
             connection.eviction_class() == EvictionClass::TimedOut || connection.idle_for(idle)
         });
     }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -35,7 +35,7 @@
 use crate::probe::probe;
 use crate::relay::Answer;
 use crate::send;
-use crate::server::{self, Door};
+use crate::server::{self, ClientServer};
 use crate::take_in::{self, Job};
 use crate::validation::Keys;
 use crate::wire;
@@ -461,11 +461,11 @@
         let (clock, life, (happenings, mut happens)) =
             (Clock::new(), Rc::new(Life::new()), unbounded_channel());
         life.set(Phase::Serving);
-        let door = Rc::new(Door::new(clock, life, happenings, (2, 1)));
-        actix_rt::spawn(server::sweep(door.clone()));
+        let server = Rc::new(ClientServer::new(clock, life, happenings, (2, 1)));
+        actix_rt::spawn(server::sweep(server.clone()));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        actix_rt::spawn(server::accept(listener, door, unbounded_channel().1));
+        actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
         let made = actix_rt::task::spawn_blocking(move || client(addr)).await.expect("a client");
         let taken = |what: &Happening| matches!(what, Happening::Taken(..));
         (made, std::iter::from_fn(|| happens.try_recv().ok()).filter(taken).count())
@@ -478,11 +478,11 @@
 fn connections_can_be_used_again(phase: Phase, kept: [bool; 3]) {
     let life = Rc::new(Life::new());
     life.set(phase);
-    let door = Door::new(Clock::new(), life, unbounded_channel().0, (2, 1));
+    let server = ClientServer::new(Clock::new(), life, unbounded_channel().0, (2, 1));
     let throttled = [0.5, 0.0].map(|pause| Answer::Throttled { pause });
-    let [later, at_once] = throttled.each_ref().map(|answer| door.keeps(answer));
-    assert_eq!([door.keeps(&Answer::Succeeded("r".into())), later, at_once], kept);
-    assert!(!door.keeps(&Answer::Unfit(StatusCode::CONFLICT, "")), "closed after an invalid request");
+    let [later, at_once] = throttled.each_ref().map(|answer| server.keeps_open(answer));
+    assert_eq!([server.keeps_open(&Answer::Succeeded("r".into())), later, at_once], kept);
+    assert!(!server.keeps_open(&Answer::Unfit(StatusCode::CONFLICT, "")), "closed after an invalid request");
 }
 
 const ODD_NEWS: &str = "POST /_jobs/news HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\n\r\n{";
@@ -891,10 +891,10 @@
     let config = changed(&[("on_request", mode), ("127.0.0.1:8500", discovery)]);
     block(async move {
         let (mut driver, happenings, mut happens, life) = driver_by(config);
-        let door = Rc::new(Door::new(Clock::new(), life.clone(), happenings, (2, 1)));
+        let server = Rc::new(ClientServer::new(Clock::new(), life.clone(), happenings, (2, 1)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        actix_rt::spawn(server::accept(listener, door, unbounded_channel().1));
+        actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
         let request = format!(
             "{method} /discovery/hosts HTTP/1.1\r\nHost: n\r\nContent-Length: {}\r\n\r\n{list}",
             list.len()
