--- a/crates/coveroute-node/src/listen.rs
+++ b/crates/coveroute-node/src/listen.rs
@@ -9,7 +9,7 @@
 use crate::transient::retry;
 
 /// The listening socket for operators. Its address can't be shared with another process.
-pub async fn bind_operators(addr: SocketAddr) -> std::io::Result<TcpListener> {
+pub async fn bind_management(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let listener = retry(|| std::net::TcpListener::bind(addr)).await?;
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -24,7 +24,7 @@
 mod link;
 mod listen;
 mod logger;
-mod operators;
+mod management;
 mod peers;
 mod phase;
 mod probe;
@@ -223,9 +223,9 @@
     let fleet = files.plan(&config)?;
     // This address is not shared, and is bound before the handover: operators could not tell two processes apart that
     // answer there.
-    let operators = match config.management {
+    let management_listener = match config.management {
         Some(addr) => {
-            Some(listen::bind_operators(addr).await.map_err(|e| format!("management: {addr}: {e}"))?)
+            Some(listen::bind_management(addr).await.map_err(|e| format!("management: {addr}: {e}"))?)
         }
         None => None,
     };
@@ -256,8 +256,8 @@
         _ => None,
     };
     carrier.iter().for_each(|carrier| drop(actix_rt::spawn(carrier.clone().run())));
-    let desk = operators::Desk::new(life.clone(), happenings.clone(), carrier.clone());
-    operators.map(|listener| actix_rt::spawn(operators::accept(listener, desk)));
+    let management = management::ManagementServer::new(life.clone(), happenings.clone(), carrier.clone());
+    management_listener.map(|listener| actix_rt::spawn(management::accept(listener, management)));
     let own = |socket: std::io::Result<OwnedFd>| socket.map_err(|e| e.to_string());
     let mut sockets = vec![own(listener.as_fd().try_clone_to_owned())?];
     if let Some(datagrams) = &datagrams {
--- a/crates/coveroute-node/src/operators.rs
+++ b/crates/coveroute-node/src/management.rs
@@ -1,4 +1,4 @@
-//! Operators: the management endpoint, on an address of its own, with the readiness check and the metrics.
+//! Management server: the management endpoint, on an address of its own, with the readiness check and the metrics.
 //! Each connection carries one request. Limits and connection slots are independent of those for clients.
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -22,6 +22,9 @@
 use crate::phase::Life;
 use crate::socket::Socket;
 
+/// The unit name in log lines. It is not the name of this module, because filters of existing logs match it.
+const LOG_TARGET: &str = concat!(env!("CARGO_BIN_NAME"), "::operators");
+
 const READY: &str = "/v1/readyz";
 const METRICS: &str = "/v1/metrics";
 
@@ -130,15 +133,15 @@
 }
 
 /// The state shared by all requests of operators.
-pub struct Desk {
+pub struct ManagementServer {
     life: Rc<Life>,
     happenings: Happenings,
     carrier: Option<Rc<Carrier>>,
 }
 
-impl Desk {
+impl ManagementServer {
     pub fn new(life: Rc<Life>, happenings: Happenings, carrier: Option<Rc<Carrier>>) -> Rc<Self> {
-        Rc::new(Desk { life, happenings, carrier })
+        Rc::new(ManagementServer { life, happenings, carrier })
     }
 
     async fn answer(&self, request: Request) -> Response<BoxBody> {
@@ -178,13 +181,13 @@
 
 /// Accepts operators' connections for as long as the process runs. Connections that send no complete request
 /// are closed: each has a time limit, and beyond the maximum number the oldest is closed.
-pub async fn accept(listener: TcpListener, desk: Rc<Desk>) {
+pub async fn accept(listener: TcpListener, server: Rc<ManagementServer>) {
     let service = HttpService::build()
         .keep_alive(KeepAlive::Disabled)
         .client_request_timeout(Duration::ZERO) // `REQUEST_TIMEOUT` limits the whole exchange.
         .h1(actix_service::fn_service(move |request| {
-            let desk = desk.clone();
-            async move { Ok::<_, std::convert::Infallible>(desk.answer(request).await) }
+            let server = server.clone();
+            async move { Ok::<_, std::convert::Infallible>(server.answer(request).await) }
         }))
         .new_service(());
     let Ok(service) = service.await else { return };
@@ -199,12 +202,12 @@
                 let serving = service.call((Socket::new(socket), Some(peer)));
                 connections.push_back(actix_rt::spawn(async move {
                     if let Ok(Err(e)) = timeout(REQUEST_TIMEOUT, serving).await {
-                        debug!("management endpoint: {peer}: {e:?}");
+                        debug!(target: LOG_TARGET, "management endpoint: {peer}: {e:?}");
                     }
                 }));
             }
             Err(e) => {
-                warn!("management endpoint: can't accept a connection: {e}");
+                warn!(target: LOG_TARGET, "management endpoint: can't accept a connection: {e}");
                 sleep(Duration::from_millis(10)).await;
             }
         }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -29,7 +29,7 @@
 use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::hosts::Hosts;
 use crate::logger::{Pace, Turn};
-use crate::operators;
+use crate::management;
 use crate::peers::Peers;
 use crate::phase::Life;
 use crate::probe::probe;
@@ -1020,7 +1020,10 @@
     let (happenings, happens) = unbounded_channel();
     let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    actix_rt::spawn(operators::accept(listener, operators::Desk::new(life.clone(), happenings, None)));
+    actix_rt::spawn(management::accept(
+        listener,
+        management::ManagementServer::new(life.clone(), happenings, None),
+    ));
     (addr, happens)
 }
 
