--- a/crates/coveroute-node/src/crossings.rs
+++ b/crates/coveroute-node/src/crossings.rs
@@ -15,7 +15,7 @@
 use crate::client_connection::{ClientConnection, ClientConnections, Stream};
 use crate::clock::{seconds, Clock};
 use crate::happening::Happening;
-use crate::phase::Life;
+use crate::phase::NodeState;
 use crate::server::{self, ClientServer};
 use crate::tests::block;
 
@@ -28,7 +28,7 @@
 /// Starts a server on a port of its own. The test takes the place of the driver and receives its events.
 async fn server() -> (SocketAddr, UnboundedReceiver<Happening>, Rc<ClientServer>) {
     let (happenings, happens) = unbounded_channel();
-    let server = Rc::new(ClientServer::new(Clock::new(), Rc::new(Life::new()), happenings, (8, 4)));
+    let server = Rc::new(ClientServer::new(Clock::new(), Rc::new(NodeState::new()), happenings, (8, 4)));
     let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     actix_rt::spawn(server::accept(listener, server.clone(), unbounded_channel().1));
--- a/crates/coveroute-node/src/departures.rs
+++ b/crates/coveroute-node/src/departures.rs
@@ -187,10 +187,10 @@
     let config = changed(&[&nowhere[..], pairs].concat());
     let count = executors.len();
     block(async move {
-        let (mut driver, happenings, happens, life) = driver_by(config);
+        let (mut driver, happenings, happens, node_state) = driver_by(config);
         driver.happened(followed());
         let server =
-            Rc::new(ClientServer::new(crate::clock::Clock::new(), life, happenings.clone(), (600, 64)));
+            Rc::new(ClientServer::new(crate::clock::Clock::new(), node_state, happenings.clone(), (600, 64)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -27,7 +27,7 @@
 use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::link::{Link, Said, Side};
 use crate::peers::Peers;
-use crate::phase::Life;
+use crate::phase::NodeState;
 use crate::probe::{give_up, probe};
 use crate::replace::{self, BoundSocket};
 use crate::send;
@@ -111,7 +111,7 @@
 pub struct Driver {
     clock: Clock,
     engine: Engine,
-    life: Rc<Life>,
+    node_state: Rc<NodeState>,
     links: Links,
     discovery: Discovery,
     jobs: HashMap<InvId, PendingJob>,
@@ -142,14 +142,14 @@
     pub fn new(
         config: Config,
         clock: Clock,
-        life: Rc<Life>,
+        node_state: Rc<NodeState>,
         links: Links,
         endpoints: Endpoints,
         happenings: Happenings,
     ) -> Result<Self, String> {
         let Endpoints { datagrams, carrier, predecessor, successor_socket, connections, adopted } = endpoints;
-        life.take_lists_from(config.pushed_by());
-        life.take_max_pause(config.settings.max_pause);
+        node_state.set_lists_from(config.pushed_by());
+        node_state.set_max_pause(config.settings.max_pause);
         let applied = AppliedConfig::of(&config);
         let Config { settings, names, seed, timeouts, known, discovery, peers, .. } = config;
         let listen = |socket: UdpSocket| {
@@ -165,7 +165,7 @@
         let mut driver = Driver {
             clock,
             engine: Engine::new(clock.now(), setup, &mut actions),
-            life,
+            node_state,
             links,
             discovery: Discovery::new(discovery, happenings.clone()),
             jobs: HashMap::new(),
@@ -185,7 +185,7 @@
             happenings,
             actions,
         };
-        driver.life.follow(driver.predecessor.is_some());
+        driver.node_state.set_predecessor_accepting(driver.predecessor.is_some());
         driver.split_limits();
         driver.execute_actions();
         if driver.predecessor.is_none() {
@@ -197,10 +197,10 @@
 
     /// Runs until the node has reached its final phase.
     pub async fn run(mut self, mut happenings: mpsc::UnboundedReceiver<Happening>) {
-        while self.life.phase() != Phase::Ended {
+        while self.node_state.phase() != Phase::Ended {
             let next_poll = Instant::now() + seconds(CLOSING_POLL_INTERVAL);
-            let handing_over = !self.life.takes();
-            let closing = (self.life.phase() == Phase::Closing || handing_over).then_some(next_poll);
+            let handing_over = !self.node_state.accepts_connections();
+            let closing = (self.node_state.phase() == Phase::Closing || handing_over).then_some(next_poll);
             let due = self.engine.next_due().map(|due| self.clock.instant(due));
             let next = due.into_iter().chain(closing).min();
             tokio::select! {
@@ -214,7 +214,7 @@
             }
             // A connection stays busy until its answer has been written.
             let busy = || self.connections.borrow().values().any(|connection| connection.is_busy());
-            if closing.is_some() && self.life.idle() && !busy() {
+            if closing.is_some() && self.node_state.idle() && !busy() {
                 self.dispatch(Event::Idle);
             }
         }
@@ -302,7 +302,7 @@
             return self.reject_reload("the node is stopping");
         }
         let new = AppliedConfig::of(config);
-        let pushed = (self.life.lists_from().is_some(), config.pushed_by().is_some());
+        let pushed = (self.node_state.lists_from().is_some(), config.pushed_by().is_some());
         if let Some(why) = self.applied.reject_reason(&new, pushed) {
             return self.reject_reload(&why);
         }
@@ -320,8 +320,8 @@
             self.discovery.set_addr(new.discovery);
         }
         self.applied = AppliedConfig { fixed: self.applied.fixed, ..new };
-        self.life.take_lists_from(config.pushed_by());
-        self.life.take_max_pause(config.settings.max_pause);
+        self.node_state.set_lists_from(config.pushed_by());
+        self.node_state.set_max_pause(config.settings.max_pause);
         self.links.retune(config.dial, config.idle);
         self.reports = config.settings.reports != Reports::Never;
         self.dispatch(Event::Reread { tuning: Some(Box::new(config.tuning())), moved });
@@ -341,8 +341,9 @@
                 break;
             }
         }
-        self.life.set(self.engine.phase());
-        if let Some(predecessor) = self.predecessor.as_ref().filter(|_| self.life.is_up() && !self.announced)
+        self.node_state.set_phase(self.engine.phase());
+        if let Some(predecessor) =
+            self.predecessor.as_ref().filter(|_| self.node_state.is_up() && !self.announced)
         {
             predecessor.send_serving();
             self.announced = true;
@@ -354,9 +355,9 @@
     /// connections gets most of the latter.
     fn split_limits(&mut self) {
         let paired = self.predecessor.is_some() || self.successor.is_some();
-        self.life.pair(paired);
+        self.node_state.set_paired(paired);
         self.links.share(paired);
-        let part = match (paired, self.life.takes()) {
+        let part = match (paired, self.node_state.accepts_connections()) {
             (false, _) => 1.0,
             (true, true) => COLD_SHARE,
             (true, false) => 1.0 - COLD_SHARE,
@@ -379,7 +380,7 @@
 
     /// Sets whether this process accepts connections and receives other nodes' messages.
     fn set_accepting(&mut self, accepting: bool) {
-        self.life.take_connections(accepting);
+        self.node_state.set_accepts_connections(accepting);
         self.receive_peer_messages(accepting);
         self.split_limits();
     }
@@ -450,7 +451,7 @@
     fn adopt_job(&mut self, handed: TransferredJob, socket: OwnedFd) {
         let job = handed.job().filter(|_| handed.parcel.is_sound());
         let Some(job) = job else { return error!("invalid job handed over by the predecessor") };
-        let (id, (answer, answered)) = (self.life.next_id(), oneshot::channel());
+        let (id, (answer, answered)) = (self.node_state.next_id(), oneshot::channel());
         // The client may have disconnected during the handover, so the socket is checked before anything is sent.
         let connection = Rc::new(ClientConnection::new(socket.as_raw_fd()));
         let client = Client { answer, connection: Some(connection.clone()) };
@@ -466,7 +467,10 @@
     /// Hands over to the successor what can be moved now: idle connections, and jobs with their clients' connections.
     /// After a stop request this process exits once nothing is left.
     fn hand_over(&mut self) {
-        let Some(successor) = self.successor.clone().filter(|_| !self.life.takes()) else { return };
+        let Some(successor) = self.successor.clone().filter(|_| !self.node_state.accepts_connections())
+        else {
+            return;
+        };
         let connections: Vec<_> = self.connections.borrow().values().cloned().collect();
         for connection in &connections {
             let Some(leaves) = connection.handover() else { continue };
@@ -482,14 +486,14 @@
             }
             connection.set_handed_over();
         }
-        if connections.is_empty() && successor.is_flushed() && self.life.phase() == Phase::Leaving {
+        if connections.is_empty() && successor.is_flushed() && self.node_state.phase() == Phase::Leaving {
             self.dispatch(Event::Relieved);
         }
     }
 
     /// The predecessor has stopped accepting: this process now serves alone.
     fn takeover_complete(&mut self) {
-        self.life.follow(false);
+        self.node_state.set_predecessor_accepting(false);
         self.listen_for_successors();
     }
 
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -107,15 +107,15 @@
 fn a_reload_with_another_discovery_address_restarts_the_watch() {
     let (addr, service) = executor("index=0", &[LIST]);
     block(async {
-        let (mut driver, _, life) = driver(&[CLOSED.into(); 2]);
+        let (mut driver, _, node_state) = driver(&[CLOSED.into(); 2]);
         let mut happens = redirect_discovery(&mut driver);
         driver.happened(Happening::Reload(Ok(Box::new(Config { discovery: addr, ..config("") })), None));
-        assert_eq!(life.phase(), Phase::Reloading);
-        while life.phase() == Phase::Reloading || driver.engine.fleet().known("b").is_none() {
+        assert_eq!(node_state.phase(), Phase::Reloading);
+        while node_state.phase() == Phase::Reloading || driver.engine.fleet().known("b").is_none() {
             let happening = timeout(seconds(9.0), happens.recv()).await.expect("in time");
             happening.into_iter().for_each(|what| driver.happened(what));
         }
-        assert!(driver.links.lease(0).is_some() && life.phase() == Phase::Serving);
+        assert!(driver.links.lease(0).is_some() && node_state.phase() == Phase::Serving);
     });
     drop(service);
 }
@@ -125,7 +125,7 @@
 #[test_case(false, Phase::Serving; "to a configuration that is not fit")]
 fn a_rejected_reload_changes_nothing(stopped: bool, phase: Phase) {
     block(async {
-        let (mut driver, _, life) = driver(&[CLOSED.into()]);
+        let (mut driver, _, node_state) = driver(&[CLOSED.into()]);
         let mut happens = redirect_discovery(&mut driver);
         if stopped {
             driver.happened(Happening::Stop);
@@ -133,7 +133,7 @@
         let told = if stopped { Ok(Box::new(config(""))) } else { Err("no".into()) };
         driver.happened(Happening::Reload(told, None));
         actix_rt::task::yield_now().await;
-        assert!(happens.try_recv().is_err() && life.phase() == phase);
+        assert!(happens.try_recv().is_err() && node_state.phase() == phase);
     });
 }
 
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -19,7 +19,7 @@
 
 use crate::clock::seconds;
 use crate::happening::{Happening, Happenings};
-use crate::phase::Life;
+use crate::phase::NodeState;
 
 /// The most datagrams handled per second. A member that each of 1,000 others asks every 0.2 s has ten.
 const MAX_DATAGRAMS_PER_SECOND: u32 = 2000;
@@ -76,7 +76,7 @@
     fleet: RefCell<Fleet>,
     /// For sending; non-blocking.
     socket: UdpSocket,
-    life: Rc<Life>,
+    node_state: Rc<NodeState>,
     published: Cell<Option<Stage>>,
     /// Whether this process is the one of its node that takes part in the fleet.
     active: Cell<bool>,
@@ -133,7 +133,7 @@
         membership: &Membership,
         plan: Plan,
         shares: Vec<(String, f64)>,
-        (socket, life, happenings): (UdpSocket, Rc<Life>, Happenings),
+        (socket, node_state, happenings): (UdpSocket, Rc<NodeState>, Happenings),
     ) -> Result<Self, String> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let mark = mix(unix.as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
@@ -154,7 +154,7 @@
         Ok(Carrier {
             fleet,
             socket,
-            life,
+            node_state,
             published,
             active: Cell::new(false),
             republish_at,
@@ -232,7 +232,7 @@
 
     /// Publishes this node's stage when it changes or its record is about to expire.
     fn publish_stage(&self, actions: &mut Vec<Action>) {
-        let stage = match self.life.phase() {
+        let stage = match self.node_state.phase() {
             Phase::Starting => Stage::Starting,
             Phase::Serving | Phase::Reloading => Stage::Serving,
             Phase::Leaving | Phase::Closing | Phase::Ended => Stage::Leaving,
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -62,7 +62,7 @@
 use executors::Links;
 use fleet::Carrier;
 use happening::{Happening, Happenings};
-use phase::Life;
+use phase::NodeState;
 use server::ClientServer;
 
 const USAGE: &str = "\
@@ -239,10 +239,10 @@
     let peer_addr = Files::own_peer(&config).or(fleet.as_ref().map(|(.., address)| *address));
     let (listener, datagrams) = listen::open(config.listen, peer_addr, sockets.unwrap_or_default()).await?;
     let clock = predecessor.as_ref().map_or_else(Clock::new, |(_, handed)| handed.clock());
-    let life = Rc::new(Life::new());
+    let node_state = Rc::new(NodeState::new());
     let (executors, clients) = descriptor_limits(config.sockets, config.memory_mb);
     let links = Links::new(executors, config.dial, config.idle);
-    let server = Rc::new(ClientServer::new(clock, life.clone(), happenings.clone(), clients));
+    let server = Rc::new(ClientServer::new(clock, node_state.clone(), happenings.clone(), clients));
     let carrier = match (fleet, &datagrams) {
         (Some((membership, plan, _)), Some(socket)) => {
             let socket = socket.try_clone().map_err(|e| e.to_string())?;
@@ -250,13 +250,14 @@
                 &membership,
                 plan,
                 config.shares(),
-                (socket, life.clone(), happenings.clone()),
+                (socket, node_state.clone(), happenings.clone()),
             )?))
         }
         _ => None,
     };
     carrier.iter().for_each(|carrier| drop(actix_rt::spawn(carrier.clone().run())));
-    let management = management::ManagementServer::new(life.clone(), happenings.clone(), carrier.clone());
+    let management =
+        management::ManagementServer::new(node_state.clone(), happenings.clone(), carrier.clone());
     management_listener.map(|listener| actix_rt::spawn(management::accept(listener, management)));
     let own = |socket: std::io::Result<OwnedFd>| socket.map_err(|e| e.to_string());
     let mut sockets = vec![own(listener.as_fd().try_clone_to_owned())?];
@@ -273,7 +274,7 @@
         connections: server.connections(),
         adopted: Some(adopt),
     };
-    let driver = Driver::new(config, clock, life, links, endpoints, happenings)?;
+    let driver = Driver::new(config, clock, node_state, links, endpoints, happenings)?;
     actix_rt::spawn(server::accept(listener, server.clone(), adopted));
     actix_rt::spawn(server::sweep(server));
     driver.run(happens).await;
--- a/crates/coveroute-node/src/management.rs
+++ b/crates/coveroute-node/src/management.rs
@@ -19,7 +19,7 @@
 use crate::attempt::AttemptFigures;
 use crate::fleet::{self, Carrier};
 use crate::happening::{Happening, Happenings, NodeFigures};
-use crate::phase::Life;
+use crate::phase::NodeState;
 use crate::socket::Socket;
 
 /// The unit name in log lines. It is not the name of this module, because filters of existing logs match it.
@@ -134,19 +134,21 @@
 
 /// The state shared by all requests of operators.
 pub struct ManagementServer {
-    life: Rc<Life>,
+    node_state: Rc<NodeState>,
     happenings: Happenings,
     carrier: Option<Rc<Carrier>>,
 }
 
 impl ManagementServer {
-    pub fn new(life: Rc<Life>, happenings: Happenings, carrier: Option<Rc<Carrier>>) -> Rc<Self> {
-        Rc::new(ManagementServer { life, happenings, carrier })
+    pub fn new(node_state: Rc<NodeState>, happenings: Happenings, carrier: Option<Rc<Carrier>>) -> Rc<Self> {
+        Rc::new(ManagementServer { node_state, happenings, carrier })
     }
 
     async fn answer(&self, request: Request) -> Response<BoxBody> {
         let mut answer = match (request.path(), request.method()) {
-            (READY, &Method::GET | &Method::HEAD) if self.life.is_ready() => text(StatusCode::OK, "ready\n"),
+            (READY, &Method::GET | &Method::HEAD) if self.node_state.is_ready() => {
+                text(StatusCode::OK, "ready\n")
+            }
             (READY, &Method::GET | &Method::HEAD) => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             (METRICS, &Method::GET | &Method::HEAD) => self.metrics().await,
             (READY | METRICS, _) => {
--- a/crates/coveroute-node/src/phase.rs
+++ b/crates/coveroute-node/src/phase.rs
@@ -10,7 +10,7 @@
 
 /// The state of this process that its modules share.
 #[derive(Debug)]
-pub struct Life {
+pub struct NodeState {
     phase: Cell<Phase>,
     /// Number of requests in progress.
     in_progress: Cell<usize>,
@@ -19,16 +19,16 @@
     /// The longest Retry-After that clients are given, in seconds.
     max_pause: Cell<f64>,
     /// Whether this process accepts client connections; not once a successor does.
-    takes: watch::Sender<bool>,
+    accepts_connections: watch::Sender<bool>,
     /// Another process of this node is alive: the limits apply to both together.
     paired: Cell<bool>,
     /// The previous process of this node still accepts connections.
-    follows: Cell<bool>,
+    predecessor_accepting: Cell<bool>,
     next_id: Cell<InvId>,
 }
 
 /// Counts a request as in progress until it is dropped.
-pub struct RequestGuard(Rc<Life>);
+pub struct RequestGuard(Rc<NodeState>);
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
@@ -36,21 +36,30 @@
     }
 }
 
-impl Life {
+impl NodeState {
     pub fn new() -> Self {
         let (phase, in_progress, lists_from) = (Cell::new(Phase::Starting), Cell::new(0), Cell::new(None));
-        let (max_pause, takes) = (Cell::new(0.0), watch::Sender::new(true));
-        let (paired, follows) = (Cell::new(false), Cell::new(false));
+        let (max_pause, accepts_connections) = (Cell::new(0.0), watch::Sender::new(true));
+        let (paired, predecessor_accepting) = (Cell::new(false), Cell::new(false));
         let next_id = Cell::new(0);
-        Life { phase, in_progress, lists_from, max_pause, takes, paired, follows, next_id }
+        NodeState {
+            phase,
+            in_progress,
+            lists_from,
+            max_pause,
+            accepts_connections,
+            paired,
+            predecessor_accepting,
+            next_id,
+        }
     }
 
     pub fn lists_from(&self) -> Option<IpAddr> {
         self.lists_from.get()
     }
 
-    pub fn take_lists_from(&self, who: Option<IpAddr>) {
-        self.lists_from.set(who);
+    pub fn set_lists_from(&self, host: Option<IpAddr>) {
+        self.lists_from.set(host);
     }
 
     /// A new id for an invocation in this process.
@@ -64,15 +73,15 @@
         self.max_pause.get()
     }
 
-    pub fn take_max_pause(&self, most: f64) {
-        self.max_pause.set(most);
+    pub fn set_max_pause(&self, max_pause: f64) {
+        self.max_pause.set(max_pause);
     }
 
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    pub fn set(&self, phase: Phase) {
+    pub fn set_phase(&self, phase: Phase) {
         self.phase.set(phase);
     }
 
@@ -87,26 +96,26 @@
         self.in_progress.get() == 0
     }
 
-    pub fn takes(&self) -> bool {
-        *self.takes.borrow()
+    pub fn accepts_connections(&self) -> bool {
+        *self.accepts_connections.borrow()
     }
 
-    pub fn take_connections(&self, takes: bool) {
-        self.takes.send_replace(takes);
+    pub fn set_accepts_connections(&self, accepts: bool) {
+        self.accepts_connections.send_replace(accepts);
     }
 
     /// Waits until this process accepts connections (`true`) or no longer does (`false`).
-    pub async fn until_takes(&self, takes: bool) {
+    pub async fn until_accepts_connections(&self, accepts: bool) {
         // Can't fail: `self` owns the sender.
-        let _ = self.takes.subscribe().wait_for(|now| *now == takes).await;
+        let _ = self.accepts_connections.subscribe().wait_for(|now| *now == accepts).await;
     }
 
     /// This process's share of a limit of the node: half while another process of the node is alive.
-    pub fn part(&self, of: usize) -> usize {
+    pub fn share_of(&self, limit: usize) -> usize {
         if self.paired.get() {
-            of / 2
+            limit / 2
         } else {
-            of
+            limit
         }
     }
 
@@ -115,18 +124,18 @@
         self.paired.get()
     }
 
-    pub fn pair(&self, paired: bool) {
+    pub fn set_paired(&self, paired: bool) {
         self.paired.set(paired);
     }
 
     /// Sets whether the previous process of this node still accepts connections.
-    pub fn follow(&self, follows: bool) {
-        self.follows.set(follows);
+    pub fn set_predecessor_accepting(&self, accepting: bool) {
+        self.predecessor_accepting.set(accepting);
     }
 
     /// Whether the node is up and operators may stop the one that it replaces.
     pub fn is_ready(&self) -> bool {
-        self.is_up() && !self.follows.get()
+        self.is_up() && !self.predecessor_accepting.get()
     }
 
     /// Whether the front load balancer may send clients here.
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -28,7 +28,7 @@
 use crate::descriptors::Descriptors;
 use crate::happening::{Happening, Happenings};
 use crate::hosts::Hosts;
-use crate::phase::Life;
+use crate::phase::NodeState;
 use crate::relay::Answer;
 use crate::socket::Socket;
 use crate::{callbacks, discovery, take_in, wire};
@@ -53,7 +53,7 @@
 /// The state shared by all client connections.
 pub struct ClientServer {
     clock: Clock,
-    life: Rc<Life>,
+    node_state: Rc<NodeState>,
     happenings: Happenings,
     connections: ClientConnections,
     /// Maximum number of connections with a pending request.
@@ -70,13 +70,13 @@
 impl ClientServer {
     pub fn new(
         clock: Clock,
-        life: Rc<Life>,
+        node_state: Rc<NodeState>,
         happenings: Happenings,
         (max_waiting, max_others): (usize, usize),
     ) -> Self {
         ClientServer {
             clock,
-            life,
+            node_state,
             happenings,
             connections: ClientConnections::default(),
             max_waiting,
@@ -118,7 +118,8 @@
         // first.
         const AT_ONCE: usize = 16;
         let open = || self.connections.borrow().len();
-        let (waiting, others) = (self.life.part(self.max_waiting), self.life.part(self.max_others));
+        let (waiting, others) =
+            (self.node_state.share_of(self.max_waiting), self.node_state.share_of(self.max_others));
         let all = (waiting + others).min(self.descriptors.get().max_connections());
         // Evicts early, to keep half of the places beyond the waiting connections free.
         if open() >= all.saturating_sub(others.div_ceil(2)) {
@@ -144,7 +145,8 @@
         const CLOSED: usize = 4; // At most one in this many open connections is evicted at a time.
         const LEAST: usize = 4; // The limit is not lowered below the configured one divided by this.
         let open = self.connections.borrow().len();
-        let least = (self.life.part(self.max_waiting) + self.life.part(self.max_others)) / LEAST;
+        let least =
+            (self.node_state.share_of(self.max_waiting) + self.node_state.share_of(self.max_others)) / LEAST;
         self.update_descriptors(|descriptors| descriptors.exhausted(open, least));
         self.evict_idle(open.div_ceil(CLOSED));
     }
@@ -170,11 +172,11 @@
     /// Accepts the next connection, at a time when this process takes connections.
     async fn next_connection(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
         loop {
-            self.life.until_takes(true).await;
+            self.node_state.until_accepts_connections(true).await;
             self.wait_for_capacity().await;
             tokio::select! {
                 biased;
-                () = self.life.until_takes(false) => {}
+                () = self.node_state.until_accepts_connections(false) => {}
                 accepted = poll_fn(|cx| self.poll_accept(listener, cx)) => return accepted,
             }
         }
@@ -194,10 +196,10 @@
     /// one restarted before is not up yet; a client whose job is returned to it for an immediate retry is
     /// sent to another node by closing. After an invalid request the connection is closed to free its place.
     pub fn keeps_open(&self, answer: &Answer) -> bool {
-        match self.life.phase() {
+        match self.node_state.phase() {
             _ if matches!(answer, Answer::Unfit(..)) => false,
             // The connection will be handed over to the successor process.
-            _ if !self.life.takes() => true,
+            _ if !self.node_state.accepts_connections() => true,
             Phase::Starting | Phase::Serving | Phase::Reloading => true,
             Phase::Leaving => !matches!(answer, Answer::Throttled { pause } if *pause <= 0.0),
             Phase::Closing | Phase::Ended => false,
@@ -212,7 +214,9 @@
         let came = connection
             .map_or_else(|| self.clock.now(), |connection| self.clock.at(connection.newest_arrival()));
         let answer = match (request.path(), request.method()) {
-            (wire::UP, &Method::GET | &Method::HEAD) if self.life.is_up() => Answer::Succeeded("up\n".into()),
+            (wire::UP, &Method::GET | &Method::HEAD) if self.node_state.is_up() => {
+                Answer::Succeeded("up\n".into())
+            }
             (wire::UP, _) => Answer::Throttled { pause: 0.0 },
             (wire::NEWS, &Method::POST) => self.news(&mut request).await,
             (wire::NEWS, _) => Answer::Unfit(StatusCode::METHOD_NOT_ALLOWED, "news come by POST"),
@@ -239,7 +243,7 @@
     /// Handles an executor's job status update. While another process of this node is alive, the update is
     /// acknowledged once the process that serves the job has received it, and otherwise at once.
     async fn news(&self, request: &mut Request) -> Answer {
-        let (acknowledge, acknowledged) = self.life.paired().then(oneshot::channel).unzip();
+        let (acknowledge, acknowledged) = self.node_state.paired().then(oneshot::channel).unzip();
         let acknowledge = Cell::new(acknowledge);
         let news =
             |body: &Bytes| Ok(Happening::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
@@ -256,7 +260,7 @@
     /// Handles a pushed list of executors. Only discovery's host may push one, so that clients can't.
     async fn pushed_list(&self, mut request: Request) -> Answer {
         let peer = request.peer_addr().map(|peer| peer.ip());
-        if peer.is_none() || peer != self.life.lists_from() {
+        if peer.is_none() || peer != self.node_state.lists_from() {
             return Answer::Unfit(StatusCode::FORBIDDEN, "the list is not taken from there");
         }
         if request.method() != Method::POST {
@@ -300,17 +304,19 @@
         job: take_in::Job,
         connection: Option<&Rc<ClientConnection>>,
     ) -> (Answer, AfterResponse) {
-        let _guard = self.life.request_guard();
+        let _guard = self.node_state.request_guard();
         let is_waiting =
             |connection: &&Rc<ClientConnection>| connection.state() == ConnectionState::AwaitingAnswer;
-        if self.connections.borrow().values().filter(is_waiting).count() > self.life.part(self.max_waiting) {
+        if self.connections.borrow().values().filter(is_waiting).count()
+            > self.node_state.share_of(self.max_waiting)
+        {
             let _ = self.happenings.send(Happening::Ended(job.call.class, Verdict::Throttled));
             return (
-                Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.life.max_pause()) },
+                Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.node_state.max_pause()) },
                 AfterResponse::Close,
             );
         }
-        let id = self.life.next_id();
+        let id = self.node_state.next_id();
         connection.iter().for_each(|connection| connection.set_job(id));
         let (answer, answered) = oneshot::channel();
         let client = Client { answer, connection: connection.cloned() };
@@ -444,7 +450,7 @@
         id: InvId,
         answered: oneshot::Receiver<Answer>,
     ) -> Option<TcpStream> {
-        let _guard = self.life.request_guard();
+        let _guard = self.node_state.request_guard();
         let mut socket = Socket::new(stream);
         connection.set_waiting();
         connection.set_job(id);
@@ -526,7 +532,7 @@
     loop {
         sleep(SWEEP_INTERVAL).await;
         server.update_descriptors(|descriptors| descriptors.grow(SWEEP_INTERVAL));
-        let closing = server.life.phase() == Phase::Closing;
+        let closing = server.node_state.phase() == Phase::Closing;
         let idle = if closing { Duration::from_millis(100) } else { MAX_IDLE };
         server.close_all(|connection| {
             connection.eviction_class() == EvictionClass::TimedOut || connection.idle_for(idle)
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -31,7 +31,7 @@
 use crate::logger::{Pace, Turn};
 use crate::management;
 use crate::peers::Peers;
-use crate::phase::Life;
+use crate::phase::NodeState;
 use crate::probe::probe;
 use crate::relay::Answer;
 use crate::send;
@@ -103,21 +103,23 @@
 }
 
 /// A driver that follows a list of executors `s-0`, `s-1`, ... at these addresses.
-pub fn driver(addrs: &[SocketAddr]) -> (Driver, UnboundedReceiver<Happening>, Rc<Life>) {
+pub fn driver(addrs: &[SocketAddr]) -> (Driver, UnboundedReceiver<Happening>, Rc<NodeState>) {
     let entry =
         |(at, addr): (usize, &SocketAddr)| format!(r#"{{"id":"s-{at}","addr":"{addr}","state":"up"}}"#);
     let entries: Vec<String> = addrs.iter().enumerate().map(entry).collect();
-    let (mut driver, _, happens, life) = driver_by(config(&entries.join(",")));
+    let (mut driver, _, happens, node_state) = driver_by(config(&entries.join(",")));
     driver.happened(followed());
-    (driver, happens, life)
+    (driver, happens, node_state)
 }
 
 /// A driver with this configuration, and both ends of its event channel.
-pub fn driver_by(config: Config) -> (Driver, Happenings, UnboundedReceiver<Happening>, Rc<Life>) {
-    let (clock, life, (happenings, happens)) = (Clock::new(), Rc::new(Life::new()), unbounded_channel());
+pub fn driver_by(config: Config) -> (Driver, Happenings, UnboundedReceiver<Happening>, Rc<NodeState>) {
+    let (clock, node_state, (happenings, happens)) =
+        (Clock::new(), Rc::new(NodeState::new()), unbounded_channel());
     let links = Links::new(64, config.dial, config.idle);
-    let driver = Driver::new(config, clock, life.clone(), links, Endpoints::default(), happenings.clone());
-    (driver.expect("a driver"), happenings, happens, life)
+    let driver =
+        Driver::new(config, clock, node_state.clone(), links, Endpoints::default(), happenings.clone());
+    (driver.expect("a driver"), happenings, happens, node_state)
 }
 
 /// The example configuration with these replacements, parsed.
@@ -458,10 +460,10 @@
     client: impl FnOnce(SocketAddr) -> T + Send + 'static,
 ) -> (T, usize) {
     block(async {
-        let (clock, life, (happenings, mut happens)) =
-            (Clock::new(), Rc::new(Life::new()), unbounded_channel());
-        life.set(Phase::Serving);
-        let server = Rc::new(ClientServer::new(clock, life, happenings, (2, 1)));
+        let (clock, node_state, (happenings, mut happens)) =
+            (Clock::new(), Rc::new(NodeState::new()), unbounded_channel());
+        node_state.set_phase(Phase::Serving);
+        let server = Rc::new(ClientServer::new(clock, node_state, happenings, (2, 1)));
         actix_rt::spawn(server::sweep(server.clone()));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
@@ -476,9 +478,9 @@
 #[test_case(Phase::Leaving, [true, true, false]; "from one that is stopping, except for jobs that it gives back")]
 #[test_case(Phase::Closing, [false; 3]; "not from one that is closing")]
 fn connections_can_be_used_again(phase: Phase, kept: [bool; 3]) {
-    let life = Rc::new(Life::new());
-    life.set(phase);
-    let server = ClientServer::new(Clock::new(), life, unbounded_channel().0, (2, 1));
+    let node_state = Rc::new(NodeState::new());
+    node_state.set_phase(phase);
+    let server = ClientServer::new(Clock::new(), node_state, unbounded_channel().0, (2, 1));
     let throttled = [0.5, 0.0].map(|pause| Answer::Throttled { pause });
     let [later, at_once] = throttled.each_ref().map(|answer| server.keeps_open(answer));
     assert_eq!([server.keeps_open(&Answer::Succeeded("r".into())), later, at_once], kept);
@@ -648,14 +650,14 @@
         discovery_service(vec![(vec![], false), (vec!["\n"], false), (vec![DRAINING_LIST], true)]);
     let config = changed(&[PUSHED, ("127.0.0.1:8500", &addr.to_string())]);
     let (phase, took) = block(async move {
-        let (driver, _, happens, life) = driver_by(config);
+        let (driver, _, happens, node_state) = driver_by(config);
         let driver = actix_rt::spawn(driver.run(happens));
         let begun = Instant::now();
-        while life.phase() != Phase::Serving && begun.elapsed() < seconds(5.0) {
+        while node_state.phase() != Phase::Serving && begun.elapsed() < seconds(5.0) {
             sleep(5 * MS).await;
         }
         driver.abort();
-        (life.phase(), begun.elapsed())
+        (node_state.phase(), begun.elapsed())
     });
     assert_eq!(phase, Phase::Serving, "the list on the third call has not come in {took:?}");
     let calls: Vec<_> = told.iter().take(3).collect();
@@ -890,8 +892,8 @@
 fn pushed(mode: &str, discovery: &str, method: &'static str, list: &'static str) -> (String, bool) {
     let config = changed(&[("on_request", mode), ("127.0.0.1:8500", discovery)]);
     block(async move {
-        let (mut driver, happenings, mut happens, life) = driver_by(config);
-        let server = Rc::new(ClientServer::new(Clock::new(), life.clone(), happenings, (2, 1)));
+        let (mut driver, happenings, mut happens, node_state) = driver_by(config);
+        let server = Rc::new(ClientServer::new(Clock::new(), node_state.clone(), happenings, (2, 1)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
@@ -901,7 +903,7 @@
         );
         let answer = actix_rt::task::spawn_blocking(move || ask(addr, &request)).await.expect("an answer");
         std::iter::from_fn(|| happens.try_recv().ok()).for_each(|what| driver.happened(what));
-        (answer, life.phase() == Phase::Serving)
+        (answer, node_state.phase() == Phase::Serving)
     })
 }
 
@@ -926,11 +928,11 @@
 #[test_case(&[], [127, 0, 0, 1]; "the registry mode only changes at a restart")]
 fn a_reload_changes_only_the_host_that_may_push(pairs: &[(&str, &str)], expected: [u8; 4]) {
     block(async {
-        let (mut driver, _, _happens, life) = driver_by(changed(&[PUSHED]));
+        let (mut driver, _, _happens, node_state) = driver_by(changed(&[PUSHED]));
         driver.happened(Happening::Reload(Err("settings.weights: heavy is not one of ...".into()), None));
-        assert_eq!(life.lists_from(), Some([127, 0, 0, 1].into()), "an invalid file");
+        assert_eq!(node_state.lists_from(), Some([127, 0, 0, 1].into()), "an invalid file");
         driver.happened(Happening::Reload(Ok(Box::new(changed(pairs))), None));
-        assert_eq!((life.lists_from(), life.phase()), (Some(expected.into()), Phase::Starting));
+        assert_eq!((node_state.lists_from(), node_state.phase()), (Some(expected.into()), Phase::Starting));
     });
 }
 
@@ -992,7 +994,7 @@
         for (at, name) in ["a", "b"].into_iter().enumerate() {
             let socket = std::net::UdpSocket::bind(addrs[at]).expect("a port");
             let membership = Membership { path: "f".into(), name: name.into() };
-            let own = (socket.try_clone().expect("a socket"), Rc::new(Life::new()), happenings.clone());
+            let own = (socket.try_clone().expect("a socket"), Rc::new(NodeState::new()), happenings.clone());
             let carrier =
                 Rc::new(Carrier::new(&membership, plan.clone(), Vec::new(), own).expect("a member"));
             actix_rt::spawn(carrier.clone().run());
@@ -1016,13 +1018,13 @@
 }
 
 /// A node's operator endpoint, and the events for the driver.
-async fn operator_endpoint(life: &Rc<Life>) -> (SocketAddr, UnboundedReceiver<Happening>) {
+async fn operator_endpoint(node_state: &Rc<NodeState>) -> (SocketAddr, UnboundedReceiver<Happening>) {
     let (happenings, happens) = unbounded_channel();
     let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     actix_rt::spawn(management::accept(
         listener,
-        management::ManagementServer::new(life.clone(), happenings, None),
+        management::ManagementServer::new(node_state.clone(), happenings, None),
     ));
     (addr, happens)
 }
@@ -1047,9 +1049,9 @@
 #[test_case("GET", Phase::Serving, "400"; "an invalid request")]
 fn operators_are_answered(line: &str, phase: Phase, status: &str) {
     let answer = block(async {
-        let life = Rc::new(Life::new());
-        life.set(phase);
-        let addr = operator_endpoint(&life).await.0;
+        let node_state = Rc::new(NodeState::new());
+        node_state.set_phase(phase);
+        let addr = operator_endpoint(&node_state).await.0;
         request_operator_endpoint(addr, format!("{line} HTTP/1.1\r\nHost: n\r\n\r\n")).await
     });
     let closes = status == "400" || answer.to_lowercase().contains("connection: close");
@@ -1061,8 +1063,8 @@
 #[test]
 fn metrics_are_served_despite_idle_connections() {
     let answer = block(async {
-        let life = Rc::new(Life::new());
-        let (addr, mut happens) = operator_endpoint(&life).await;
+        let node_state = Rc::new(NodeState::new());
+        let (addr, mut happens) = operator_endpoint(&node_state).await;
         let stay = |at: usize| {
             let mut caller = std::net::TcpStream::connect(addr).expect("a connection");
             if at.is_multiple_of(2) {
@@ -1166,8 +1168,8 @@
 #[test]
 fn a_rejected_file_changes_nothing() {
     block(async {
-        let (mut driver, _happens, life) = driver(&[]);
-        let before = format!("{:?} {:?}", driver.settings(), life.max_pause());
+        let (mut driver, _happens, node_state) = driver(&[]);
+        let before = format!("{:?} {:?}", driver.settings(), node_state.max_pause());
         let again = |text: &str| Config::parse_reload(text, config::Environment::default()).map(Box::new);
         let cut = |len: usize| CONFIG[..len].to_owned();
         let bad = ["".to_owned(), cut(CONFIG.len() / 2), cut(CONFIG.len() - 3)];
@@ -1175,7 +1177,7 @@
         let me = changed_text(&[("\"me\": 0", "\"me\": 1"), ("\"replicasOfMe\": 1", "\"replicasOfMe\": 2")]);
         let rejected = bad.len() as u64 + 2;
         bad.iter().chain([&lost, &me]).for_each(|text| driver.happened(Happening::Reload(again(text), None)));
-        assert_eq!(format!("{:?} {:?}", driver.settings(), life.max_pause()), before);
+        assert_eq!(format!("{:?} {:?}", driver.settings(), node_state.max_pause()), before);
         let new = changed_text(&[
             ("\"maxRetryAfter\": 2000.0", "\"maxRetryAfter\": 1500.0"),
             ("\"me\": 0", "\"me\":0"),
@@ -1185,21 +1187,21 @@
         driver.happened(Happening::Asked(tell));
         let figures = told.try_recv().expect("figures");
         assert_eq!((figures.engine.applied, figures.engine.rejected), (1, rejected));
-        assert_eq!((life.max_pause(), driver.settings().max_pause), (1.5, 1.5));
+        assert_eq!((node_state.max_pause(), driver.settings().max_pause), (1.5, 1.5));
     });
 }
 
 // Two processes of one node must not together use twice the node's limits.
 #[test]
 fn two_processes_share_the_nodes_limits() {
-    let (mut links, life) = (links(([127, 0, 0, 1], 1).into()), Life::new());
+    let (mut links, node_state) = (links(([127, 0, 0, 1], 1).into()), NodeState::new());
     let lent = |links: &mut Links| {
         let leases: Vec<_> = std::iter::from_fn(|| links.lease(0)).take(20).collect();
         leases.len()
     };
     for (paired, most) in [(true, 4), (false, 8)] {
         links.share(paired);
-        life.pair(paired);
-        assert_eq!((lent(&mut links), life.part(8)), (most, most));
+        node_state.set_paired(paired);
+        assert_eq!((lent(&mut links), node_state.share_of(8)), (most, most));
     }
 }
