--- a/crates/coveroute-node/src/at_size.rs
+++ b/crates/coveroute-node/src/at_size.rs
@@ -12,7 +12,7 @@
 use crate::clock::seconds;
 use crate::config::{self, Config};
 use crate::discovery::{Discovery, ListParser, WatchItem, LIST_MOST};
-use crate::happening::Happening;
+use crate::event::DriverEvent;
 use crate::hosts::Hosts;
 use crate::tests::{block, driver, CONFIG};
 
@@ -152,11 +152,11 @@
     let broken = full_list(5, &entries(EXECUTORS))[..500_000].to_owned() + odd + "\n";
     let addr = serve_once(format!("{begun}\n{broken}"));
     let told = block(async move {
-        let (happenings, mut happens) = unbounded_channel();
-        Discovery::new(addr, happenings).follow(1, 0);
+        let (events, mut event_receiver) = unbounded_channel();
+        Discovery::new(addr, events).follow(1, 0);
         let mut told = Vec::new();
         let lost = timeout(seconds(10.0), async {
-            while let Some(Happening::Watch(1, watched)) = happens.recv().await {
+            while let Some(DriverEvent::Watch(1, watched)) = event_receiver.recv().await {
                 let lost = matches!(watched, Watched::Lost(_));
                 told.push(watched);
                 if lost {
@@ -212,15 +212,15 @@
 #[test]
 fn a_reload_that_drops_a_quota_changes_nothing() {
     block(async {
-        let (mut driver, _happens, _) = driver(&[]);
+        let (mut driver, _event_receiver, _) = driver(&[]);
         let again = |text: &str| Config::parse_reload(text, config::Environment::default()).map(Box::new);
-        driver.happened(Happening::Reload(again(&config_with_tenants(None)), None));
+        driver.handle_event(DriverEvent::Reload(again(&config_with_tenants(None)), None));
         let before = driver.settings().quotas.clone();
         assert_eq!((before.len(), before[77]), (TENANTS, 77.5));
-        driver.happened(Happening::Reload(again(&config_with_tenants(Some(77))), None));
+        driver.handle_event(DriverEvent::Reload(again(&config_with_tenants(Some(77))), None));
         assert_eq!(driver.settings().quotas, before);
         let (tell, mut told) = tokio::sync::oneshot::channel();
-        driver.happened(Happening::Asked(tell));
+        driver.handle_event(DriverEvent::FiguresRequested(tell));
         let figures = told.try_recv().expect("figures");
         assert_eq!((figures.engine.applied, figures.engine.rejected), (1, 1));
     });
--- a/crates/coveroute-node/src/crossings.rs
+++ b/crates/coveroute-node/src/crossings.rs
@@ -14,7 +14,7 @@
 
 use crate::client_connection::{ClientConnection, ClientConnections, Stream};
 use crate::clock::{seconds, Clock};
-use crate::happening::Happening;
+use crate::event::DriverEvent;
 use crate::phase::NodeState;
 use crate::server::{self, ClientServer};
 use crate::tests::block;
@@ -26,13 +26,13 @@
 const TURN_INTERVAL: f64 = 0.001;
 
 /// Starts a server on a port of its own. The test takes the place of the driver and receives its events.
-async fn server() -> (SocketAddr, UnboundedReceiver<Happening>, Rc<ClientServer>) {
-    let (happenings, happens) = unbounded_channel();
-    let server = Rc::new(ClientServer::new(Clock::new(), Rc::new(NodeState::new()), happenings, (8, 4)));
+async fn server() -> (SocketAddr, UnboundedReceiver<DriverEvent>, Rc<ClientServer>) {
+    let (events, event_receiver) = unbounded_channel();
+    let server = Rc::new(ClientServer::new(Clock::new(), Rc::new(NodeState::new()), events, (8, 4)));
     let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     actix_rt::spawn(server::accept(listener, server.clone(), unbounded_channel().1));
-    (addr, happens, server)
+    (addr, event_receiver, server)
 }
 
 fn request(id: usize) -> String {
@@ -62,9 +62,9 @@
 }
 
 /// Waits for the first accepted job.
-async fn first_job(happens: &mut UnboundedReceiver<Happening>) -> (u64, Box<dyn std::any::Any>) {
+async fn first_job(event_receiver: &mut UnboundedReceiver<DriverEvent>) -> (u64, Box<dyn std::any::Any>) {
     loop {
-        if let Happening::Taken(id, _, answer) = happens.recv().await.expect("a happening") {
+        if let DriverEvent::Accepted(id, _, answer) = event_receiver.recv().await.expect("an event") {
             return (id.into(), Box::new(answer));
         }
     }
@@ -111,7 +111,7 @@
 #[test_case(0, 300_000, Disconnect::Close; "behind invalid bytes")]
 fn a_disconnect_while_the_request_is_pending_is_noticed(ahead: usize, junk: usize, how: Disconnect) {
     block(async move {
-        let (addr, mut happens, server) = server().await;
+        let (addr, mut event_receiver, server) = server().await;
         let (go, started) = std::sync::mpsc::channel::<()>();
         let client = spawn_blocking(move || {
             let mut stream = TcpStream::connect(addr).expect("a connection");
@@ -126,13 +126,13 @@
             disconnect(stream, how);
             left
         });
-        let (id, _answer) = first_job(&mut happens).await;
+        let (id, _answer) = first_job(&mut event_receiver).await;
         let turns = turns(server.connections());
         go.send(()).expect("a client");
         let noticed = timeout(seconds(3.0), async {
             loop {
-                match happens.recv().await {
-                    Some(Happening::Left(left)) if u64::from(left) == id => return Instant::now(),
+                match event_receiver.recv().await {
+                    Some(DriverEvent::Disconnected(left)) if u64::from(left) == id => return Instant::now(),
                     Some(_) => {}
                     None => panic!("the server has ended"),
                 }
@@ -157,7 +157,7 @@
 #[test]
 fn a_client_that_sends_too_much_while_it_waits_takes_up_no_core() {
     block(async move {
-        let (addr, mut happens, _server) = server().await;
+        let (addr, mut event_receiver, _server) = server().await;
         let client = spawn_blocking(move || {
             let mut stream = TcpStream::connect(addr).expect("a connection");
             stream.set_write_timeout(Some(seconds(0.2))).expect("a limit");
@@ -165,7 +165,7 @@
             let _ = stream.write_all(requests.as_bytes());
             stream
         });
-        let _answer = first_job(&mut happens).await;
+        let _answer = first_job(&mut event_receiver).await;
         let stream = client.await.expect("a client");
         let used = || {
             let time =
--- a/crates/coveroute-node/src/departures.rs
+++ b/crates/coveroute-node/src/departures.rs
@@ -21,7 +21,7 @@
 
 use crate::clock::seconds;
 use crate::crossings::{disconnect, kernel_value, Disconnect, MAX_NOTICE_DELAY};
-use crate::happening::Happening;
+use crate::event::DriverEvent;
 use crate::server::{self, ClientServer};
 use crate::tests::{block, changed, driver_by, followed};
 
@@ -187,14 +187,14 @@
     let config = changed(&[&nowhere[..], pairs].concat());
     let count = executors.len();
     block(async move {
-        let (mut driver, happenings, happens, node_state) = driver_by(config);
-        driver.happened(followed());
+        let (mut driver, events, event_receiver, node_state) = driver_by(config);
+        driver.handle_event(followed());
         let server =
-            Rc::new(ClientServer::new(crate::clock::Clock::new(), node_state, happenings.clone(), (600, 64)));
+            Rc::new(ClientServer::new(crate::clock::Clock::new(), node_state, events.clone(), (600, 64)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
-        let driver = actix_rt::spawn(driver.run(happens));
+        let driver = actix_rt::spawn(driver.run(event_receiver));
         *world.node.lock().expect("a node") = Some(addr);
         let (busy, mut blocks) = unbounded_channel();
         actix_rt::spawn(async move {
@@ -202,9 +202,8 @@
                 thread::sleep(time);
                 let report =
                     Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
-                (0..count).for_each(|tgt| {
-                    drop(happenings.send(Happening::Probed(tgt, Outcome::Succeeded, report)))
-                });
+                (0..count)
+                    .for_each(|tgt| drop(events.send(DriverEvent::Probed(tgt, Outcome::Succeeded, report))));
             }
         });
         let node = Node { addr, world, busy };
--- a/crates/coveroute-node/src/discovery.rs
+++ b/crates/coveroute-node/src/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout_at;
 
 use crate::connection::{could_not_connect, Dialer};
-use crate::happening::{Happening, Happenings};
+use crate::event::{DriverEvent, EventSender};
 use crate::hosts::Hosts;
 use crate::wire;
 
@@ -44,26 +44,26 @@
 pub struct Discovery {
     client: Client,
     addr: SocketAddr,
-    happenings: Happenings,
+    events: EventSender,
     watch: Option<JoinHandle<()>>,
 }
 
 impl Discovery {
-    pub fn new(addr: SocketAddr, happenings: Happenings) -> Self {
+    pub fn new(addr: SocketAddr, events: EventSender) -> Self {
         // Each request uses a new connection. A kept-alive connection that the service has closed would fail
         // immediately, which would look like a service that is down.
         let connector = Connector::new().connector(Dialer::new(CONNECT_TIMEOUT));
         let connector = connector.timeout(CONNECT_TIMEOUT).conn_keep_alive(Duration::ZERO);
         let builder = Client::builder().connector(connector).disable_redirects().disable_timeout();
-        Discovery { client: builder.no_default_headers().finish(), addr, happenings, watch: None }
+        Discovery { client: builder.no_default_headers().finish(), addr, events, watch: None }
     }
 
     /// Starts watch `number` for changes after `version`, and cancels a watch that is still running.
     pub fn follow(&mut self, number: u64, version: u64) {
-        let (client, happenings) = (self.client.clone(), self.happenings.clone());
+        let (client, events) = (self.client.clone(), self.events.clone());
         let uri = format!("http://{}{}?stream=1&index={version}", self.addr, wire::HOSTS);
         let watch = actix_rt::spawn(async move {
-            let tell = |watched| drop(happenings.send(Happening::Watch(number, watched)));
+            let tell = |watched| drop(events.send(DriverEvent::Watch(number, watched)));
             let (why, loss) = watch(&client, &uri, tell).await;
             info!("watch {number} ended: {why}");
             tell(Watched::Lost(loss));
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -21,10 +21,10 @@
 use crate::clock::{seconds, Clock};
 use crate::config::Config;
 use crate::discovery::Discovery;
+use crate::event::{DriverEvent, EventSender, NodeFigures};
 use crate::executors::Links;
 use crate::fleet::Carrier;
 use crate::handed::{Handed, TransferredJob};
-use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::link::{Link, Said, Side};
 use crate::peers::Peers;
 use crate::phase::NodeState;
@@ -133,7 +133,7 @@
     adopted: Option<mpsc::UnboundedSender<AdoptedConnection>>,
     /// Whether the predecessor was told that this process serves.
     announced: bool,
-    happenings: Happenings,
+    events: EventSender,
     /// Reused buffer for the actions of the next event.
     actions: Vec<Action>,
 }
@@ -145,7 +145,7 @@
         node_state: Rc<NodeState>,
         links: Links,
         endpoints: Endpoints,
-        happenings: Happenings,
+        events: EventSender,
     ) -> Result<Self, String> {
         let Endpoints { datagrams, carrier, predecessor, successor_socket, connections, adopted } = endpoints;
         node_state.set_lists_from(config.pushed_by());
@@ -153,7 +153,7 @@
         let applied = AppliedConfig::of(&config);
         let Config { settings, names, seed, timeouts, known, discovery, peers, .. } = config;
         let listen = |socket: UdpSocket| {
-            Peers::new(settings.me, peers.unwrap_or_default(), socket, happenings.clone(), carrier.clone())
+            Peers::new(settings.me, peers.unwrap_or_default(), socket, events.clone(), carrier.clone())
                 .map_err(|e| format!("peer socket: {e}"))
         };
         let peers = datagrams.map(listen).transpose()?;
@@ -167,7 +167,7 @@
             engine: Engine::new(clock.now(), setup, &mut actions),
             node_state,
             links,
-            discovery: Discovery::new(discovery, happenings.clone()),
+            discovery: Discovery::new(discovery, events.clone()),
             jobs: HashMap::new(),
             forwards: HashMap::new(),
             attempts: Rc::default(),
@@ -182,7 +182,7 @@
             adopted,
             bound_socket: None,
             announced: false,
-            happenings,
+            events,
             actions,
         };
         driver.node_state.set_predecessor_accepting(driver.predecessor.is_some());
@@ -196,7 +196,7 @@
     }
 
     /// Runs until the node has reached its final phase.
-    pub async fn run(mut self, mut happenings: mpsc::UnboundedReceiver<Happening>) {
+    pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<DriverEvent>) {
         while self.node_state.phase() != Phase::Ended {
             let next_poll = Instant::now() + seconds(CLOSING_POLL_INTERVAL);
             let handing_over = !self.node_state.accepts_connections();
@@ -205,7 +205,7 @@
             let next = due.into_iter().chain(closing).min();
             tokio::select! {
                 biased;
-                happening = happenings.recv() => happening.into_iter().for_each(|what| self.happened(what)),
+                event = events.recv() => event.into_iter().for_each(|event| self.handle_event(event)),
                 () = tokio::time::sleep_until(next.unwrap_or(next_poll).into()) => {}
             }
             self.advance();
@@ -235,53 +235,53 @@
         self.execute_actions();
     }
 
-    pub fn happened(&mut self, happening: Happening) {
-        match happening {
-            Happening::Taken(id, job, client) => {
+    pub fn handle_event(&mut self, event: DriverEvent) {
+        match event {
+            DriverEvent::Accepted(id, job, client) => {
                 self.carrier.iter().for_each(|carrier| carrier.record_invocation(job.call.caller.as_deref()));
                 let job: Rc<Job> = job.into();
                 self.jobs.insert(id, PendingJob { job: job.clone(), client });
                 self.dispatch(Event::Taken(id, &job.call));
             }
-            Happening::Left(id) => {
+            DriverEvent::Disconnected(id) => {
                 self.jobs.remove(&id);
                 self.dispatch(Event::Left(id));
             }
-            Happening::Replied(id, forward, reply) => {
+            DriverEvent::Replied(id, forward, reply) => {
                 if !matches!(reply, Reply::Unheard | Reply::Written) {
                     self.forwards.remove(&(id, forward));
                 }
                 self.dispatch(Event::Replied(id, forward, reply));
             }
-            Happening::News(news, body, ack) => self.handle_news(news, body, ack, None),
-            Happening::Returned(news, ack, settled) => {
+            DriverEvent::News(news, body, ack) => self.handle_news(news, body, ack, None),
+            DriverEvent::ReportRelayed(news, ack, settled) => {
                 let settled = settled || self.engine.knows(&news.call);
                 self.dispatch(Event::News(news));
                 ack.map(|ack| ack.send(settled));
             }
-            Happening::Handing(reply) => {
+            DriverEvent::HandoverRequested(reply) => {
                 let _ = reply.send(Handed::of(
                     self.applied.discovery,
                     self.engine.memory(),
                     self.clock.reading(),
                 ));
             }
-            Happening::Linked(link) => self.successor_connected(link),
-            Happening::Said(side, number, said) => self.handle_link_message(side, number, said),
-            Happening::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
-            Happening::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
-            Happening::Heard { from, told, mark, count } => {
+            DriverEvent::SuccessorConnected(link) => self.successor_connected(link),
+            DriverEvent::LinkMessage(side, number, said) => self.handle_link_message(side, number, said),
+            DriverEvent::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
+            DriverEvent::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
+            DriverEvent::Heard { from, told, mark, count } => {
                 self.dispatch(Event::Heard { from, told, mark, count });
             }
-            Happening::Reload(Ok(config), plan) => self.reload(&config, plan),
-            Happening::Reload(Err(reason), _) => self.reject_reload(&reason),
-            Happening::Ended(operation, verdict) => self.dispatch(Event::Ended(&operation, verdict)),
-            Happening::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
-            Happening::Asked(reply) => {
+            DriverEvent::Reload(Ok(config), plan) => self.reload(&config, plan),
+            DriverEvent::Reload(Err(reason), _) => self.reject_reload(&reason),
+            DriverEvent::Ended(operation, verdict) => self.dispatch(Event::Ended(&operation, verdict)),
+            DriverEvent::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
+            DriverEvent::FiguresRequested(reply) => {
                 let (engine, attempts) = (self.engine.figures(self.clock.now()), self.attempts.figures());
                 let _ = reply.send(NodeFigures { engine, attempts });
             }
-            Happening::Stop => {
+            DriverEvent::Stop => {
                 // Before the stop gives back jobs or closes connections.
                 self.hand_over();
                 // A successor continues as the same fleet member, so the fleet is told of a departure only without one.
@@ -367,7 +367,7 @@
 
     fn listen_for_successors(&mut self) {
         if let Some(SuccessorSocket { path, sockets }) = self.successor_socket.take() {
-            self.bound_socket = replace::listen_for_successors(&path, sockets, self.happenings.clone());
+            self.bound_socket = replace::listen_for_successors(&path, sockets, self.events.clone());
         }
     }
 
@@ -514,7 +514,7 @@
             ack.map(|ack| ack.send(own || from.is_none()));
             return self.dispatch(Event::News(news));
         }
-        let happenings = self.happenings.clone();
+        let events = self.events.clone();
         actix_rt::spawn(async move {
             let mut known = true;
             for link in others {
@@ -529,7 +529,7 @@
             }
             // No process knows the job, so there is nothing to wait for, unless one did not reply. The job may have
             // arrived here in the meantime.
-            let _ = happenings.send(Happening::Returned(news, ack, known && from.is_none()));
+            let _ = events.send(DriverEvent::ReportRelayed(news, ack, known && from.is_none()));
         });
     }
 
@@ -577,11 +577,11 @@
             self.attempts.no_connection();
             return Some(not_started(id, forward));
         };
-        let (happenings, patience) = (self.happenings.clone(), self.links.taken_within());
+        let (events, patience) = (self.events.clone(), self.links.taken_within());
         let attempt = Rc::new(Attempt::new((id, forward), deadline, client, self.attempts.clone()));
         let mine = attempt.clone();
         let task = actix_rt::spawn(async move {
-            let report = |reply| drop(happenings.send(Happening::Replied(id, forward, reply)));
+            let report = |reply| drop(events.send(DriverEvent::Replied(id, forward, reply)));
             send::forward(lease, &job, mine, patience, report).await;
         });
         self.forwards.insert((id, forward), ForwardTask { task, attempt });
@@ -603,10 +603,10 @@
             // Without a free connection the executor has no capacity that could be used now.
             return Some(Event::Probed(tgt, Outcome::Full, Report::default()));
         };
-        let (happenings, reports, patience) = (self.happenings.clone(), self.reports, self.links.patience());
+        let (events, reports, patience) = (self.events.clone(), self.reports, self.links.patience());
         actix_rt::spawn(async move {
             let (outcome, report) = probe(lease, reports, patience).await;
-            let _ = happenings.send(Happening::Probed(tgt, outcome, report));
+            let _ = events.send(DriverEvent::Probed(tgt, outcome, report));
         });
         None
     }
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -21,16 +21,20 @@
 
 /// Runs the driver until the client has its answer; returns the answer and the time it took.
 async fn answered(addr: SocketAddr, class: &str, budget: f64, late: f64) -> (Answer, f64) {
-    let (mut driver, mut happens, _) = driver(&[addr]);
+    let (mut driver, mut event_receiver, _) = driver(&[addr]);
     let (answer, mut answered) = oneshot::channel();
     let begun = driver.clock.now();
-    driver.happened(Happening::Taken(ID, Box::new(job(CALL, class, budget, begun - late)), client(answer)));
+    driver.handle_event(DriverEvent::Accepted(
+        ID,
+        Box::new(job(CALL, class, budget, begun - late)),
+        client(answer),
+    ));
     loop {
         if let Ok(answer) = answered.try_recv() {
             return (answer, driver.clock.now() - begun);
         }
-        if let Ok(Some(event)) = timeout(seconds(0.002), happens.recv()).await {
-            driver.happened(event);
+        if let Ok(Some(event)) = timeout(seconds(0.002), event_receiver.recv()).await {
+            driver.handle_event(event);
         }
         driver.advance();
     }
@@ -63,7 +67,7 @@
 #[test]
 fn running_out_of_descriptors_suspects_no_executor() {
     block(async {
-        let (mut driver, _happens, _) = driver(&[CLOSED.into()]);
+        let (mut driver, _event_receiver, _) = driver(&[CLOSED.into()]);
         driver.links = Links::new(0, seconds(1.0), seconds(60.0));
         driver.links.listed(0, CLOSED.into());
         let (answer, _answered) = oneshot::channel();
@@ -81,7 +85,7 @@
 #[test]
 fn no_forward_starts_for_a_disconnected_client() {
     block(async {
-        let (mut driver, _happens, _) = driver(&[CLOSED.into()]);
+        let (mut driver, _event_receiver, _) = driver(&[CLOSED.into()]);
         let task = actix_rt::spawn(std::future::pending());
         let watch = task.abort_handle();
         driver.forwards.insert((ID, 0), ForwardTask { task, attempt: attempt() });
@@ -94,10 +98,10 @@
 }
 
 /// Redirects the discovery client's events to the returned channel.
-fn redirect_discovery(driver: &mut Driver) -> mpsc::UnboundedReceiver<Happening> {
-    let (happenings, happens) = mpsc::unbounded_channel();
-    driver.discovery = Discovery::new(CLOSED.into(), happenings);
-    happens
+fn redirect_discovery(driver: &mut Driver) -> mpsc::UnboundedReceiver<DriverEvent> {
+    let (events, event_receiver) = mpsc::unbounded_channel();
+    driver.discovery = Discovery::new(CLOSED.into(), events);
+    event_receiver
 }
 
 const LIST: &str = "HTTP/1.1 200 OK\r\nContent-Length: 71\r\n\r\n\
@@ -108,12 +112,13 @@
     let (addr, service) = executor("index=0", &[LIST]);
     block(async {
         let (mut driver, _, node_state) = driver(&[CLOSED.into(); 2]);
-        let mut happens = redirect_discovery(&mut driver);
-        driver.happened(Happening::Reload(Ok(Box::new(Config { discovery: addr, ..config("") })), None));
+        let mut event_receiver = redirect_discovery(&mut driver);
+        driver
+            .handle_event(DriverEvent::Reload(Ok(Box::new(Config { discovery: addr, ..config("") })), None));
         assert_eq!(node_state.phase(), Phase::Reloading);
         while node_state.phase() == Phase::Reloading || driver.engine.fleet().known("b").is_none() {
-            let happening = timeout(seconds(9.0), happens.recv()).await.expect("in time");
-            happening.into_iter().for_each(|what| driver.happened(what));
+            let event = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
+            event.into_iter().for_each(|event| driver.handle_event(event));
         }
         assert!(driver.links.lease(0).is_some() && node_state.phase() == Phase::Serving);
     });
@@ -126,14 +131,14 @@
 fn a_rejected_reload_changes_nothing(stopped: bool, phase: Phase) {
     block(async {
         let (mut driver, _, node_state) = driver(&[CLOSED.into()]);
-        let mut happens = redirect_discovery(&mut driver);
+        let mut event_receiver = redirect_discovery(&mut driver);
         if stopped {
-            driver.happened(Happening::Stop);
+            driver.handle_event(DriverEvent::Stop);
         }
         let told = if stopped { Ok(Box::new(config(""))) } else { Err("no".into()) };
-        driver.happened(Happening::Reload(told, None));
+        driver.handle_event(DriverEvent::Reload(told, None));
         actix_rt::task::yield_now().await;
-        assert!(happens.try_recv().is_err() && node_state.phase() == phase);
+        assert!(event_receiver.try_recv().is_err() && node_state.phase() == phase);
     });
 }
 
@@ -152,7 +157,7 @@
         };
         // Fills the listener's queue: the next connection is established once there is room, a second later.
         let filling: Vec<_> = (0..if late { 5000 } else { 0 }).map_while(connect).collect();
-        let (mut driver, mut happens, _) = driver(&[addr]);
+        let (mut driver, mut event_receiver, _) = driver(&[addr]);
         driver.links = Links::new(64, seconds(8.0), seconds(60.0));
         driver.links.listed(0, addr);
         let (answer, _answered) = oneshot::channel();
@@ -160,7 +165,7 @@
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
         driver.dispatch(Event::Probed(0, Outcome::Succeeded, room));
         let now = driver.clock.now();
-        driver.happened(Happening::Taken(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
+        driver.handle_event(DriverEvent::Accepted(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
         assert!(driver.forwards.contains_key(&(ID, 0)), "the forward has started");
         if !late {
             while driver.forwards[&(ID, 0)].attempt.progress() == Progress::Waiting {
@@ -171,7 +176,7 @@
             "{{\"version\":9,\"full\":true,\"servers\":[{{\"id\":\"s-0\",\"addr\":\"{addr}\",\"state\":\"draining\"}}]}}"
         );
         let hosts: crate::hosts::Hosts = serde_json::from_str(&drains).expect("a list");
-        driver.happened(Happening::Watch(0, coveroute_engine::Watched::Listed(hosts.into())));
+        driver.handle_event(DriverEvent::Watch(0, coveroute_engine::Watched::Listed(hosts.into())));
         assert_eq!(driver.forwards.contains_key(&(ID, 0)), !late, "withdrawn if nothing of it was written");
         // Drains the queue so that any connection still waiting is established, and counts the requests written.
         let heard = actix_rt::task::spawn_blocking(move || {
@@ -197,7 +202,7 @@
         });
         let heard = heard.await.expect("what was heard");
         assert_eq!(heard, expected, "requests written");
-        while happens.try_recv().is_ok() {}
+        while event_receiver.try_recv().is_ok() {}
     });
 }
 
@@ -208,10 +213,10 @@
 fn a_handed_over_job_is_not_sent_if_its_client_disconnected(disconnects: bool, attempts: usize) {
     use std::io::Read;
     block(async {
-        let (mut before, _happens, _) = driver(&[CLOSED.into()]);
+        let (mut before, _event_receiver, _) = driver(&[CLOSED.into()]);
         let (answer, _answered) = oneshot::channel();
         let now = before.clock.now();
-        before.happened(Happening::Taken(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
+        before.handle_event(DriverEvent::Accepted(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
         let parcel = before.engine.part_with(ID).expect("a waiting job");
         let handed = TransferredJob::of(parcel, &job(CALL, "look", 9.0, now));
         let server = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -222,13 +227,17 @@
         let kept = Some(client).filter(|_| !disconnects);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("a non-blocking socket");
-        let (mut driver, _happens, _) = driver(&[listener.local_addr().expect("an address")]);
+        let (mut driver, _event_receiver, _) = driver(&[listener.local_addr().expect("an address")]);
         let (adopted, _adopted_connections) = mpsc::unbounded_channel();
         (driver.predecessor, driver.adopted) =
             (Some(Rc::new(Link::new(Side::Predecessor, 0, mpsc::unbounded_channel().0))), Some(adopted));
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
         driver.dispatch(Event::Probed(0, Outcome::Succeeded, room));
-        driver.happened(Happening::Said(Side::Predecessor, 0, Said::Job(Box::new(handed), socket.into())));
+        driver.handle_event(DriverEvent::LinkMessage(
+            Side::Predecessor,
+            0,
+            Said::Job(Box::new(handed), socket.into()),
+        ));
         assert_eq!(driver.forwards.len(), 1, "the forward has started");
         let mut heard = 0;
         for _ in 0..100 {
@@ -253,21 +262,21 @@
     const CLIENTS: InvId = 340;
     let executors: Vec<SocketAddr> = (0..300).map(|at| ([127, 0, 1, 1], 1 + at).into()).collect();
     block(async move {
-        let (mut driver, happens, _) = driver(&executors);
-        let happenings = driver.happenings.clone();
+        let (mut driver, event_receiver, _) = driver(&executors);
+        let events = driver.events.clone();
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
         (0..executors.len()).for_each(|tgt| driver.dispatch(Event::Probed(tgt, Outcome::Succeeded, room)));
         let now = driver.clock.now();
         let ask = |id| {
             let (answer, answered) = oneshot::channel();
             let asked = Box::new(job(&format!("c{id}"), "look", 9.0, now));
-            let _ = happenings.send(Happening::Taken(id, asked, client(answer)));
+            let _ = events.send(DriverEvent::Accepted(id, asked, client(answer)));
             answered
         };
         let mut answers: Vec<_> = (0..CLIENTS).map(ask).collect();
-        let _ = happenings.send(Happening::Left(CLIENTS - 1));
+        let _ = events.send(DriverEvent::Disconnected(CLIENTS - 1));
         let begun = Instant::now();
-        let driver = actix_rt::spawn(driver.run(happens));
+        let driver = actix_rt::spawn(driver.run(event_receiver));
         let answer = answers.pop().expect("its own").await;
         println!("the departure waited for {:?} behind {CLIENTS} clients", begun.elapsed());
         assert!(answer.is_err(), "the client has disconnected: {answer:?}");
--- a/crates/coveroute-node/src/happening.rs
+++ b/crates/coveroute-node/src/event.rs
@@ -1,4 +1,4 @@
-//! Happenings: the events that the socket modules send to the driver.
+//! Events: what the socket modules report to the driver.
 use std::rc::Rc;
 
 use bytes::Bytes;
@@ -14,7 +14,7 @@
 use crate::link::{Link, Said, Side};
 use crate::take_in::Job;
 
-pub type Happenings = mpsc::UnboundedSender<Happening>;
+pub type EventSender = mpsc::UnboundedSender<DriverEvent>;
 
 /// The figures reported in the metrics: the engine's and those of attempts.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -24,11 +24,11 @@
 }
 
 /// An event for the driver.
-pub enum Happening {
+pub enum DriverEvent {
     /// A client's request was read completely.
-    Taken(InvId, Box<Job>, Client),
+    Accepted(InvId, Box<Job>, Client),
     /// The client has closed its connection.
-    Left(InvId),
+    Disconnected(InvId),
     /// An executor's reply to a forward, by the forward's number.
     Replied(InvId, usize, Reply),
     /// An executor's job status update, parsed and as received, and where to report whether a process of this
@@ -36,16 +36,16 @@
     News(News, Bytes, Option<oneshot::Sender<bool>>),
     /// A job status update that no other process of this node recognized as its own, and whether it is
     /// acknowledged even if this process does not recognize it either.
-    Returned(News, Option<oneshot::Sender<bool>>, bool),
+    ReportRelayed(News, Option<oneshot::Sender<bool>>, bool),
     /// A successor process asks for the state that it starts with.
-    Handing(oneshot::Sender<Handed>),
+    HandoverRequested(oneshot::Sender<Handed>),
     /// The successor has received that state.
-    Linked(Rc<Link>),
+    SuccessorConnected(Rc<Link>),
     /// A message from another process of this node, on the link with this number.
-    Said(Side, u64, Said),
+    LinkMessage(Side, u64, Said),
     /// The result of a probe of an executor.
     Probed(Tgt, Outcome, Report),
-    /// News of the list of executors, for the watch with this number.
+    /// An update of the list of executors, for the watch with this number.
     Watch(u64, Watched),
     /// A message from another node.
     Heard { from: usize, told: Told, mark: u32, count: u8 },
@@ -55,7 +55,7 @@
     /// The server answered a request for this operation itself.
     Ended(String, Verdict),
     /// Operators requested the metrics.
-    Asked(oneshot::Sender<NodeFigures>),
+    FiguresRequested(oneshot::Sender<NodeFigures>),
     /// This node's current part of the tenants' shares.
     Quotas(Vec<(String, f64)>),
     /// The platform requested that the node stop.
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -18,7 +18,7 @@
 use serde::Serialize;
 
 use crate::clock::seconds;
-use crate::happening::{Happening, Happenings};
+use crate::event::{DriverEvent, EventSender};
 use crate::phase::NodeState;
 
 /// The most datagrams handled per second. A member that each of 1,000 others asks every 0.2 s has ten.
@@ -88,7 +88,7 @@
     /// Tenants' shares, and this node's rights to parts of them where the fleet enforces them.
     shares: RefCell<Vec<(String, f64)>>,
     rights: RefCell<Option<Rights>>,
-    happenings: Happenings,
+    events: EventSender,
 }
 
 /// The fleet's figures for operators.
@@ -133,7 +133,7 @@
         membership: &Membership,
         plan: Plan,
         shares: Vec<(String, f64)>,
-        (socket, node_state, happenings): (UdpSocket, Rc<NodeState>, Happenings),
+        (socket, node_state, events): (UdpSocket, Rc<NodeState>, EventSender),
     ) -> Result<Self, String> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let mark = mix(unix.as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
@@ -162,7 +162,7 @@
             flooded,
             shares,
             rights,
-            happenings,
+            events,
         })
     }
 
@@ -196,7 +196,7 @@
                     (name.clone(), here)
                 };
                 let quotas = shares.iter().filter(|(_, share)| *share > 0.0).map(here).collect();
-                let _ = self.happenings.send(Happening::Quotas(quotas));
+                let _ = self.events.send(DriverEvent::Quotas(quotas));
             }
         }
         self.send_rights_messages(messages);
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -16,10 +16,10 @@
 mod descriptors;
 mod discovery;
 mod driver;
+mod event;
 mod executors;
 mod fleet;
 mod handed;
-mod happening;
 mod hosts;
 mod link;
 mod listen;
@@ -59,9 +59,9 @@
 use coveroute_fleet::rights::limit_id;
 use coveroute_fleet::Plan;
 use driver::{Driver, Endpoints, SuccessorSocket};
+use event::{DriverEvent, EventSender};
 use executors::Links;
 use fleet::Carrier;
-use happening::{Happening, Happenings};
 use phase::NodeState;
 use server::ClientServer;
 
@@ -127,10 +127,10 @@
     }
 
     /// Reads both files again; reports them, or why one of them is invalid.
-    async fn reread(&self) -> Happening {
+    async fn reread(&self) -> DriverEvent {
         match self.read_reload().await {
-            Ok((config, plan)) => Happening::Reload(Ok(config), plan),
-            Err(reason) => Happening::Reload(Err(reason), None),
+            Ok((config, plan)) => DriverEvent::Reload(Ok(config), plan),
+            Err(reason) => DriverEvent::Reload(Err(reason), None),
         }
     }
 
@@ -217,9 +217,9 @@
 }
 
 async fn serve(config: Config, files: Files) -> Result<(), String> {
-    let (happenings, happens) = mpsc::unbounded_channel();
+    let (events, event_receiver) = mpsc::unbounded_channel();
     // First, because a signal without a handler would end the process.
-    actix_rt::spawn(signals(happenings.clone(), files.clone())?);
+    actix_rt::spawn(signals(events.clone(), files.clone())?);
     let fleet = files.plan(&config)?;
     // This address is not shared, and is bound before the handover: operators could not tell two processes apart that
     // answer there.
@@ -234,15 +234,14 @@
         Some(path) => replace::predecessor(path).await,
         None => None,
     };
-    let (predecessor, sockets) =
-        predecessor.map(|predecessor| predecessor.into_link(happenings.clone())).unzip();
+    let (predecessor, sockets) = predecessor.map(|predecessor| predecessor.into_link(events.clone())).unzip();
     let peer_addr = Files::own_peer(&config).or(fleet.as_ref().map(|(.., address)| *address));
     let (listener, datagrams) = listen::open(config.listen, peer_addr, sockets.unwrap_or_default()).await?;
     let clock = predecessor.as_ref().map_or_else(Clock::new, |(_, handed)| handed.clock());
     let node_state = Rc::new(NodeState::new());
     let (executors, clients) = descriptor_limits(config.sockets, config.memory_mb);
     let links = Links::new(executors, config.dial, config.idle);
-    let server = Rc::new(ClientServer::new(clock, node_state.clone(), happenings.clone(), clients));
+    let server = Rc::new(ClientServer::new(clock, node_state.clone(), events.clone(), clients));
     let carrier = match (fleet, &datagrams) {
         (Some((membership, plan, _)), Some(socket)) => {
             let socket = socket.try_clone().map_err(|e| e.to_string())?;
@@ -250,14 +249,13 @@
                 &membership,
                 plan,
                 config.shares(),
-                (socket, node_state.clone(), happenings.clone()),
+                (socket, node_state.clone(), events.clone()),
             )?))
         }
         _ => None,
     };
     carrier.iter().for_each(|carrier| drop(actix_rt::spawn(carrier.clone().run())));
-    let management =
-        management::ManagementServer::new(node_state.clone(), happenings.clone(), carrier.clone());
+    let management = management::ManagementServer::new(node_state.clone(), events.clone(), carrier.clone());
     management_listener.map(|listener| actix_rt::spawn(management::accept(listener, management)));
     let own = |socket: std::io::Result<OwnedFd>| socket.map_err(|e| e.to_string());
     let mut sockets = vec![own(listener.as_fd().try_clone_to_owned())?];
@@ -274,33 +272,33 @@
         connections: server.connections(),
         adopted: Some(adopt),
     };
-    let driver = Driver::new(config, clock, node_state, links, endpoints, happenings)?;
+    let driver = Driver::new(config, clock, node_state, links, endpoints, events)?;
     actix_rt::spawn(server::accept(listener, server.clone(), adopted));
     actix_rt::spawn(server::sweep(server));
-    driver.run(happens).await;
+    driver.run(event_receiver).await;
     info!("stopped");
     Ok(())
 }
 
 /// Turns the signals to stop and to reload into events.
-fn signals(happenings: Happenings, files: Files) -> Result<impl Future<Output = ()>, String> {
+fn signals(events: EventSender, files: Files) -> Result<impl Future<Output = ()>, String> {
     let listen = |kind| signal(kind).map_err(|e| e.to_string());
     let mut term = listen(SignalKind::terminate())?;
     let mut int = listen(SignalKind::interrupt())?;
     let mut hup = listen(SignalKind::hangup())?;
     Ok(async move {
         loop {
-            let happening = tokio::select! {
-                _ = term.recv() => Happening::Stop,
-                _ = int.recv() => Happening::Stop,
+            let event = tokio::select! {
+                _ = term.recv() => DriverEvent::Stop,
+                _ = int.recv() => DriverEvent::Stop,
                 _ = hup.recv() => {
                     // In a separate task: a stop must not wait for disk reads.
-                    let (happenings, files) = (happenings.clone(), files.clone());
-                    actix_rt::spawn(async move { happenings.send(files.reread().await) });
+                    let (events, files) = (events.clone(), files.clone());
+                    actix_rt::spawn(async move { events.send(files.reread().await) });
                     continue;
                 }
             };
-            let _ = happenings.send(happening);
+            let _ = events.send(event);
         }
     })
 }
--- a/crates/coveroute-node/src/management.rs
+++ b/crates/coveroute-node/src/management.rs
@@ -17,8 +17,8 @@
 use tokio::sync::oneshot;
 
 use crate::attempt::AttemptFigures;
+use crate::event::{DriverEvent, EventSender, NodeFigures};
 use crate::fleet::{self, Carrier};
-use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::phase::NodeState;
 use crate::socket::Socket;
 
@@ -135,13 +135,13 @@
 /// The state shared by all requests of operators.
 pub struct ManagementServer {
     node_state: Rc<NodeState>,
-    happenings: Happenings,
+    events: EventSender,
     carrier: Option<Rc<Carrier>>,
 }
 
 impl ManagementServer {
-    pub fn new(node_state: Rc<NodeState>, happenings: Happenings, carrier: Option<Rc<Carrier>>) -> Rc<Self> {
-        Rc::new(ManagementServer { node_state, happenings, carrier })
+    pub fn new(node_state: Rc<NodeState>, events: EventSender, carrier: Option<Rc<Carrier>>) -> Rc<Self> {
+        Rc::new(ManagementServer { node_state, events, carrier })
     }
 
     async fn answer(&self, request: Request) -> Response<BoxBody> {
@@ -165,7 +165,7 @@
     /// Requests the metrics from the driver, which owns them and handles the events before this one first.
     async fn metrics(&self) -> Response<BoxBody> {
         let (reply, replied) = oneshot::channel();
-        let _ = self.happenings.send(Happening::Asked(reply));
+        let _ = self.events.send(DriverEvent::FiguresRequested(reply));
         let fleet = || self.carrier.as_ref().map(|carrier| carrier.shown());
         let metrics = replied.await.ok().map(|figures| Metrics { fleet: fleet(), ..Metrics::from(figures) });
         let Some(Ok(body)) = metrics.map(|metrics| serde_json::to_vec(&metrics)) else {
--- a/crates/coveroute-node/src/peers.rs
+++ b/crates/coveroute-node/src/peers.rs
@@ -13,8 +13,8 @@
 use log::debug;
 use tokio::net::UdpSocket;
 
+use crate::event::{DriverEvent, EventSender};
 use crate::fleet::Carrier;
-use crate::happening::{Happening, Happenings};
 
 /// Delay after a failed receive.
 const RETRY_DELAY: Duration = Duration::from_millis(1);
@@ -34,7 +34,7 @@
 #[derive(Clone)]
 struct Recipients {
     addrs: Rc<[SocketAddr]>,
-    happenings: Happenings,
+    events: EventSender,
     carrier: Option<Rc<Carrier>>,
 }
 
@@ -44,13 +44,13 @@
         me: usize,
         addrs: Vec<SocketAddr>,
         socket: std::net::UdpSocket,
-        happenings: Happenings,
+        events: EventSender,
         carrier: Option<Rc<Carrier>>,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         let (receiver, addrs) =
             (Rc::new(UdpSocket::from_std(socket.try_clone()?)?), Rc::<[SocketAddr]>::from(addrs));
-        let recipients = Recipients { addrs: addrs.clone(), happenings, carrier };
+        let recipients = Recipients { addrs: addrs.clone(), events, carrier };
         Ok(Peers { socket, addrs, me, receiver, task: None, recipients })
     }
 
@@ -85,7 +85,7 @@
             sleep(RETRY_DELAY).await;
             continue;
         };
-        let (bytes, Recipients { addrs, happenings, carrier }) = (&buffer[..len], &recipients);
+        let (bytes, Recipients { addrs, events, carrier }) = (&buffer[..len], &recipients);
         if let Some(carrier) = carrier.as_ref().filter(|_| bytes.first() == Some(&MARK) || addrs.is_empty()) {
             carrier.receive(sender, bytes);
             continue;
@@ -95,7 +95,7 @@
             std::str::from_utf8(bytes).ok().filter(|text| text.len() <= MAX_HINT_BYTES).and_then(message);
         match from.zip(read) {
             Some((from, (told, mark, count))) => {
-                if happenings.send(Happening::Heard { from, told, mark, count }).is_err() {
+                if events.send(DriverEvent::Heard { from, told, mark, count }).is_err() {
                     return;
                 }
             }
--- a/crates/coveroute-node/src/replace.rs
+++ b/crates/coveroute-node/src/replace.rs
@@ -20,8 +20,8 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot};
 
+use crate::event::{DriverEvent, EventSender};
 use crate::handed::Handed;
-use crate::happening::{Happening, Happenings};
 use crate::link::{Link, Message, OutgoingMessage, Said, Side};
 
 /// Protocol version of the link. Processes with different versions can't be connected.
@@ -172,8 +172,8 @@
 
 impl Predecessor {
     /// Starts the link, which from now on reports the predecessor's messages as events.
-    pub fn into_link(self, happenings: Happenings) -> ((Rc<Link>, Handed), Vec<OwnedFd>) {
-        let link = start_link(Side::Predecessor, 0, self.reader, self.writer, happenings);
+    pub fn into_link(self, events: EventSender) -> ((Rc<Link>, Handed), Vec<OwnedFd>) {
+        let link = start_link(Side::Predecessor, 0, self.reader, self.writer, events);
         ((link, self.handed), self.sockets)
     }
 }
@@ -183,7 +183,7 @@
     number: u64,
     mut reader: Reader,
     mut writer: OwnedWriteHalf,
-    happenings: Happenings,
+    events: EventSender,
 ) -> Rc<Link> {
     let (out, mut outs) = mpsc::unbounded_channel::<OutgoingMessage>();
     let link = Rc::new(Link::new(side, number, out));
@@ -217,7 +217,7 @@
                     Ok(Message::Hello(_) | Message::Handed(..)) => return "unexpected message".to_owned(),
                     Err(e) => return e.to_string(),
                 };
-                let _ = happenings.send(Happening::Said(side, number, said));
+                let _ = events.send(DriverEvent::LinkMessage(side, number, said));
             }
         };
         let send_all = async {
@@ -235,7 +235,7 @@
             if side == Side::Predecessor { "before" } else { "after" }
         );
         incoming.close();
-        let _ = happenings.send(Happening::Said(side, number, Said::Ended));
+        let _ = events.send(DriverEvent::LinkMessage(side, number, Said::Ended));
     });
     link
 }
@@ -256,11 +256,7 @@
 }
 
 /// Accepts successors at this path, and replaces whatever socket was there: a stale one, or the predecessor's.
-pub fn listen_for_successors(
-    path: &Path,
-    sockets: Vec<OwnedFd>,
-    happenings: Happenings,
-) -> Option<BoundSocket> {
+pub fn listen_for_successors(path: &Path, sockets: Vec<OwnedFd>, events: EventSender) -> Option<BoundSocket> {
     let own = path.with_extension(format!("{}", std::process::id()));
     let bound = || -> io::Result<(UnixListener, u64)> {
         let _ = std::fs::remove_file(&own);
@@ -271,7 +267,7 @@
     };
     match bound() {
         Ok((listener, inode)) => {
-            actix_rt::spawn(accept_successors(listener, sockets, happenings));
+            actix_rt::spawn(accept_successors(listener, sockets, events));
             Some(BoundSocket { path: path.to_owned(), inode })
         }
         Err(e) => {
@@ -282,15 +278,15 @@
     }
 }
 
-async fn accept_successors(listener: UnixListener, sockets: Vec<OwnedFd>, happenings: Happenings) {
+async fn accept_successors(listener: UnixListener, sockets: Vec<OwnedFd>, events: EventSender) {
     for number in 0.. {
         let Ok((stream, _)) = listener.accept().await else {
             actix_rt::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
-        let handed = timeout(HANDOVER_TIMEOUT, hand_over(stream, number, &sockets, &happenings)).await;
+        let handed = timeout(HANDOVER_TIMEOUT, hand_over(stream, number, &sockets, &events)).await;
         match handed {
-            Ok(Ok(link)) => drop(happenings.send(Happening::Linked(link))),
+            Ok(Ok(link)) => drop(events.send(DriverEvent::SuccessorConnected(link))),
             Ok(Err(e)) => warn!("handover failed: {e}"),
             Err(_) => warn!("handover failed: timed out"),
         }
@@ -301,7 +297,7 @@
     stream: UnixStream,
     number: u64,
     sockets: &[OwnedFd],
-    happenings: &Happenings,
+    events: &EventSender,
 ) -> io::Result<Rc<Link>> {
     // Only processes of the same user may replace this one: other users of the machine are rejected.
     let (theirs, ours) = (stream.peer_cred()?.uid(), nix::unistd::geteuid().as_raw());
@@ -318,8 +314,8 @@
         _ => return Err(io::Error::other("expected a hello message")),
     }
     let (reply, replied) = oneshot::channel();
-    let _ = happenings.send(Happening::Handing(reply));
+    let _ = events.send(DriverEvent::HandoverRequested(reply));
     let handed = replied.await.map_err(io::Error::other)?;
     write(&mut writer, &Message::Handed(Box::new(handed), sockets.len()), sockets).await?;
-    Ok(start_link(Side::Successor, number, reader, writer, happenings.clone()))
+    Ok(start_link(Side::Successor, number, reader, writer, events.clone()))
 }
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -26,7 +26,7 @@
 };
 use crate::clock::Clock;
 use crate::descriptors::Descriptors;
-use crate::happening::{Happening, Happenings};
+use crate::event::{DriverEvent, EventSender};
 use crate::hosts::Hosts;
 use crate::phase::NodeState;
 use crate::relay::Answer;
@@ -54,7 +54,7 @@
 pub struct ClientServer {
     clock: Clock,
     node_state: Rc<NodeState>,
-    happenings: Happenings,
+    events: EventSender,
     connections: ClientConnections,
     /// Maximum number of connections with a pending request.
     max_waiting: usize,
@@ -71,13 +71,13 @@
     pub fn new(
         clock: Clock,
         node_state: Rc<NodeState>,
-        happenings: Happenings,
+        events: EventSender,
         (max_waiting, max_others): (usize, usize),
     ) -> Self {
         ClientServer {
             clock,
             node_state,
-            happenings,
+            events,
             connections: ClientConnections::default(),
             max_waiting,
             max_others,
@@ -230,7 +230,7 @@
                     }
                     Err(unfit) => {
                         if !matches!(unfit, Answer::Unfit(_, take_in::BODY_INCOMPLETE)) {
-                            let _ = self.happenings.send(Happening::Ended(class, Verdict::Errored));
+                            let _ = self.events.send(DriverEvent::Ended(class, Verdict::Errored));
                         }
                         unfit
                     }
@@ -246,7 +246,7 @@
         let (acknowledge, acknowledged) = self.node_state.paired().then(oneshot::channel).unzip();
         let acknowledge = Cell::new(acknowledge);
         let news =
-            |body: &Bytes| Ok(Happening::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
+            |body: &Bytes| Ok(DriverEvent::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
         let answer = self.forward_body(request, wire::BODY_MOST, "a job status update", news).await;
         match (answer, acknowledged) {
             (Answer::Succeeded(body), Some(acknowledged)) => match acknowledged.await {
@@ -268,7 +268,7 @@
         }
         let list = |body: &Bytes| {
             let hosts = serde_json::from_slice::<Hosts>(body).map_err(|e| e.to_string())?;
-            Ok(Happening::Watch(UNASKED, Watched::Listed(hosts.into())))
+            Ok(DriverEvent::Watch(UNASKED, Watched::Listed(hosts.into())))
         };
         self.forward_body(&mut request, discovery::LIST_MOST, "a list of executors", list).await
     }
@@ -280,7 +280,7 @@
         request: &mut Request,
         most: usize,
         what: &str,
-        parse: impl Fn(&Bytes) -> Result<Happening, String>,
+        parse: impl Fn(&Bytes) -> Result<DriverEvent, String>,
     ) -> Answer {
         let payload = request.take_payload();
         let body = match take_in::body(payload, &request.head().headers, most).await {
@@ -288,8 +288,8 @@
             Err(unfit) => return unfit,
         };
         match parse(&body) {
-            Ok(happening) => {
-                let _ = self.happenings.send(happening);
+            Ok(event) => {
+                let _ = self.events.send(event);
                 Answer::Succeeded("".into())
             }
             Err(e) => {
@@ -310,7 +310,7 @@
         if self.connections.borrow().values().filter(is_waiting).count()
             > self.node_state.share_of(self.max_waiting)
         {
-            let _ = self.happenings.send(Happening::Ended(job.call.class, Verdict::Throttled));
+            let _ = self.events.send(DriverEvent::Ended(job.call.class, Verdict::Throttled));
             return (
                 Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.node_state.max_pause()) },
                 AfterResponse::Close,
@@ -320,9 +320,9 @@
         connection.iter().for_each(|connection| connection.set_job(id));
         let (answer, answered) = oneshot::channel();
         let client = Client { answer, connection: connection.cloned() };
-        let _ = self.happenings.send(Happening::Taken(id, Box::new(job), client));
+        let _ = self.events.send(DriverEvent::Accepted(id, Box::new(job), client));
         // actix-http drops this future, and the guard with it, when the client closes the connection.
-        let mut guard = DisconnectGuard { id, happenings: &self.happenings, answered: false };
+        let mut guard = DisconnectGuard { id, events: &self.events, answered: false };
         let answer = answered.await;
         guard.answered = true;
         (answer.unwrap_or(Answer::Errored), AfterResponse::KeepOpen)
@@ -332,14 +332,14 @@
 /// Reports the client as disconnected if it is dropped before the job is answered.
 struct DisconnectGuard<'a> {
     id: InvId,
-    happenings: &'a Happenings,
+    events: &'a EventSender,
     answered: bool,
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.happenings.send(Happening::Left(self.id));
+            let _ = self.events.send(DriverEvent::Disconnected(self.id));
         }
     }
 }
@@ -434,7 +434,7 @@
             // The client disconnected during the handover.
             (Err(_), Some((connection, id, _))) => {
                 connection.set_closed();
-                let _ = server.happenings.send(Happening::Left(id));
+                let _ = server.events.send(DriverEvent::Disconnected(id));
             }
             (Err(_), None) => {}
         }
@@ -456,7 +456,7 @@
         connection.set_job(id);
         let own = connection.clone();
         self.connections.borrow_mut().insert(peer, connection);
-        let mut guard = DisconnectGuard { id, happenings: &self.happenings, answered: false };
+        let mut guard = DisconnectGuard { id, events: &self.events, answered: false };
         let answer = tokio::select! {
             // The close request comes first: once the job is handed over to the next process, the answer's
             // sender is dropped here, which must not become an error response.
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -24,9 +24,9 @@
 use crate::config::{self, Config};
 use crate::discovery::{Discovery, ListParser, WatchItem};
 use crate::driver::{Driver, Endpoints};
+use crate::event::{DriverEvent, EventSender, NodeFigures};
 use crate::executors::{Links, Patience};
 use crate::fleet::{Carrier, Membership};
-use crate::happening::{Happening, Happenings, NodeFigures};
 use crate::hosts::Hosts;
 use crate::logger::{Pace, Turn};
 use crate::management;
@@ -98,28 +98,27 @@
 }
 
 /// Discovery responds, so the list that the driver knows from before its start is current.
-pub fn followed() -> Happening {
-    Happening::Watch(UNASKED, Watched::Begun)
+pub fn followed() -> DriverEvent {
+    DriverEvent::Watch(UNASKED, Watched::Begun)
 }
 
 /// A driver that follows a list of executors `s-0`, `s-1`, ... at these addresses.
-pub fn driver(addrs: &[SocketAddr]) -> (Driver, UnboundedReceiver<Happening>, Rc<NodeState>) {
+pub fn driver(addrs: &[SocketAddr]) -> (Driver, UnboundedReceiver<DriverEvent>, Rc<NodeState>) {
     let entry =
         |(at, addr): (usize, &SocketAddr)| format!(r#"{{"id":"s-{at}","addr":"{addr}","state":"up"}}"#);
     let entries: Vec<String> = addrs.iter().enumerate().map(entry).collect();
-    let (mut driver, _, happens, node_state) = driver_by(config(&entries.join(",")));
-    driver.happened(followed());
-    (driver, happens, node_state)
+    let (mut driver, _, event_receiver, node_state) = driver_by(config(&entries.join(",")));
+    driver.handle_event(followed());
+    (driver, event_receiver, node_state)
 }
 
 /// A driver with this configuration, and both ends of its event channel.
-pub fn driver_by(config: Config) -> (Driver, Happenings, UnboundedReceiver<Happening>, Rc<NodeState>) {
-    let (clock, node_state, (happenings, happens)) =
+pub fn driver_by(config: Config) -> (Driver, EventSender, UnboundedReceiver<DriverEvent>, Rc<NodeState>) {
+    let (clock, node_state, (events, event_receiver)) =
         (Clock::new(), Rc::new(NodeState::new()), unbounded_channel());
     let links = Links::new(64, config.dial, config.idle);
-    let driver =
-        Driver::new(config, clock, node_state.clone(), links, Endpoints::default(), happenings.clone());
-    (driver.expect("a driver"), happenings, happens, node_state)
+    let driver = Driver::new(config, clock, node_state.clone(), links, Endpoints::default(), events.clone());
+    (driver.expect("a driver"), events, event_receiver, node_state)
 }
 
 /// The example configuration with these replacements, parsed.
@@ -460,17 +459,17 @@
     client: impl FnOnce(SocketAddr) -> T + Send + 'static,
 ) -> (T, usize) {
     block(async {
-        let (clock, node_state, (happenings, mut happens)) =
+        let (clock, node_state, (events, mut event_receiver)) =
             (Clock::new(), Rc::new(NodeState::new()), unbounded_channel());
         node_state.set_phase(Phase::Serving);
-        let server = Rc::new(ClientServer::new(clock, node_state, happenings, (2, 1)));
+        let server = Rc::new(ClientServer::new(clock, node_state, events, (2, 1)));
         actix_rt::spawn(server::sweep(server.clone()));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
         let made = actix_rt::task::spawn_blocking(move || client(addr)).await.expect("a client");
-        let taken = |what: &Happening| matches!(what, Happening::Taken(..));
-        (made, std::iter::from_fn(|| happens.try_recv().ok()).filter(taken).count())
+        let taken = |what: &DriverEvent| matches!(what, DriverEvent::Accepted(..));
+        (made, std::iter::from_fn(|| event_receiver.try_recv().ok()).filter(taken).count())
     })
 }
 
@@ -628,11 +627,11 @@
 fn a_watch_without_a_complete_item_times_out(chunks: &'static [&'static str]) {
     let (addr, told) = discovery_service(vec![(chunks.to_vec(), true)]);
     block(async move {
-        let (happenings, mut happens) = unbounded_channel();
-        Discovery::new(addr, happenings).follow(1, 0);
+        let (events, mut event_receiver) = unbounded_channel();
+        Discovery::new(addr, events).follow(1, 0);
         let lost = timeout(seconds(4.0), async {
-            while let Some(what) = happens.recv().await {
-                if matches!(what, Happening::Watch(1, coveroute_engine::Watched::Lost(_))) {
+            while let Some(what) = event_receiver.recv().await {
+                if matches!(what, DriverEvent::Watch(1, coveroute_engine::Watched::Lost(_))) {
                     return;
                 }
             }
@@ -650,8 +649,8 @@
         discovery_service(vec![(vec![], false), (vec!["\n"], false), (vec![DRAINING_LIST], true)]);
     let config = changed(&[PUSHED, ("127.0.0.1:8500", &addr.to_string())]);
     let (phase, took) = block(async move {
-        let (driver, _, happens, node_state) = driver_by(config);
-        let driver = actix_rt::spawn(driver.run(happens));
+        let (driver, _, event_receiver, node_state) = driver_by(config);
+        let driver = actix_rt::spawn(driver.run(event_receiver));
         let begun = Instant::now();
         while node_state.phase() != Phase::Serving && begun.elapsed() < seconds(5.0) {
             sleep(5 * MS).await;
@@ -729,14 +728,14 @@
 #[test]
 fn the_signal_to_reload_does_not_end_the_node() {
     block(async {
-        let (happenings, mut happens) = unbounded_channel();
+        let (events, mut event_receiver) = unbounded_channel();
         let files = crate::Files { config: Some("no such file".into()), fleet: None, member: None };
-        actix_rt::spawn(crate::signals(happenings, files).expect("signals"));
+        actix_rt::spawn(crate::signals(events, files).expect("signals"));
         let told =
             std::process::Command::new("kill").args(["-HUP", &std::process::id().to_string()]).status();
         assert!(told.is_ok_and(|told| told.success()));
-        let event = timeout(seconds(9.0), happens.recv()).await;
-        assert!(matches!(event, Ok(Some(Happening::Reload(Err(_), _)))));
+        let event = timeout(seconds(9.0), event_receiver.recv()).await;
+        assert!(matches!(event, Ok(Some(DriverEvent::Reload(Err(_), _)))));
     });
 }
 
@@ -815,15 +814,15 @@
         changed(&[pairs, &[("\"servers\": []", &known), ("127.0.0.1:8500", "127.0.0.1:1")]].concat());
     assert_eq!((config.settings.reports, config.settings.probing), expected);
     let sent = block(async move {
-        let (mut driver, happenings, happens, _) = driver_by(config);
-        driver.happened(followed());
+        let (mut driver, events, event_receiver, _) = driver_by(config);
+        driver.handle_event(followed());
         let (answer, _answered) = tokio::sync::oneshot::channel();
-        let _ = happenings.send(Happening::Taken(
+        let _ = events.send(DriverEvent::Accepted(
             7,
             Box::new(job("c", "look", 3.0, Clock::new().now())),
             Client { answer, connection: None },
         ));
-        let driver = actix_rt::spawn(driver.run(happens));
+        let driver = actix_rt::spawn(driver.run(event_receiver));
         let sent = actix_rt::task::spawn_blocking(move || came.recv_timeout(seconds(2.0)));
         let sent = sent.await.expect("a word");
         driver.abort();
@@ -892,8 +891,8 @@
 fn pushed(mode: &str, discovery: &str, method: &'static str, list: &'static str) -> (String, bool) {
     let config = changed(&[("on_request", mode), ("127.0.0.1:8500", discovery)]);
     block(async move {
-        let (mut driver, happenings, mut happens, node_state) = driver_by(config);
-        let server = Rc::new(ClientServer::new(Clock::new(), node_state.clone(), happenings, (2, 1)));
+        let (mut driver, events, mut event_receiver, node_state) = driver_by(config);
+        let server = Rc::new(ClientServer::new(Clock::new(), node_state.clone(), events, (2, 1)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
@@ -902,7 +901,7 @@
             list.len()
         );
         let answer = actix_rt::task::spawn_blocking(move || ask(addr, &request)).await.expect("an answer");
-        std::iter::from_fn(|| happens.try_recv().ok()).for_each(|what| driver.happened(what));
+        std::iter::from_fn(|| event_receiver.try_recv().ok()).for_each(|event| driver.handle_event(event));
         (answer, node_state.phase() == Phase::Serving)
     })
 }
@@ -928,10 +927,11 @@
 #[test_case(&[], [127, 0, 0, 1]; "the registry mode only changes at a restart")]
 fn a_reload_changes_only_the_host_that_may_push(pairs: &[(&str, &str)], expected: [u8; 4]) {
     block(async {
-        let (mut driver, _, _happens, node_state) = driver_by(changed(&[PUSHED]));
-        driver.happened(Happening::Reload(Err("settings.weights: heavy is not one of ...".into()), None));
+        let (mut driver, _, _event_receiver, node_state) = driver_by(changed(&[PUSHED]));
+        driver
+            .handle_event(DriverEvent::Reload(Err("settings.weights: heavy is not one of ...".into()), None));
         assert_eq!(node_state.lists_from(), Some([127, 0, 0, 1].into()), "an invalid file");
-        driver.happened(Happening::Reload(Ok(Box::new(changed(pairs))), None));
+        driver.handle_event(DriverEvent::Reload(Ok(Box::new(changed(pairs))), None));
         assert_eq!((node_state.lists_from(), node_state.phase()), (Some(expected.into()), Phase::Starting));
     });
 }
@@ -960,19 +960,22 @@
         let addrs: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
         drop(sockets);
         let nodes = addrs[..2].to_vec();
-        let ((happenings, mut happens), other) = (unbounded_channel(), unbounded_channel().0);
+        let ((events, mut event_receiver), other) = (unbounded_channel(), unbounded_channel().0);
         let own = |at: usize| std::net::UdpSocket::bind(addrs[at]).expect("a port");
-        let mut first = Peers::new(0, nodes.clone(), own(0), happenings, None).expect("a port");
+        let mut first = Peers::new(0, nodes.clone(), own(0), events, None).expect("a port");
         let second = Peers::new(1, nodes, own(1), other, None).expect("a port");
         first.set_receiving(true);
         let stranger = std::net::UdpSocket::bind(addrs[2]).expect("a port");
         stranger.send_to(b"h00000109", addrs[0]).expect("sent");
         second.send(0, Told::Held, 0xab, 4);
         second.send(1, Told::Held, 0xab, 5);
-        let heard = timeout(seconds(9.0), happens.recv()).await.expect("in time");
-        assert!(matches!(heard, Some(Happening::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })));
+        let heard = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
+        assert!(matches!(
+            heard,
+            Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
+        ));
         assert!(
-            timeout(seconds(0.1), happens.recv()).await.is_err(),
+            timeout(seconds(0.1), event_receiver.recv()).await.is_err(),
             "neither from a stranger nor to itself"
         );
         drop(first);
@@ -989,24 +992,27 @@
             addrs[0], addrs[1]
         );
         let plan = Plan::parse(&text).expect("valid");
-        let (happenings, mut happens) = unbounded_channel();
+        let (events, mut event_receiver) = unbounded_channel();
         let mut peers = Vec::new();
         for (at, name) in ["a", "b"].into_iter().enumerate() {
             let socket = std::net::UdpSocket::bind(addrs[at]).expect("a port");
             let membership = Membership { path: "f".into(), name: name.into() };
-            let own = (socket.try_clone().expect("a socket"), Rc::new(NodeState::new()), happenings.clone());
+            let own = (socket.try_clone().expect("a socket"), Rc::new(NodeState::new()), events.clone());
             let carrier =
                 Rc::new(Carrier::new(&membership, plan.clone(), Vec::new(), own).expect("a member"));
             actix_rt::spawn(carrier.clone().run());
-            let mut one = Peers::new(at, addrs.clone(), socket, happenings.clone(), Some(carrier.clone()))
-                .expect("a port");
+            let mut one =
+                Peers::new(at, addrs.clone(), socket, events.clone(), Some(carrier.clone())).expect("a port");
             one.set_receiving(true);
             peers.push((one, carrier));
         }
         sleep(seconds(1.0)).await;
         peers[1].0.send(0, Told::Held, 0xab, 4);
-        let heard = timeout(seconds(9.0), happens.recv()).await.expect("in time");
-        assert!(matches!(heard, Some(Happening::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })));
+        let heard = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
+        assert!(matches!(
+            heard,
+            Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
+        ));
         let shown = serde_json::to_value(peers[0].1.shown()).expect("figures");
         assert_eq!((&shown["states"]["b"], &shown["dropped"]), (&"alive".into(), &serde_json::json!({})));
     });
@@ -1018,15 +1024,15 @@
 }
 
 /// A node's operator endpoint, and the events for the driver.
-async fn operator_endpoint(node_state: &Rc<NodeState>) -> (SocketAddr, UnboundedReceiver<Happening>) {
-    let (happenings, happens) = unbounded_channel();
+async fn operator_endpoint(node_state: &Rc<NodeState>) -> (SocketAddr, UnboundedReceiver<DriverEvent>) {
+    let (events, event_receiver) = unbounded_channel();
     let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     actix_rt::spawn(management::accept(
         listener,
-        management::ManagementServer::new(node_state.clone(), happenings, None),
+        management::ManagementServer::new(node_state.clone(), events, None),
     ));
-    (addr, happens)
+    (addr, event_receiver)
 }
 
 async fn request_operator_endpoint(addr: SocketAddr, request: String) -> String {
@@ -1064,7 +1070,7 @@
 fn metrics_are_served_despite_idle_connections() {
     let answer = block(async {
         let node_state = Rc::new(NodeState::new());
-        let (addr, mut happens) = operator_endpoint(&node_state).await;
+        let (addr, mut event_receiver) = operator_endpoint(&node_state).await;
         let stay = |at: usize| {
             let mut caller = std::net::TcpStream::connect(addr).expect("a connection");
             if at.is_multiple_of(2) {
@@ -1088,8 +1094,8 @@
             let attempts =
                 AttemptFigures { written: 4, overstated: 1, longest_excess: 0.25, ..Default::default() };
             let figures = NodeFigures { engine, attempts };
-            while let Some(happening) = happens.recv().await {
-                if let Happening::Asked(tell) = happening {
+            while let Some(event) = event_receiver.recv().await {
+                if let DriverEvent::FiguresRequested(tell) = event {
                     let _ = tell.send(figures.clone());
                 }
             }
@@ -1168,7 +1174,7 @@
 #[test]
 fn a_rejected_file_changes_nothing() {
     block(async {
-        let (mut driver, _happens, node_state) = driver(&[]);
+        let (mut driver, _event_receiver, node_state) = driver(&[]);
         let before = format!("{:?} {:?}", driver.settings(), node_state.max_pause());
         let again = |text: &str| Config::parse_reload(text, config::Environment::default()).map(Box::new);
         let cut = |len: usize| CONFIG[..len].to_owned();
@@ -1176,15 +1182,17 @@
         let lost = changed_text(&[("\"maxRetryAfter\": 2000.0", "\"other\": 1"), ("5000.0", "4000.0")]);
         let me = changed_text(&[("\"me\": 0", "\"me\": 1"), ("\"replicasOfMe\": 1", "\"replicasOfMe\": 2")]);
         let rejected = bad.len() as u64 + 2;
-        bad.iter().chain([&lost, &me]).for_each(|text| driver.happened(Happening::Reload(again(text), None)));
+        bad.iter()
+            .chain([&lost, &me])
+            .for_each(|text| driver.handle_event(DriverEvent::Reload(again(text), None)));
         assert_eq!(format!("{:?} {:?}", driver.settings(), node_state.max_pause()), before);
         let new = changed_text(&[
             ("\"maxRetryAfter\": 2000.0", "\"maxRetryAfter\": 1500.0"),
             ("\"me\": 0", "\"me\":0"),
         ]);
-        driver.happened(Happening::Reload(again(&new), None));
+        driver.handle_event(DriverEvent::Reload(again(&new), None));
         let (tell, mut told) = tokio::sync::oneshot::channel();
-        driver.happened(Happening::Asked(tell));
+        driver.handle_event(DriverEvent::FiguresRequested(tell));
         let figures = told.try_recv().expect("figures");
         assert_eq!((figures.engine.applied, figures.engine.rejected), (1, rejected));
         assert_eq!((node_state.max_pause(), driver.settings().max_pause), (1.5, 1.5));
--- a/crates/coveroute-node/src/watches.rs
+++ b/crates/coveroute-node/src/watches.rs
@@ -17,7 +17,7 @@
 
 use crate::client_connection::Client;
 use crate::clock::seconds;
-use crate::happening::{Happening, Happenings};
+use crate::event::{DriverEvent, EventSender};
 use crate::tests::{block, changed, driver_by, job, NO_REPORTS, PUSHED};
 
 /// Seconds after which an undelivered change counts as known. A drain's grace period comes on top, and may be short.
@@ -124,7 +124,7 @@
 
 /// An executor that accepts each job, records the time, and completes it at once. It reports nothing else, draining or
 /// not.
-async fn work(listener: TcpListener, at: usize, sent: Rc<RefCell<Vec<(usize, Instant)>>>, tell: Happenings) {
+async fn work(listener: TcpListener, at: usize, sent: Rc<RefCell<Vec<(usize, Instant)>>>, tell: EventSender) {
     loop {
         let (mut stream, sent, tell) =
             (listener.accept().await.expect("a connection").0, sent.clone(), tell.clone());
@@ -139,7 +139,7 @@
                 let word = Word::Succeeded(Bytes::new());
                 let (call, from) = (call.to_owned(), format!("s-{at}"));
                 let news = News { call, from, word, report: Report::default() };
-                let _ = tell.send(Happening::News(news, Bytes::new(), None));
+                let _ = tell.send(DriverEvent::News(news, Bytes::new(), None));
             }
         });
     }
@@ -186,14 +186,14 @@
         pairs.push(("\"replicasOfMe\": 1", format!("\"replicasOfMe\": {nodes}")));
         pairs.extend(pushed.then(|| (PUSHED.0, PUSHED.1.to_owned())));
         let pairs: Vec<_> = pairs.iter().map(|(old, new)| (*old, new.as_str())).collect();
-        let (driver, tell, happens, _) = driver_by(changed(&pairs));
+        let (driver, tell, event_receiver, _) = driver_by(changed(&pairs));
         let sent = Rc::new(RefCell::default());
         let mut ports = ports.into_iter();
         for at in 0..2 {
             actix_rt::spawn(work(ports.next().expect("a port"), at, sent.clone(), tell.clone()));
         }
         actix_rt::spawn(service.clone().serve(ports.next().expect("a port")));
-        actix_rt::spawn(driver.run(happens));
+        actix_rt::spawn(driver.run(event_receiver));
         let (mut beat, mut id, mut answers) = (interval(seconds(0.025)), 0, Vec::new());
         let (clock, begun) = (crate::clock::Clock::new(), Instant::now());
         let over = |came: &[Instant]| came.first().is_some_and(|first| first.elapsed() > seconds(duration));
@@ -207,7 +207,7 @@
             let mut job = job(&call, "look", 1.0, clock.now());
             job.headers.insert(HeaderName::from_static("x-call-id"), call.try_into().expect("a value"));
             let client = Client { answer, connection: None };
-            tell.send(Happening::Taken(id, Box::new(job), client)).expect("a driver");
+            tell.send(DriverEvent::Accepted(id, Box::new(job), client)).expect("a driver");
         }
         let first = service.came.borrow()[0];
         let since = |at: &Instant| at.saturating_duration_since(first).as_secs_f64();
