--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -24,8 +24,8 @@
 use crate::event::{DriverEvent, EventSender, NodeFigures};
 use crate::executors::Links;
 use crate::fleet::Carrier;
-use crate::handed::{Handed, TransferredJob};
-use crate::link::{Link, Said, Side};
+use crate::handover::{HandoverState, TransferredJob};
+use crate::link::{Link, LinkEvent, Side};
 use crate::peers::Peers;
 use crate::phase::NodeState;
 use crate::probe::{give_up, probe};
@@ -95,7 +95,7 @@
     /// This node's fleet membership, where the deployment has a fleet.
     pub carrier: Option<Rc<Carrier>>,
     /// The link to the predecessor process, and the state that it handed over.
-    pub predecessor: Option<(Rc<Link>, Handed)>,
+    pub predecessor: Option<(Rc<Link>, HandoverState)>,
     pub successor_socket: Option<SuccessorSocket>,
     /// The clients' connections, and the queue for connections that the predecessor hands over.
     pub connections: ClientConnections,
@@ -157,8 +157,8 @@
                 .map_err(|e| format!("peer socket: {e}"))
         };
         let peers = datagrams.map(listen).transpose()?;
-        let (predecessor, handed) = predecessor.unzip();
-        let memory = handed.map(|handed| handed.memory(discovery));
+        let (predecessor, handover_state) = predecessor.unzip();
+        let memory = handover_state.map(|state| state.memory(discovery));
         let reports = settings.reports != Reports::Never;
         let setup = Setup { settings, names, seed, timeouts, known, memory };
         let mut actions = Vec::new();
@@ -260,14 +260,14 @@
                 ack.map(|ack| ack.send(settled));
             }
             DriverEvent::HandoverRequested(reply) => {
-                let _ = reply.send(Handed::of(
+                let _ = reply.send(HandoverState::of(
                     self.applied.discovery,
                     self.engine.memory(),
                     self.clock.reading(),
                 ));
             }
             DriverEvent::SuccessorConnected(link) => self.successor_connected(link),
-            DriverEvent::LinkMessage(side, number, said) => self.handle_link_message(side, number, said),
+            DriverEvent::LinkMessage(side, number, event) => self.handle_link_message(side, number, event),
             DriverEvent::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
             DriverEvent::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
             DriverEvent::Heard { from, told, mark, count } => {
@@ -390,43 +390,43 @@
         self.peers.iter_mut().for_each(|peers| peers.set_receiving(enabled));
     }
 
-    fn handle_link_message(&mut self, side: Side, number: u64, said: Said) {
+    fn handle_link_message(&mut self, side: Side, number: u64, event: LinkEvent) {
         let link = match side {
             Side::Predecessor => &mut self.predecessor,
             Side::Successor => &mut self.successor,
         };
         let Some(own) = link.as_ref().filter(|link| link.number == number).cloned() else { return };
-        match (side, said) {
-            (Side::Successor, Said::Serves) => {
+        match (side, event) {
+            (Side::Successor, LinkEvent::Serving) => {
                 info!("the successor process serves: this process accepts no more connections");
                 self.set_accepting(false);
                 own.send_stopped();
                 self.hand_over();
             }
-            (Side::Predecessor, Said::Stopped) => self.takeover_complete(),
-            (Side::Predecessor, Said::Guest(socket)) => {
+            (Side::Predecessor, LinkEvent::Stopped) => self.takeover_complete(),
+            (Side::Predecessor, LinkEvent::IdleConnection(socket)) => {
                 self.adopt_connection(socket, AdoptedConnection::Idle);
             }
-            (Side::Predecessor, Said::Job(job, socket)) => self.adopt_job(*job, socket),
-            (Side::Successor, Said::Guest(_) | Said::Job(..)) => {
+            (Side::Predecessor, LinkEvent::Job(job, socket)) => self.adopt_job(*job, socket),
+            (Side::Successor, LinkEvent::IdleConnection(_) | LinkEvent::Job(..)) => {
                 warn!("unexpected handover of a connection from the successor")
             }
-            (side, Said::News(body, ack)) => match callbacks::parse(&body) {
+            (side, LinkEvent::ExecutorReport(body, ack)) => match callbacks::parse(&body) {
                 Ok(news) => self.handle_news(news, body, Some(ack), Some(side)),
                 Err(e) => warn!("invalid executor report on the process link: {e}"),
             },
-            (Side::Predecessor, Said::Ended) => {
+            (Side::Predecessor, LinkEvent::Ended) => {
                 self.predecessor = None;
                 self.receive_peer_messages(true);
                 self.takeover_complete();
                 self.split_limits();
             }
-            (Side::Successor, Said::Ended) => {
+            (Side::Successor, LinkEvent::Ended) => {
                 // If the successor dies, this process resumes serving.
                 self.successor = None;
                 self.set_accepting(true);
             }
-            (Side::Predecessor, Said::Serves) | (Side::Successor, Said::Stopped) => {
+            (Side::Predecessor, LinkEvent::Serving) | (Side::Successor, LinkEvent::Stopped) => {
                 warn!("unexpected message on the process link")
             }
         }
@@ -448,8 +448,8 @@
     }
 
     /// Continues a job that the predecessor handed over.
-    fn adopt_job(&mut self, handed: TransferredJob, socket: OwnedFd) {
-        let job = handed.job().filter(|_| handed.parcel.is_sound());
+    fn adopt_job(&mut self, transferred: TransferredJob, socket: OwnedFd) {
+        let job = transferred.job().filter(|_| transferred.parcel.is_sound());
         let Some(job) = job else { return error!("invalid job handed over by the predecessor") };
         let (id, (answer, answered)) = (self.node_state.next_id(), oneshot::channel());
         // The client may have disconnected during the handover, so the socket is checked before anything is sent.
@@ -460,7 +460,7 @@
         if !self.adopt_connection(socket, |stream| AdoptedConnection::Waiting(stream, mine, id, answered)) {
             connection.set_closed();
         }
-        self.engine.take_in(self.clock.now(), id, handed.parcel, &mut self.actions);
+        self.engine.take_in(self.clock.now(), id, transferred.parcel, &mut self.actions);
         self.execute_actions();
     }
 
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -218,7 +218,7 @@
         let now = before.clock.now();
         before.handle_event(DriverEvent::Accepted(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
         let parcel = before.engine.part_with(ID).expect("a waiting job");
-        let handed = TransferredJob::of(parcel, &job(CALL, "look", 9.0, now));
+        let transferred = TransferredJob::of(parcel, &job(CALL, "look", 9.0, now));
         let server = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let client =
             std::net::TcpStream::connect(server.local_addr().expect("an address")).expect("a server");
@@ -236,7 +236,7 @@
         driver.handle_event(DriverEvent::LinkMessage(
             Side::Predecessor,
             0,
-            Said::Job(Box::new(handed), socket.into()),
+            LinkEvent::Job(Box::new(transferred), socket.into()),
         ));
         assert_eq!(driver.forwards.len(), 1, "the forward has started");
         let mut heard = 0;
--- a/crates/coveroute-node/src/event.rs
+++ b/crates/coveroute-node/src/event.rs
@@ -10,8 +10,8 @@
 use crate::attempt::AttemptFigures;
 use crate::client_connection::Client;
 use crate::config::Config;
-use crate::handed::Handed;
-use crate::link::{Link, Said, Side};
+use crate::handover::HandoverState;
+use crate::link::{Link, LinkEvent, Side};
 use crate::take_in::Job;
 
 pub type EventSender = mpsc::UnboundedSender<DriverEvent>;
@@ -38,11 +38,11 @@
     /// acknowledged even if this process does not recognize it either.
     ReportRelayed(News, Option<oneshot::Sender<bool>>, bool),
     /// A successor process asks for the state that it starts with.
-    HandoverRequested(oneshot::Sender<Handed>),
+    HandoverRequested(oneshot::Sender<HandoverState>),
     /// The successor has received that state.
     SuccessorConnected(Rc<Link>),
     /// A message from another process of this node, on the link with this number.
-    LinkMessage(Side, u64, Said),
+    LinkMessage(Side, u64, LinkEvent),
     /// The result of a probe of an executor.
     Probed(Tgt, Outcome, Report),
     /// An update of the list of executors, for the watch with this number.
--- a/crates/coveroute-node/src/handed.rs
+++ b/crates/coveroute-node/src/handover.rs
@@ -9,8 +9,9 @@
 use crate::clock::{Clock, Reading};
 use crate::take_in::Job;
 
+/// The state that the successor starts with.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct Handed {
+pub struct HandoverState {
     /// The discovery service that the list came from. Another service's list versions are unrelated.
     discovery: SocketAddr,
     memory: Memory,
@@ -19,9 +20,9 @@
     clock: Option<Reading>,
 }
 
-impl Handed {
+impl HandoverState {
     pub fn of(discovery: SocketAddr, memory: Memory, clock: Option<Reading>) -> Self {
-        Handed { discovery, memory, clock }
+        HandoverState { discovery, memory, clock }
     }
 
     /// The clock of this process, which continues the predecessor's if that is known.
--- a/crates/coveroute-node/src/link.rs
+++ b/crates/coveroute-node/src/link.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::handed::{Handed, TransferredJob};
+use crate::handover::{HandoverState, TransferredJob};
 
 /// Time limit for the other process to reply whether it knows a job: many times one iteration of a busy event loop, and
 /// well below the time after which an executor repeats its report.
@@ -24,24 +24,30 @@
     Successor,
 }
 
+/// A message on the link. The two processes may be of different releases, so the serialized names must not change.
 #[derive(Debug, Deserialize, Serialize)]
 pub enum Message {
     /// First message of the new process, with its protocol version.
     Hello(u32),
     /// Reply of the old process: its state, and how many sockets come with the message.
-    Handed(Box<Handed>, usize),
+    #[serde(rename = "Handed")]
+    State(Box<HandoverState>, usize),
     /// The new process accepts connections and knows executors.
-    Serves,
+    #[serde(rename = "Serves")]
+    Serving,
     /// The old process has stopped accepting connections.
     Stopped,
     /// An idle client connection; its socket comes with the message.
-    Guest,
+    #[serde(rename = "Guest")]
+    IdleConnection,
     /// A job in progress; its client's socket comes with the message.
     Job(Box<TransferredJob>),
     /// An executor's report on a job that the sending process does not know.
-    News(u64, String),
-    /// Reply to `News`: whether the receiving process knows the job.
-    Heard(u64, bool),
+    #[serde(rename = "News")]
+    ExecutorReport(u64, String),
+    /// Reply to `ExecutorReport`: whether the receiving process knows the job.
+    #[serde(rename = "Heard")]
+    ReportReply(u64, bool),
 }
 
 /// A message, and the sockets that are sent with it.
@@ -49,13 +55,13 @@
 
 /// A message from the other process, as an event for the driver.
 #[derive(Debug)]
-pub enum Said {
-    Guest(OwnedFd),
+pub enum LinkEvent {
+    IdleConnection(OwnedFd),
     Job(Box<TransferredJob>, OwnedFd),
-    Serves,
+    Serving,
     Stopped,
     /// An executor's report, and the channel for the reply whether its job is known.
-    News(Bytes, oneshot::Sender<bool>),
+    ExecutorReport(Bytes, oneshot::Sender<bool>),
     Ended,
 }
 
@@ -105,7 +111,7 @@
     }
 
     pub fn send_serving(&self) {
-        self.send(Message::Serves, Vec::new());
+        self.send(Message::Serving, Vec::new());
     }
 
     pub fn send_stopped(&self) {
@@ -113,7 +119,7 @@
     }
 
     pub fn send_connection(&self, socket: OwnedFd) {
-        self.send(Message::Guest, vec![socket]);
+        self.send(Message::IdleConnection, vec![socket]);
     }
 
     pub fn send_job(&self, job: TransferredJob, socket: OwnedFd) {
@@ -130,7 +136,7 @@
         }
         self.pending.borrow_mut().insert(number, reply);
         let body = String::from_utf8_lossy(body).into_owned(); // It was parsed as JSON, so it is UTF-8.
-        let answer = match self.send(Message::News(number, body), Vec::new()) {
+        let answer = match self.send(Message::ExecutorReport(number, body), Vec::new()) {
             true => timeout(REPORT_REPLY_TIMEOUT, replied).await.ok(),
             false => Some(Ok(false)),
         };
--- a/crates/coveroute-node/src/listen.rs
+++ b/crates/coveroute-node/src/listen.rs
@@ -25,14 +25,14 @@
     let mut sockets = sockets.into_iter();
     let listener = match sockets.next() {
         Some(socket) => {
-            let handed =
+            let inherited =
                 TcpListener::from_std(std::net::TcpListener::from(socket)).map_err(|e| e.to_string())?;
-            let actual = handed.local_addr().map_err(|e| e.to_string())?;
+            let actual = inherited.local_addr().map_err(|e| e.to_string())?;
             if actual != listen {
                 return Err(format!("{listen}: the predecessor process serves at {actual}"));
             }
             info!("taking over the listening socket at {actual}");
-            handed
+            inherited
         }
         None => {
             let listener = retry(|| bind_shared(listen)).await.map_err(|e| format!("{listen}: {e}"))?;
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -19,7 +19,7 @@
 mod event;
 mod executors;
 mod fleet;
-mod handed;
+mod handover;
 mod hosts;
 mod link;
 mod listen;
@@ -237,7 +237,7 @@
     let (predecessor, sockets) = predecessor.map(|predecessor| predecessor.into_link(events.clone())).unzip();
     let peer_addr = Files::own_peer(&config).or(fleet.as_ref().map(|(.., address)| *address));
     let (listener, datagrams) = listen::open(config.listen, peer_addr, sockets.unwrap_or_default()).await?;
-    let clock = predecessor.as_ref().map_or_else(Clock::new, |(_, handed)| handed.clock());
+    let clock = predecessor.as_ref().map_or_else(Clock::new, |(_, state)| state.clock());
     let node_state = Rc::new(NodeState::new());
     let (executors, clients) = descriptor_limits(config.sockets, config.memory_mb);
     let links = Links::new(executors, config.dial, config.idle);
--- a/crates/coveroute-node/src/replace.rs
+++ b/crates/coveroute-node/src/replace.rs
@@ -21,8 +21,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::event::{DriverEvent, EventSender};
-use crate::handed::Handed;
-use crate::link::{Link, Message, OutgoingMessage, Said, Side};
+use crate::handover::HandoverState;
+use crate::link::{Link, LinkEvent, Message, OutgoingMessage, Side};
 
 /// Protocol version of the link. Processes with different versions can't be connected.
 const PROTOCOL_VERSION: u32 = 1;
@@ -136,7 +136,7 @@
 pub struct Predecessor {
     /// The listening socket for clients, and the datagram socket for other nodes if there is one.
     pub sockets: Vec<OwnedFd>,
-    pub handed: Handed,
+    pub state: HandoverState,
     reader: Reader,
     writer: OwnedWriteHalf,
 }
@@ -162,9 +162,9 @@
     let mut reader = Reader::new(half);
     write(&mut writer, &Message::Hello(PROTOCOL_VERSION), &[]).await?;
     match reader.next().await? {
-        Message::Handed(handed, count) => {
+        Message::State(state, count) => {
             let sockets = (0..count).map(|_| reader.socket()).collect::<io::Result<_>>()?;
-            Ok(Predecessor { sockets, handed: *handed, reader, writer })
+            Ok(Predecessor { sockets, state: *state, reader, writer })
         }
         _ => Err(io::Error::other("unexpected reply to the handover request")),
     }
@@ -172,9 +172,9 @@
 
 impl Predecessor {
     /// Starts the link, which from now on reports the predecessor's messages as events.
-    pub fn into_link(self, events: EventSender) -> ((Rc<Link>, Handed), Vec<OwnedFd>) {
+    pub fn into_link(self, events: EventSender) -> ((Rc<Link>, HandoverState), Vec<OwnedFd>) {
         let link = start_link(Side::Predecessor, 0, self.reader, self.writer, events);
-        ((link, self.handed), self.sockets)
+        ((link, self.state), self.sockets)
     }
 }
 
@@ -191,33 +191,33 @@
     actix_rt::spawn(async move {
         let receive_all = async {
             loop {
-                let said = match reader.next().await {
-                    Ok(Message::Serves) => Said::Serves,
-                    Ok(Message::Stopped) => Said::Stopped,
-                    Ok(Message::Heard(number, known)) => {
+                let event = match reader.next().await {
+                    Ok(Message::Serving) => LinkEvent::Serving,
+                    Ok(Message::Stopped) => LinkEvent::Stopped,
+                    Ok(Message::ReportReply(number, known)) => {
                         incoming.complete_report(number, known);
                         continue;
                     }
-                    Ok(Message::News(number, body)) => {
+                    Ok(Message::ExecutorReport(number, body)) => {
                         let ((reply, replied), incoming) = (oneshot::channel(), incoming.clone());
                         actix_rt::spawn(async move {
                             let known = replied.await.unwrap_or(false);
-                            incoming.send(Message::Heard(number, known), Vec::new());
+                            incoming.send(Message::ReportReply(number, known), Vec::new());
                         });
-                        Said::News(body.into(), reply)
+                        LinkEvent::ExecutorReport(body.into(), reply)
                     }
-                    Ok(Message::Guest) => match reader.socket() {
-                        Ok(socket) => Said::Guest(socket),
+                    Ok(Message::IdleConnection) => match reader.socket() {
+                        Ok(socket) => LinkEvent::IdleConnection(socket),
                         Err(e) => return e.to_string(),
                     },
                     Ok(Message::Job(job)) => match reader.socket() {
-                        Ok(socket) => Said::Job(job, socket),
+                        Ok(socket) => LinkEvent::Job(job, socket),
                         Err(e) => return e.to_string(),
                     },
-                    Ok(Message::Hello(_) | Message::Handed(..)) => return "unexpected message".to_owned(),
+                    Ok(Message::Hello(_) | Message::State(..)) => return "unexpected message".to_owned(),
                     Err(e) => return e.to_string(),
                 };
-                let _ = events.send(DriverEvent::LinkMessage(side, number, said));
+                let _ = events.send(DriverEvent::LinkMessage(side, number, event));
             }
         };
         let send_all = async {
@@ -235,7 +235,7 @@
             if side == Side::Predecessor { "before" } else { "after" }
         );
         incoming.close();
-        let _ = events.send(DriverEvent::LinkMessage(side, number, Said::Ended));
+        let _ = events.send(DriverEvent::LinkMessage(side, number, LinkEvent::Ended));
     });
     link
 }
@@ -284,8 +284,8 @@
             actix_rt::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
-        let handed = timeout(HANDOVER_TIMEOUT, hand_over(stream, number, &sockets, &events)).await;
-        match handed {
+        let handover = timeout(HANDOVER_TIMEOUT, hand_over(stream, number, &sockets, &events)).await;
+        match handover {
             Ok(Ok(link)) => drop(events.send(DriverEvent::SuccessorConnected(link))),
             Ok(Err(e)) => warn!("handover failed: {e}"),
             Err(_) => warn!("handover failed: timed out"),
@@ -315,7 +315,7 @@
     }
     let (reply, replied) = oneshot::channel();
     let _ = events.send(DriverEvent::HandoverRequested(reply));
-    let handed = replied.await.map_err(io::Error::other)?;
-    write(&mut writer, &Message::Handed(Box::new(handed), sockets.len()), sockets).await?;
+    let state = replied.await.map_err(io::Error::other)?;
+    write(&mut writer, &Message::State(Box::new(state), sockets.len()), sockets).await?;
     Ok(start_link(Side::Successor, number, reader, writer, events.clone()))
 }
