--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -22,7 +22,7 @@
 use crate::config::Config;
 use crate::discovery::Discovery;
 use crate::event::{DriverEvent, EventSender, NodeFigures};
-use crate::executors::Links;
+use crate::executors::ExecutorConnections;
 use crate::fleet::Carrier;
 use crate::handover::{HandoverState, TransferredJob};
 use crate::link::{Link, LinkEvent, Side};
@@ -112,7 +112,7 @@
     clock: Clock,
     engine: Engine,
     node_state: Rc<NodeState>,
-    links: Links,
+    executor_connections: ExecutorConnections,
     discovery: Discovery,
     jobs: HashMap<InvId, PendingJob>,
     /// The task of each forward. Aborting one before its answer closes the connection.
@@ -143,7 +143,7 @@
         config: Config,
         clock: Clock,
         node_state: Rc<NodeState>,
-        links: Links,
+        executor_connections: ExecutorConnections,
         endpoints: Endpoints,
         events: EventSender,
     ) -> Result<Self, String> {
@@ -166,7 +166,7 @@
             clock,
             engine: Engine::new(clock.now(), setup, &mut actions),
             node_state,
-            links,
+            executor_connections,
             discovery: Discovery::new(discovery, events.clone()),
             jobs: HashMap::new(),
             forwards: HashMap::new(),
@@ -322,7 +322,7 @@
         self.applied = AppliedConfig { fixed: self.applied.fixed, ..new };
         self.node_state.set_lists_from(config.pushed_by());
         self.node_state.set_max_pause(config.settings.max_pause);
-        self.links.retune(config.dial, config.idle);
+        self.executor_connections.set_timeouts(config.dial, config.idle);
         self.reports = config.settings.reports != Reports::Never;
         self.dispatch(Event::Reread { tuning: Some(Box::new(config.tuning())), moved });
     }
@@ -356,7 +356,7 @@
     fn split_limits(&mut self) {
         let paired = self.predecessor.is_some() || self.successor.is_some();
         self.node_state.set_paired(paired);
-        self.links.share(paired);
+        self.executor_connections.set_paired(paired);
         let part = match (paired, self.node_state.accepts_connections()) {
             (false, _) => 1.0,
             (true, true) => COLD_SHARE,
@@ -544,18 +544,18 @@
             }
             Action::Recall { id, forward } => return self.recall(id, forward),
             Action::GiveUp { tgt, call } => {
-                let patience = self.links.patience();
-                let lease = self.links.lease(tgt);
-                lease.map(|lease| actix_rt::spawn(give_up(lease, call, patience)));
+                let time_limit = self.executor_connections.request_timeout();
+                let lease = self.executor_connections.lease(tgt);
+                lease.map(|lease| actix_rt::spawn(give_up(lease, call, time_limit)));
             }
             Action::Answer { id, answer } => {
                 let pending = self.jobs.remove(&id);
                 pending.map(|pending| pending.client.answer.send(answer.into()));
             }
             Action::Probe(tgt) => return self.probe(tgt),
-            Action::Release(tgt) => self.links.release(tgt),
-            Action::At(tgt, addr) => self.links.listed(tgt, addr),
-            Action::Gone(tgt) => self.links.gone(tgt),
+            Action::Release(tgt) => self.executor_connections.close_idle(tgt),
+            Action::At(tgt, addr) => self.executor_connections.set_address(tgt, addr),
+            Action::Gone(tgt) => self.executor_connections.remove(tgt),
             Action::Follow { watch, version } => self.discovery.follow(watch, version),
             Action::Tell { to, told, mark, count } => {
                 self.peers.iter().for_each(|peers| peers.send(to, told, mark, count));
@@ -572,17 +572,17 @@
             self.attempts.client_left();
             return Some(not_started(id, forward));
         };
-        let Some(lease) = self.links.lease(tgt) else {
+        let Some(lease) = self.executor_connections.lease(tgt) else {
             debug!("forward {forward} of {id} not started: no free connection");
             self.attempts.no_connection();
             return Some(not_started(id, forward));
         };
-        let (events, patience) = (self.events.clone(), self.links.taken_within());
+        let (events, timeouts) = (self.events.clone(), self.executor_connections.ack_timeouts());
         let attempt = Rc::new(Attempt::new((id, forward), deadline, client, self.attempts.clone()));
         let mine = attempt.clone();
         let task = actix_rt::spawn(async move {
             let report = |reply| drop(events.send(DriverEvent::Replied(id, forward, reply)));
-            send::forward(lease, &job, mine, patience, report).await;
+            send::forward(lease, &job, mine, timeouts, report).await;
         });
         self.forwards.insert((id, forward), ForwardTask { task, attempt });
         None
@@ -599,13 +599,14 @@
     }
 
     fn probe(&mut self, tgt: Tgt) -> Option<Event<'static>> {
-        let Some(lease) = self.links.lease(tgt) else {
+        let Some(lease) = self.executor_connections.lease(tgt) else {
             // Without a free connection the executor has no capacity that could be used now.
             return Some(Event::Probed(tgt, Outcome::Full, Report::default()));
         };
-        let (events, reports, patience) = (self.events.clone(), self.reports, self.links.patience());
+        let (events, reports, time_limit) =
+            (self.events.clone(), self.reports, self.executor_connections.request_timeout());
         actix_rt::spawn(async move {
-            let (outcome, report) = probe(lease, reports, patience).await;
+            let (outcome, report) = probe(lease, reports, time_limit).await;
             let _ = events.send(DriverEvent::Probed(tgt, outcome, report));
         });
         None
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -68,8 +68,8 @@
 fn running_out_of_descriptors_suspects_no_executor() {
     block(async {
         let (mut driver, _event_receiver, _) = driver(&[CLOSED.into()]);
-        driver.links = Links::new(0, seconds(1.0), seconds(60.0));
-        driver.links.listed(0, CLOSED.into());
+        driver.executor_connections = ExecutorConnections::new(0, seconds(1.0), seconds(60.0));
+        driver.executor_connections.set_address(0, CLOSED.into());
         let (answer, _answered) = oneshot::channel();
         let now = driver.clock.now();
         driver
@@ -120,7 +120,7 @@
             let event = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
             event.into_iter().for_each(|event| driver.handle_event(event));
         }
-        assert!(driver.links.lease(0).is_some() && node_state.phase() == Phase::Serving);
+        assert!(driver.executor_connections.lease(0).is_some() && node_state.phase() == Phase::Serving);
     });
     drop(service);
 }
@@ -158,8 +158,8 @@
         // Fills the listener's queue: the next connection is established once there is room, a second later.
         let filling: Vec<_> = (0..if late { 5000 } else { 0 }).map_while(connect).collect();
         let (mut driver, mut event_receiver, _) = driver(&[addr]);
-        driver.links = Links::new(64, seconds(8.0), seconds(60.0));
-        driver.links.listed(0, addr);
+        driver.executor_connections = ExecutorConnections::new(64, seconds(8.0), seconds(60.0));
+        driver.executor_connections.set_address(0, addr);
         let (answer, _answered) = oneshot::channel();
         // The executor reports free capacity, so the job is sent there.
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
--- a/crates/coveroute-node/src/executors.rs
+++ b/crates/coveroute-node/src/executors.rs
@@ -20,7 +20,7 @@
 const IDLE_SHARE: f64 = 0.8;
 
 /// The connections to one executor.
-struct Link {
+struct ExecutorPool {
     addr: SocketAddr,
     client: Client,
     /// Number of connections in use.
@@ -82,33 +82,41 @@
 
 /// How long an executor may take to acknowledge a job.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct AckTimeouts {
     /// Until the missing acknowledgement is reported.
-    pub heard: Duration,
+    pub report_after: Duration,
     /// Until the forward is given up.
-    pub taken: Duration,
+    pub give_up_after: Duration,
 }
 
 /// The connections to all executors.
-pub struct Links {
-    links: Vec<Option<Link>>,
+pub struct ExecutorConnections {
+    pools: Vec<Option<ExecutorPool>>,
     /// Upper bound on the open connections: the sum of all peaks.
     open: usize,
     idle_executors: Rc<RefCell<IdleQueue>>,
     /// Maximum number of connections of the node.
     most: usize,
     /// This process's share of that: all, unless another process of the node is alive.
-    part: usize,
+    limit: usize,
     /// Connect timeout.
     dial: Duration,
     /// Idle time after which connections are closed.
     idle: Duration,
 }
 
-impl Links {
+impl ExecutorConnections {
     pub fn new(most: usize, dial: Duration, idle: Duration) -> Self {
         let idle = idle.mul_f64(IDLE_SHARE);
-        Links { links: Vec::new(), open: 0, idle_executors: Rc::default(), most, part: most, dial, idle }
+        ExecutorConnections {
+            pools: Vec::new(),
+            open: 0,
+            idle_executors: Rc::default(),
+            most,
+            limit: most,
+            dial,
+            idle,
+        }
     }
 
     fn client(&self) -> Client {
@@ -119,88 +127,88 @@
     }
 
     /// Sets the executor's address. If it changed, the old connections are dropped.
-    pub fn listed(&mut self, tgt: Tgt, addr: SocketAddr) {
-        if self.links.len() <= tgt {
-            self.links.resize_with(tgt + 1, || None);
+    pub fn set_address(&mut self, tgt: Tgt, addr: SocketAddr) {
+        if self.pools.len() <= tgt {
+            self.pools.resize_with(tgt + 1, || None);
         }
-        if self.links[tgt].as_ref().is_none_or(|link| link.addr != addr) {
-            let link = Link { addr, client: self.client(), leased: Rc::default(), peak: 0 };
-            self.gone(tgt);
-            self.links[tgt] = Some(link);
+        if self.pools[tgt].as_ref().is_none_or(|pool| pool.addr != addr) {
+            let pool = ExecutorPool { addr, client: self.client(), leased: Rc::default(), peak: 0 };
+            self.remove(tgt);
+            self.pools[tgt] = Some(pool);
         }
     }
 
     /// Forgets an executor that is not listed any more.
-    pub fn gone(&mut self, tgt: Tgt) {
-        let link = self.links.get_mut(tgt).and_then(Option::take);
-        self.open -= link.map_or(0, |link| link.peak);
+    pub fn remove(&mut self, tgt: Tgt) {
+        let pool = self.pools.get_mut(tgt).and_then(Option::take);
+        self.open -= pool.map_or(0, |pool| pool.peak);
     }
 
     /// Leases a connection to the executor, if its address is known and the limit allows it.
     pub fn lease(&mut self, tgt: Tgt) -> Option<Lease> {
-        let link = self.links.get(tgt)?.as_ref()?;
-        if link.leased.get() >= link.peak {
+        let pool = self.pools.get(tgt)?.as_ref()?;
+        if pool.leased.get() >= pool.peak {
             if !self.make_room() {
                 debug!("connection limit reached: none available for executor {tgt}");
                 return None;
             }
-            self.links[tgt].as_mut()?.peak += 1;
+            self.pools[tgt].as_mut()?.peak += 1;
             self.open += 1;
         }
-        let link = self.links[tgt].as_ref()?;
-        link.leased.set(link.leased.get() + 1);
-        let (client, leased) = (link.client.clone(), link.leased.clone());
-        Some(Lease { tgt, client, addr: link.addr, leased, idle_executors: self.idle_executors.clone() })
+        let pool = self.pools[tgt].as_ref()?;
+        pool.leased.set(pool.leased.get() + 1);
+        let (client, leased) = (pool.client.clone(), pool.leased.clone());
+        Some(Lease { tgt, client, addr: pool.addr, leased, idle_executors: self.idle_executors.clone() })
     }
 
     /// Makes room for one more connection, if necessary by closing the idle ones of the executor that has had
     /// none in use for the longest. The amortized cost depends on neither the number of executors nor that of
     /// connections: every entry that is taken from the queue was added by a returned lease.
     fn make_room(&mut self) -> bool {
-        while self.open >= self.part {
+        while self.open >= self.limit {
             let Some(tgt) = self.idle_executors.borrow_mut().pop() else { return false };
-            self.release(tgt);
+            self.close_idle(tgt);
         }
         true
     }
 
     /// Closes the connections to the executor if none of them is in use.
-    pub fn release(&mut self, tgt: Tgt) {
-        let unused = |link: &&mut Link| link.leased.get() == 0 && link.peak > 0;
-        let Some(link) = self.links.get_mut(tgt).and_then(Option::as_mut).filter(unused) else { return };
-        self.open -= std::mem::take(&mut link.peak);
+    pub fn close_idle(&mut self, tgt: Tgt) {
+        let unused = |pool: &&mut ExecutorPool| pool.leased.get() == 0 && pool.peak > 0;
+        let Some(pool) = self.pools.get_mut(tgt).and_then(Option::as_mut).filter(unused) else { return };
+        self.open -= std::mem::take(&mut pool.peak);
         let client = self.client();
-        self.links[tgt].iter_mut().for_each(|link| link.client = client.clone());
+        self.pools[tgt].iter_mut().for_each(|pool| pool.client = client.clone());
     }
 
     /// Sets whether half of the limit belongs to another process of the node.
-    pub fn share(&mut self, paired: bool) {
-        self.part = if paired { self.most / 2 } else { self.most };
+    pub fn set_paired(&mut self, paired: bool) {
+        self.limit = if paired { self.most / 2 } else { self.most };
     }
 
     /// Changes the connect timeout and the idle timeout. Connections in use finish with the old ones.
-    pub fn retune(&mut self, dial: Duration, idle: Duration) {
+    pub fn set_timeouts(&mut self, dial: Duration, idle: Duration) {
         let idle = idle.mul_f64(IDLE_SHARE);
         if (self.dial, self.idle) == (dial, idle) {
             return;
         }
         (self.dial, self.idle) = (dial, idle);
-        let clients: Vec<Client> = self.links.iter().map(|_| self.client()).collect();
-        for (link, client) in self.links.iter_mut().zip(clients) {
-            link.iter_mut().for_each(|link| (link.client, link.peak) = (client.clone(), link.leased.get()));
+        let clients: Vec<Client> = self.pools.iter().map(|_| self.client()).collect();
+        for (pool, client) in self.pools.iter_mut().zip(clients) {
+            pool.iter_mut().for_each(|pool| (pool.client, pool.peak) = (client.clone(), pool.leased.get()));
         }
-        self.open = self.links.iter().flatten().map(|link| link.peak).sum();
+        self.open = self.pools.iter().flatten().map(|pool| pool.peak).sum();
     }
 
     /// Time limit for a probe, or for telling an executor to give up a job: twice the connect timeout.
-    pub fn patience(&self) -> Duration {
+    pub fn request_timeout(&self) -> Duration {
         2 * self.dial
     }
 
     /// Time limits for acknowledging a job. Healthy executors, even with work waiting, acknowledge within a
     /// fifth of the connect timeout. One that is later was paused, or is running the job and reports it with
     /// its first progress update.
-    pub fn taken_within(&self) -> Patience {
-        Patience { heard: self.dial, taken: 10 * self.dial }
+    pub fn ack_timeouts(&self) -> AckTimeouts {
+        AckTimeouts { report_after: self.dial, give_up_after: 10 * self.dial }
     }
 }
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -60,7 +60,7 @@
 use coveroute_fleet::Plan;
 use driver::{Driver, Endpoints, SuccessorSocket};
 use event::{DriverEvent, EventSender};
-use executors::Links;
+use executors::ExecutorConnections;
 use fleet::Carrier;
 use phase::NodeState;
 use server::ClientServer;
@@ -240,7 +240,7 @@
     let clock = predecessor.as_ref().map_or_else(Clock::new, |(_, state)| state.clock());
     let node_state = Rc::new(NodeState::new());
     let (executors, clients) = descriptor_limits(config.sockets, config.memory_mb);
-    let links = Links::new(executors, config.dial, config.idle);
+    let executor_connections = ExecutorConnections::new(executors, config.dial, config.idle);
     let server = Rc::new(ClientServer::new(clock, node_state.clone(), events.clone(), clients));
     let carrier = match (fleet, &datagrams) {
         (Some((membership, plan, _)), Some(socket)) => {
@@ -272,7 +272,7 @@
         connections: server.connections(),
         adopted: Some(adopt),
     };
-    let driver = Driver::new(config, clock, node_state, links, endpoints, events)?;
+    let driver = Driver::new(config, clock, node_state, executor_connections, endpoints, events)?;
     actix_rt::spawn(server::accept(listener, server.clone(), adopted));
     actix_rt::spawn(server::sweep(server));
     driver.run(event_receiver).await;
--- a/crates/coveroute-node/src/probe.rs
+++ b/crates/coveroute-node/src/probe.rs
@@ -19,7 +19,7 @@
 /// idle connection may be reset at the next request by an intermediary or by the executor, which says nothing
 /// about the executor's health, and repeating a probe is harmless. If the process has died, the next
 /// connection is refused.
-pub async fn probe(lease: Lease, reports: bool, patience: Duration) -> (Outcome, Report) {
+pub async fn probe(lease: Lease, reports: bool, time_limit: Duration) -> (Outcome, Report) {
     let path = if reports { wire::LOAD } else { wire::ALIVE };
     let ask = || async {
         let mut response = lease.client().get(format!("http://{}{path}", lease.addr())).send().await?;
@@ -37,7 +37,7 @@
         }
         ask().await
     };
-    match timeout(patience, asked).await {
+    match timeout(time_limit, asked).await {
         Err(_) => (Outcome::TimedOut, Report::default()),
         // Handled like a lack of free connections: it says nothing about the executor.
         Ok(Err(e)) if could_not_connect(&e) => (Outcome::Full, Report::default()),
@@ -50,12 +50,12 @@
 
 /// Tells an executor to give up a job that it has accepted. The response is ignored: for this node the
 /// forward has ended.
-pub async fn give_up(lease: Lease, call: Arc<str>, patience: Duration) {
+pub async fn give_up(lease: Lease, call: Arc<str>, time_limit: Duration) {
     let uri = format!("http://{}{}/{call}", lease.addr(), wire::JOBS);
     let tell = async {
         if let Ok(mut response) = lease.client().delete(uri).send().await {
             let _ = response.body().limit(wire::BODY_MOST).await;
         }
     };
-    let _ = timeout(patience, tell).await;
+    let _ = timeout(time_limit, tell).await;
 }
--- a/crates/coveroute-node/src/send.rs
+++ b/crates/coveroute-node/src/send.rs
@@ -20,7 +20,7 @@
 
 use crate::attempt::{Attempt, Progress, Refusal};
 use crate::connection::could_not_connect;
-use crate::executors::{Lease, Patience};
+use crate::executors::{AckTimeouts, Lease};
 use crate::take_in::Job;
 use crate::wire;
 
@@ -39,14 +39,14 @@
     lease: Lease,
     job: &Job,
     attempt: Rc<Attempt>,
-    patience: Patience,
+    timeouts: AckTimeouts,
     tell: impl Fn(Reply),
 ) {
     let mut sent = pin!(exchange(&lease, job, &attempt, || tell(Reply::Written)));
-    let mut response = timeout(patience.heard, &mut sent).await;
+    let mut response = timeout(timeouts.report_after, &mut sent).await;
     if response.is_err() {
         tell(Reply::Unheard);
-        response = timeout(patience.taken.saturating_sub(patience.heard), sent).await;
+        response = timeout(timeouts.give_up_after.saturating_sub(timeouts.report_after), sent).await;
     }
     match response {
         Err(_) => tell(Reply::Ended(Outcome::TimedOut, Report::default())),
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -25,7 +25,7 @@
 use crate::discovery::{Discovery, ListParser, WatchItem};
 use crate::driver::{Driver, Endpoints};
 use crate::event::{DriverEvent, EventSender, NodeFigures};
-use crate::executors::{Links, Patience};
+use crate::executors::{AckTimeouts, ExecutorConnections};
 use crate::fleet::{Carrier, Membership};
 use crate::hosts::Hosts;
 use crate::logger::{Pace, Turn};
@@ -116,8 +116,15 @@
 pub fn driver_by(config: Config) -> (Driver, EventSender, UnboundedReceiver<DriverEvent>, Rc<NodeState>) {
     let (clock, node_state, (events, event_receiver)) =
         (Clock::new(), Rc::new(NodeState::new()), unbounded_channel());
-    let links = Links::new(64, config.dial, config.idle);
-    let driver = Driver::new(config, clock, node_state.clone(), links, Endpoints::default(), events.clone());
+    let executor_connections = ExecutorConnections::new(64, config.dial, config.idle);
+    let driver = Driver::new(
+        config,
+        clock,
+        node_state.clone(),
+        executor_connections,
+        Endpoints::default(),
+        events.clone(),
+    );
     (driver.expect("a driver"), events, event_receiver, node_state)
 }
 
@@ -126,15 +133,18 @@
     Config::parse(&changed_text(pairs), config::Environment::default()).expect("valid")
 }
 
-fn links(addr: SocketAddr) -> Links {
-    let mut links = Links::new(8, seconds(1.0), seconds(60.0));
-    links.listed(0, addr);
-    links
+fn executor_connections(addr: SocketAddr) -> ExecutorConnections {
+    let mut executor_connections = ExecutorConnections::new(8, seconds(1.0), seconds(60.0));
+    executor_connections.set_address(0, addr);
+    executor_connections
 }
 
 /// The last reply to a forward, leaving out `Unheard`.
-async fn forward(links: &mut Links, taken: Duration) -> Option<Reply> {
-    forwarded(links, Patience { heard: taken, taken }).await.into_iter().rfind(|told| *told != Reply::Unheard)
+async fn forward(executor_connections: &mut ExecutorConnections, give_up_after: Duration) -> Option<Reply> {
+    forwarded(executor_connections, AckTimeouts { report_after: give_up_after, give_up_after })
+        .await
+        .into_iter()
+        .rfind(|told| *told != Reply::Unheard)
 }
 
 /// A deadline in one second.
@@ -148,15 +158,19 @@
     Rc::new(Attempt::new((0, 0), soon(), None, Rc::default()))
 }
 
-async fn forwarded(links: &mut Links, patience: Patience) -> Vec<Reply> {
-    attempted(links, patience, attempt()).await
+async fn forwarded(executor_connections: &mut ExecutorConnections, timeouts: AckTimeouts) -> Vec<Reply> {
+    attempted(executor_connections, timeouts, attempt()).await
 }
 
-async fn attempted(links: &mut Links, patience: Patience, attempt: Rc<Attempt>) -> Vec<Reply> {
+async fn attempted(
+    executor_connections: &mut ExecutorConnections,
+    timeouts: AckTimeouts,
+    attempt: Rc<Attempt>,
+) -> Vec<Reply> {
     let told = RefCell::new(Vec::new());
-    let lease = links.lease(0).expect("a connection");
+    let lease = executor_connections.lease(0).expect("a connection");
     let tell = |reply| told.borrow_mut().push(reply);
-    send::forward(lease, &job("c", "look", 1.0, 0.0), attempt, patience, tell).await;
+    send::forward(lease, &job("c", "look", 1.0, 0.0), attempt, timeouts, tell).await;
     told.into_inner()
 }
 
@@ -169,8 +183,8 @@
     let (passed, ahead) = (Instant::now(), Instant::now() + seconds(5.0));
     let of = |holds| if holds { ahead } else { passed };
     let attempt = Rc::new(Attempt::new((0, 0), Deadline::at(of(client), of(decision)), None, Rc::default()));
-    let patience = Patience { heard: 9000 * MS, taken: 9000 * MS };
-    let told = block(async { attempted(&mut links(addr), patience, attempt).await });
+    let timeouts = AckTimeouts { report_after: 9000 * MS, give_up_after: 9000 * MS };
+    let told = block(async { attempted(&mut executor_connections(addr), timeouts, attempt).await });
     assert_eq!(told.last(), Some(&ended(expected)), "{told:?}");
     assert_eq!(told.contains(&Reply::Written), expected == Outcome::Reset);
 }
@@ -178,8 +192,8 @@
 #[test]
 fn an_unacknowledged_job_is_reported_and_then_given_up() {
     let (addr, _executor) = executor("body", &["HTTP/1.1 20"]);
-    let patience = Patience { heard: 50 * MS, taken: 100 * MS };
-    let told = block(async { forwarded(&mut links(addr), patience).await });
+    let timeouts = AckTimeouts { report_after: 50 * MS, give_up_after: 100 * MS };
+    let told = block(async { forwarded(&mut executor_connections(addr), timeouts).await });
     assert_eq!(told, [Reply::Written, Reply::Unheard, ended(Outcome::TimedOut)]);
 }
 
@@ -197,7 +211,7 @@
 #[test_case(&["HTTP/1.1 20"], Some(ended(Outcome::TimedOut)); "half an answer, so the job may have run")]
 fn replies_follow_from_the_exchange(answers: &'static [&'static str], expected: Option<Reply>) {
     let (addr, executor) = executor("body", answers);
-    let reply = block(async { forward(&mut links(addr), seconds(1.0)).await });
+    let reply = block(async { forward(&mut executor_connections(addr), seconds(1.0)).await });
     assert_eq!(reply, expected);
     assert_eq!(executor.join().expect("counts"), (1, 1));
 }
@@ -209,7 +223,7 @@
 #[test]
 fn a_refused_connection_is_unreachable() {
     let addr = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port");
-    let reply = block(async { forward(&mut links(addr), seconds(1.0)).await });
+    let reply = block(async { forward(&mut executor_connections(addr), seconds(1.0)).await });
     assert_eq!(reply, Some(ended(Outcome::Unreachable)));
 }
 
@@ -221,7 +235,7 @@
     let connect = |_| std::net::TcpStream::connect_timeout(&addr, Duration::from_millis(20)).ok();
     let _queue: Vec<_> = (0..5000).map_while(connect).collect();
     let begun = Instant::now();
-    let reply = block(async { forward(&mut links(addr), seconds(5.0)).await });
+    let reply = block(async { forward(&mut executor_connections(addr), seconds(5.0)).await });
     assert_eq!(reply, Some(ended(Outcome::Unreachable)));
     assert!(begun.elapsed() < seconds(4.0), "{:?}", begun.elapsed());
 }
@@ -232,9 +246,9 @@
 fn connections_are_reused(answers: &'static [&'static str], counts: (u32, u32)) {
     let (addr, executor) = executor("body", answers);
     let replies = block(async {
-        let (mut links, mut replies) = (links(addr), Vec::new());
+        let (mut executor_connections, mut replies) = (executor_connections(addr), Vec::new());
         for _ in answers {
-            replies.extend(forward(&mut links, seconds(1.0)).await);
+            replies.extend(forward(&mut executor_connections, seconds(1.0)).await);
             actix_rt::time::sleep(seconds(0.2)).await;
         }
         replies
@@ -245,38 +259,48 @@
 
 #[test]
 fn connections_stay_within_the_total_limit() {
-    let mut links = Links::new(2, seconds(1.0), seconds(60.0));
+    let mut executor_connections = ExecutorConnections::new(2, seconds(1.0), seconds(60.0));
     let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    (0..3).for_each(|tgt| links.listed(tgt, addr(9000 + tgt as u16)));
-    let (first, second) = (links.lease(0), links.lease(1));
-    assert!(first.is_some() && second.is_some() && links.lease(2).is_none(), "two are in use");
+    (0..3).for_each(|tgt| executor_connections.set_address(tgt, addr(9000 + tgt as u16)));
+    let (first, second) = (executor_connections.lease(0), executor_connections.lease(1));
+    assert!(first.is_some() && second.is_some() && executor_connections.lease(2).is_none(), "two are in use");
     drop(second);
-    assert!(links.lease(2).is_some(), "an idle one makes room");
-    links.gone(0);
-    assert!(links.lease(0).is_none() && links.lease(7).is_none(), "no address, no connection");
+    assert!(executor_connections.lease(2).is_some(), "an idle one makes room");
+    executor_connections.remove(0);
+    assert!(
+        executor_connections.lease(0).is_none() && executor_connections.lease(7).is_none(),
+        "no address, no connection"
+    );
 }
 
 #[test]
 fn idle_connections_are_closed_for_new_ones() {
     // Guards against counting connections of executors that are busy again as idle, and against connections of
     // removed or moved executors using up the limit.
-    let mut links = Links::new(3, seconds(1.0), seconds(60.0));
+    let mut executor_connections = ExecutorConnections::new(3, seconds(1.0), seconds(60.0));
     let addr = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
-    (0..6).for_each(|tgt| links.listed(tgt, addr(9000 + tgt)));
-    let (one, two, three) = (links.lease(0), links.lease(1), links.lease(2));
+    (0..6).for_each(|tgt| executor_connections.set_address(tgt, addr(9000 + tgt)));
+    let (one, two, three) =
+        (executor_connections.lease(0), executor_connections.lease(1), executor_connections.lease(2));
     drop((two, one));
-    let two = links.lease(1);
-    let four = links.lease(3).expect("the first is idle, the second no more");
-    assert!(links.lease(4).is_none(), "three are in use");
-    links.gone(2);
-    let five = links.lease(4).expect("one has gone");
+    let two = executor_connections.lease(1);
+    let four = executor_connections.lease(3).expect("the first is idle, the second no more");
+    assert!(executor_connections.lease(4).is_none(), "three are in use");
+    executor_connections.remove(2);
+    let five = executor_connections.lease(4).expect("one has gone");
     drop((three, five, two));
-    links.listed(4, addr(9500));
-    let (six, seven) = (links.lease(5), links.lease(4));
-    assert!(six.is_some() && seven.is_some() && links.lease(0).is_none(), "one has moved, one was idle");
+    executor_connections.set_address(4, addr(9500));
+    let (six, seven) = (executor_connections.lease(5), executor_connections.lease(4));
+    assert!(
+        six.is_some() && seven.is_some() && executor_connections.lease(0).is_none(),
+        "one has moved, one was idle"
+    );
     drop((four, six));
-    let (eight, nine) = (links.lease(0), links.lease(1));
-    assert!(eight.is_some() && nine.is_some() && links.lease(3).is_none(), "both idle ones made room");
+    let (eight, nine) = (executor_connections.lease(0), executor_connections.lease(1));
+    assert!(
+        eight.is_some() && nine.is_some() && executor_connections.lease(3).is_none(),
+        "both idle ones made room"
+    );
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":2}", Outcome::Succeeded, Some(2.0); "a report")]
@@ -285,7 +309,7 @@
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{\"x0\"", Outcome::TimedOut, None; "an incomplete answer")]
 fn probe_answers_are_classified(answer: &'static str, outcome: Outcome, free: Option<f64>) {
     let (addr, _executor) = executor("\r\n\r\n", Box::leak(Box::new([answer])));
-    let lease = links(addr).lease(0).expect("a connection");
+    let lease = executor_connections(addr).lease(0).expect("a connection");
     let told = block(probe(lease, true, seconds(1.0)));
     assert_eq!((told.0, told.1.free), (outcome, free));
 }
@@ -299,10 +323,10 @@
 fn a_probe_survives_a_reset(answers: &'static [&'static str], probes: usize, outcome: Outcome) {
     let (addr, _executor) = executor("\r\n\r\n", answers);
     let told = block(async {
-        let mut links = links(addr);
+        let mut executor_connections = executor_connections(addr);
         let mut told = Outcome::Moot;
         for _ in 0..probes {
-            told = probe(links.lease(0).expect("a connection"), true, seconds(1.0)).await.0;
+            told = probe(executor_connections.lease(0).expect("a connection"), true, seconds(1.0)).await.0;
         }
         told
     });
@@ -326,7 +350,7 @@
 #[test]
 fn a_rejection_includes_the_load_report() {
     let (addr, _executor) = executor("body", &[FULL]);
-    let reply = block(async { forward(&mut links(addr), seconds(1.0)).await });
+    let reply = block(async { forward(&mut executor_connections(addr), seconds(1.0)).await });
     assert_eq!(reply, Some(Reply::Ended(Outcome::Full, Report { free: Some(2.0), ..Report::default() })));
 }
 
@@ -1122,8 +1146,13 @@
     if !answers.is_empty() {
         addr = executor("body", answers).0;
     }
-    let told =
-        block(async { forwarded(&mut links(addr), Patience { heard: 9000 * MS, taken: 9000 * MS }).await });
+    let told = block(async {
+        forwarded(
+            &mut executor_connections(addr),
+            AckTimeouts { report_after: 9000 * MS, give_up_after: 9000 * MS },
+        )
+        .await
+    });
     assert_eq!(told.iter().filter(|reply| **reply == Reply::Written).count(), expected, "{told:?}");
 }
 
@@ -1202,14 +1231,15 @@
 // Two processes of one node must not together use twice the node's limits.
 #[test]
 fn two_processes_share_the_nodes_limits() {
-    let (mut links, node_state) = (links(([127, 0, 0, 1], 1).into()), NodeState::new());
-    let lent = |links: &mut Links| {
-        let leases: Vec<_> = std::iter::from_fn(|| links.lease(0)).take(20).collect();
+    let (mut executor_connections, node_state) =
+        (executor_connections(([127, 0, 0, 1], 1).into()), NodeState::new());
+    let lent = |executor_connections: &mut ExecutorConnections| {
+        let leases: Vec<_> = std::iter::from_fn(|| executor_connections.lease(0)).take(20).collect();
         leases.len()
     };
     for (paired, most) in [(true, 4), (false, 8)] {
-        links.share(paired);
+        executor_connections.set_paired(paired);
         node_state.set_paired(paired);
-        assert_eq!((lent(&mut links), node_state.share_of(8)), (most, most));
+        assert_eq!((lent(&mut executor_connections), node_state.share_of(8)), (most, most));
     }
 }
