--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -23,7 +23,7 @@
 use crate::discovery::Discovery;
 use crate::event::{DriverEvent, EventSender, NodeFigures};
 use crate::executors::ExecutorConnections;
-use crate::fleet::Carrier;
+use crate::fleet::FleetMember;
 use crate::handover::{HandoverState, TransferredJob};
 use crate::link::{Link, LinkEvent, Side};
 use crate::peers::Peers;
@@ -93,7 +93,7 @@
     /// For hints from other nodes, where nodes exchange them.
     pub datagrams: Option<UdpSocket>,
     /// This node's fleet membership, where the deployment has a fleet.
-    pub carrier: Option<Rc<Carrier>>,
+    pub fleet_member: Option<Rc<FleetMember>>,
     /// The link to the predecessor process, and the state that it handed over.
     pub predecessor: Option<(Rc<Link>, HandoverState)>,
     pub successor_socket: Option<SuccessorSocket>,
@@ -122,7 +122,7 @@
     applied: AppliedConfig,
     /// Hints to and from other nodes, where enabled.
     peers: Option<Peers>,
-    carrier: Option<Rc<Carrier>>,
+    fleet_member: Option<Rc<FleetMember>>,
     /// The other processes of this node: the one that this process replaces, and the one that replaces it.
     predecessor: Option<Rc<Link>>,
     successor: Option<Rc<Link>>,
@@ -147,13 +147,14 @@
         endpoints: Endpoints,
         events: EventSender,
     ) -> Result<Self, String> {
-        let Endpoints { datagrams, carrier, predecessor, successor_socket, connections, adopted } = endpoints;
+        let Endpoints { datagrams, fleet_member, predecessor, successor_socket, connections, adopted } =
+            endpoints;
         node_state.set_lists_from(config.pushed_by());
         node_state.set_max_pause(config.settings.max_pause);
         let applied = AppliedConfig::of(&config);
         let Config { settings, names, seed, timeouts, known, discovery, peers, .. } = config;
         let listen = |socket: UdpSocket| {
-            Peers::new(settings.me, peers.unwrap_or_default(), socket, events.clone(), carrier.clone())
+            Peers::new(settings.me, peers.unwrap_or_default(), socket, events.clone(), fleet_member.clone())
                 .map_err(|e| format!("peer socket: {e}"))
         };
         let peers = datagrams.map(listen).transpose()?;
@@ -174,7 +175,7 @@
             reports,
             applied,
             peers,
-            carrier,
+            fleet_member,
             predecessor,
             successor: None,
             successor_socket,
@@ -238,7 +239,9 @@
     pub fn handle_event(&mut self, event: DriverEvent) {
         match event {
             DriverEvent::Accepted(id, job, client) => {
-                self.carrier.iter().for_each(|carrier| carrier.record_invocation(job.call.caller.as_deref()));
+                self.fleet_member
+                    .iter()
+                    .for_each(|fleet_member| fleet_member.record_invocation(job.call.caller.as_deref()));
                 let job: Rc<Job> = job.into();
                 self.jobs.insert(id, PendingJob { job: job.clone(), client });
                 self.dispatch(Event::Taken(id, &job.call));
@@ -285,7 +288,10 @@
                 // Before the stop gives back jobs or closes connections.
                 self.hand_over();
                 // A successor continues as the same fleet member, so the fleet is told of a departure only without one.
-                self.carrier.iter().filter(|_| self.successor.is_none()).for_each(|carrier| carrier.leave());
+                self.fleet_member
+                    .iter()
+                    .filter(|_| self.successor.is_none())
+                    .for_each(|fleet_member| fleet_member.leave());
                 self.dispatch(Event::Stop);
             }
         }
@@ -306,8 +312,8 @@
         if let Some(why) = self.applied.reject_reason(&new, pushed) {
             return self.reject_reload(&why);
         }
-        if let Some((carrier, plan)) = self.carrier.as_ref().zip(plan) {
-            if let Err(why) = carrier.reread(plan, config.shares()) {
+        if let Some((fleet_member, plan)) = self.fleet_member.as_ref().zip(plan) {
+            if let Err(why) = fleet_member.reread(plan, config.shares()) {
                 return self.reject_reload(&format!("fleet file: {why}"));
             }
         }
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -72,7 +72,8 @@
     read.map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9)
 }
 
-pub struct Carrier {
+/// This node as a member of the fleet: the protocol state, and the socket that its messages are sent from.
+pub struct FleetMember {
     fleet: RefCell<Fleet>,
     /// For sending; non-blocking.
     socket: UdpSocket,
@@ -93,7 +94,7 @@
 
 /// The fleet's figures for operators.
 #[derive(Serialize)]
-pub struct Shown {
+pub struct FleetFigures {
     #[serde(flatten)]
     figures: Figures,
     /// Datagrams dropped by the rate limit.
@@ -127,7 +128,7 @@
     age: f64,
 }
 
-impl Carrier {
+impl FleetMember {
     /// Starts inactive: it takes part once this process receives its node's datagrams.
     pub fn new(
         membership: &Membership,
@@ -151,7 +152,7 @@
         let rate_window = Cell::new((Instant::now(), MAX_DATAGRAMS_PER_SECOND));
         let rights = RefCell::new(Self::rights(&fleet, &shares));
         let (fleet, shares) = (RefCell::new(fleet), RefCell::new(shares));
-        Ok(Carrier {
+        Ok(FleetMember {
             fleet,
             socket,
             node_state,
@@ -318,7 +319,7 @@
         Ok(())
     }
 
-    pub fn shown(&self) -> Shown {
+    pub fn figures(&self) -> FleetFigures {
         let (fleet, now) = (self.fleet.borrow(), now());
         let stages = fleet.read(now, Kind::STANDING).filter_map(|reading| {
             let standing = Standing::read(reading.value)?;
@@ -341,6 +342,6 @@
             None => (BTreeMap::new(), None),
         };
         let (figures, standing, flooded) = (fleet.figures(now), stages.collect(), self.flooded.get());
-        Shown { figures, flooded, standing, limits, mints }
+        FleetFigures { figures, flooded, standing, limits, mints }
     }
 }
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -61,7 +61,7 @@
 use driver::{Driver, Endpoints, SuccessorSocket};
 use event::{DriverEvent, EventSender};
 use executors::ExecutorConnections;
-use fleet::Carrier;
+use fleet::FleetMember;
 use phase::NodeState;
 use server::ClientServer;
 
@@ -242,10 +242,10 @@
     let (executors, clients) = descriptor_limits(config.sockets, config.memory_mb);
     let executor_connections = ExecutorConnections::new(executors, config.dial, config.idle);
     let server = Rc::new(ClientServer::new(clock, node_state.clone(), events.clone(), clients));
-    let carrier = match (fleet, &datagrams) {
+    let fleet_member = match (fleet, &datagrams) {
         (Some((membership, plan, _)), Some(socket)) => {
             let socket = socket.try_clone().map_err(|e| e.to_string())?;
-            Some(Rc::new(Carrier::new(
+            Some(Rc::new(FleetMember::new(
                 &membership,
                 plan,
                 config.shares(),
@@ -254,8 +254,9 @@
         }
         _ => None,
     };
-    carrier.iter().for_each(|carrier| drop(actix_rt::spawn(carrier.clone().run())));
-    let management = management::ManagementServer::new(node_state.clone(), events.clone(), carrier.clone());
+    fleet_member.iter().for_each(|fleet_member| drop(actix_rt::spawn(fleet_member.clone().run())));
+    let management =
+        management::ManagementServer::new(node_state.clone(), events.clone(), fleet_member.clone());
     management_listener.map(|listener| actix_rt::spawn(management::accept(listener, management)));
     let own = |socket: std::io::Result<OwnedFd>| socket.map_err(|e| e.to_string());
     let mut sockets = vec![own(listener.as_fd().try_clone_to_owned())?];
@@ -266,7 +267,7 @@
     let (adopt, adopted) = mpsc::unbounded_channel();
     let endpoints = Endpoints {
         datagrams,
-        carrier,
+        fleet_member,
         predecessor,
         successor_socket,
         connections: server.connections(),
--- a/crates/coveroute-node/src/management.rs
+++ b/crates/coveroute-node/src/management.rs
@@ -18,7 +18,7 @@
 
 use crate::attempt::AttemptFigures;
 use crate::event::{DriverEvent, EventSender, NodeFigures};
-use crate::fleet::{self, Carrier};
+use crate::fleet::{self, FleetMember};
 use crate::phase::NodeState;
 use crate::socket::Socket;
 
@@ -49,7 +49,7 @@
     sighup_rejected: u64,
     /// The node's view of the fleet, if it is in one.
     #[serde(skip_serializing_if = "Option::is_none")]
-    fleet: Option<fleet::Shown>,
+    fleet: Option<fleet::FleetFigures>,
 }
 
 /// The node's list of executors. The times are null until discovery first answered.
@@ -136,12 +136,16 @@
 pub struct ManagementServer {
     node_state: Rc<NodeState>,
     events: EventSender,
-    carrier: Option<Rc<Carrier>>,
+    fleet_member: Option<Rc<FleetMember>>,
 }
 
 impl ManagementServer {
-    pub fn new(node_state: Rc<NodeState>, events: EventSender, carrier: Option<Rc<Carrier>>) -> Rc<Self> {
-        Rc::new(ManagementServer { node_state, events, carrier })
+    pub fn new(
+        node_state: Rc<NodeState>,
+        events: EventSender,
+        fleet_member: Option<Rc<FleetMember>>,
+    ) -> Rc<Self> {
+        Rc::new(ManagementServer { node_state, events, fleet_member })
     }
 
     async fn answer(&self, request: Request) -> Response<BoxBody> {
@@ -166,7 +170,7 @@
     async fn metrics(&self) -> Response<BoxBody> {
         let (reply, replied) = oneshot::channel();
         let _ = self.events.send(DriverEvent::FiguresRequested(reply));
-        let fleet = || self.carrier.as_ref().map(|carrier| carrier.shown());
+        let fleet = || self.fleet_member.as_ref().map(|fleet_member| fleet_member.figures());
         let metrics = replied.await.ok().map(|figures| Metrics { fleet: fleet(), ..Metrics::from(figures) });
         let Some(Ok(body)) = metrics.map(|metrics| serde_json::to_vec(&metrics)) else {
             return text(StatusCode::SERVICE_UNAVAILABLE, "the node has ended\n");
--- a/crates/coveroute-node/src/peers.rs
+++ b/crates/coveroute-node/src/peers.rs
@@ -14,7 +14,7 @@
 use tokio::net::UdpSocket;
 
 use crate::event::{DriverEvent, EventSender};
-use crate::fleet::Carrier;
+use crate::fleet::FleetMember;
 
 /// Delay after a failed receive.
 const RETRY_DELAY: Duration = Duration::from_millis(1);
@@ -35,7 +35,7 @@
 struct Recipients {
     addrs: Rc<[SocketAddr]>,
     events: EventSender,
-    carrier: Option<Rc<Carrier>>,
+    fleet_member: Option<Rc<FleetMember>>,
 }
 
 impl Peers {
@@ -45,12 +45,12 @@
         addrs: Vec<SocketAddr>,
         socket: std::net::UdpSocket,
         events: EventSender,
-        carrier: Option<Rc<Carrier>>,
+        fleet_member: Option<Rc<FleetMember>>,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         let (receiver, addrs) =
             (Rc::new(UdpSocket::from_std(socket.try_clone()?)?), Rc::<[SocketAddr]>::from(addrs));
-        let recipients = Recipients { addrs: addrs.clone(), events, carrier };
+        let recipients = Recipients { addrs: addrs.clone(), events, fleet_member };
         Ok(Peers { socket, addrs, me, receiver, task: None, recipients })
     }
 
@@ -64,7 +64,7 @@
             }
             None => {}
         }
-        self.recipients.carrier.iter().for_each(|carrier| carrier.take_part(enabled));
+        self.recipients.fleet_member.iter().for_each(|fleet_member| fleet_member.take_part(enabled));
     }
 
     pub fn send(&self, to: usize, told: Told, mark: u32, count: u8) {
@@ -85,9 +85,11 @@
             sleep(RETRY_DELAY).await;
             continue;
         };
-        let (bytes, Recipients { addrs, events, carrier }) = (&buffer[..len], &recipients);
-        if let Some(carrier) = carrier.as_ref().filter(|_| bytes.first() == Some(&MARK) || addrs.is_empty()) {
-            carrier.receive(sender, bytes);
+        let (bytes, Recipients { addrs, events, fleet_member }) = (&buffer[..len], &recipients);
+        if let Some(fleet_member) =
+            fleet_member.as_ref().filter(|_| bytes.first() == Some(&MARK) || addrs.is_empty())
+        {
+            fleet_member.receive(sender, bytes);
             continue;
         }
         let from = addrs.iter().position(|addr| *addr == sender);
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -26,7 +26,7 @@
 use crate::driver::{Driver, Endpoints};
 use crate::event::{DriverEvent, EventSender, NodeFigures};
 use crate::executors::{AckTimeouts, ExecutorConnections};
-use crate::fleet::{Carrier, Membership};
+use crate::fleet::{FleetMember, Membership};
 use crate::hosts::Hosts;
 use crate::logger::{Pace, Turn};
 use crate::management;
@@ -1022,13 +1022,13 @@
             let socket = std::net::UdpSocket::bind(addrs[at]).expect("a port");
             let membership = Membership { path: "f".into(), name: name.into() };
             let own = (socket.try_clone().expect("a socket"), Rc::new(NodeState::new()), events.clone());
-            let carrier =
-                Rc::new(Carrier::new(&membership, plan.clone(), Vec::new(), own).expect("a member"));
-            actix_rt::spawn(carrier.clone().run());
-            let mut one =
-                Peers::new(at, addrs.clone(), socket, events.clone(), Some(carrier.clone())).expect("a port");
+            let fleet_member =
+                Rc::new(FleetMember::new(&membership, plan.clone(), Vec::new(), own).expect("a member"));
+            actix_rt::spawn(fleet_member.clone().run());
+            let mut one = Peers::new(at, addrs.clone(), socket, events.clone(), Some(fleet_member.clone()))
+                .expect("a port");
             one.set_receiving(true);
-            peers.push((one, carrier));
+            peers.push((one, fleet_member));
         }
         sleep(seconds(1.0)).await;
         peers[1].0.send(0, Told::Held, 0xab, 4);
@@ -1037,8 +1037,8 @@
             heard,
             Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
         ));
-        let shown = serde_json::to_value(peers[0].1.shown()).expect("figures");
-        assert_eq!((&shown["states"]["b"], &shown["dropped"]), (&"alive".into(), &serde_json::json!({})));
+        let figures = serde_json::to_value(peers[0].1.figures()).expect("figures");
+        assert_eq!((&figures["states"]["b"], &figures["dropped"]), (&"alive".into(), &serde_json::json!({})));
     });
 }
 
