--- a/crates/coveroute-node/src/attempt.rs
+++ b/crates/coveroute-node/src/attempt.rs
@@ -35,7 +35,7 @@
 }
 
 impl Deadline {
-    pub fn at(answer_by: Instant, write_until: Instant) -> Self {
+    pub fn new(answer_by: Instant, write_until: Instant) -> Self {
         Deadline { answer_by, write_until }
     }
 
@@ -222,8 +222,8 @@
 
     /// Records that this machine failed to open a connection for the attempt.
     pub fn note_no_connection(&self, why: &dyn fmt::Display) {
-        debug!("{self} not begun: {why}");
-        self.counts.no_connection();
+        debug!("{self} not started: {why}");
+        self.counts.count_no_connection();
     }
 
     /// Why the attempt was refused since it last began, if it was.
--- a/crates/coveroute-node/src/attempt/counts.rs
+++ b/crates/coveroute-node/src/attempt/counts.rs
@@ -47,11 +47,11 @@
 }
 
 impl AttemptCounts {
-    pub fn client_left(&self) {
+    pub fn count_client_left(&self) {
         increment(&self.client_left);
     }
 
-    pub fn no_connection(&self) {
+    pub fn count_no_connection(&self) {
         increment(&self.no_connection);
     }
 
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -542,7 +542,7 @@
     fn execute(&mut self, action: Action) -> Option<Event<'static>> {
         match action {
             Action::Send { id, forward, tgt, end, write_until } => {
-                let deadline = Deadline::at(self.clock.instant(end), self.clock.instant(write_until));
+                let deadline = Deadline::new(self.clock.instant(end), self.clock.instant(write_until));
                 return self.send(id, forward, tgt, deadline);
             }
             Action::Abort { id, forward } => {
@@ -575,12 +575,12 @@
             self.jobs.get(&id).map(|pending| (pending.job.clone(), pending.client.connection.clone()))
         else {
             debug!("forward {forward} of {id} not started: the client disconnected");
-            self.attempts.client_left();
+            self.attempts.count_client_left();
             return Some(not_started(id, forward));
         };
         let Some(lease) = self.executor_connections.lease(tgt) else {
             debug!("forward {forward} of {id} not started: no free connection");
-            self.attempts.no_connection();
+            self.attempts.count_no_connection();
             return Some(not_started(id, forward));
         };
         let (events, timeouts) = (self.events.clone(), self.executor_connections.ack_timeouts());
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -150,7 +150,7 @@
 /// A deadline in one second.
 pub fn soon() -> Deadline {
     let soon = Instant::now() + seconds(1.0);
-    Deadline::at(soon, soon)
+    Deadline::new(soon, soon)
 }
 
 /// An attempt without a connected client, due in one second.
@@ -182,7 +182,7 @@
     let (addr, _executor) = executor("body", &[""]);
     let (passed, ahead) = (Instant::now(), Instant::now() + seconds(5.0));
     let of = |holds| if holds { ahead } else { passed };
-    let attempt = Rc::new(Attempt::new((0, 0), Deadline::at(of(client), of(decision)), None, Rc::default()));
+    let attempt = Rc::new(Attempt::new((0, 0), Deadline::new(of(client), of(decision)), None, Rc::default()));
     let timeouts = AckTimeouts { report_after: 9000 * MS, give_up_after: 9000 * MS };
     let told = block(async { attempted(&mut executor_connections(addr), timeouts, attempt).await });
     assert_eq!(told.last(), Some(&ended(expected)), "{told:?}");
