--- a/crates/coveroute-node/src/at_size.rs
+++ b/crates/coveroute-node/src/at_size.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::seconds;
 use crate::config::{self, Config};
-use crate::discovery::{Discovery, ListParser, WatchItem, LIST_MOST};
+use crate::discovery::{Discovery, ListParser, WatchItem, MAX_LIST_BYTES};
 use crate::event::DriverEvent;
 use crate::hosts::Hosts;
 use crate::tests::{block, driver, CONFIG};
@@ -117,7 +117,7 @@
     let text = full_list(3, &entries(2 * EXECUTORS));
     let value: serde_json::Value = serde_json::from_str(&text).expect("a list");
     let text = serde_json::to_string_pretty(&value).expect("a text");
-    assert!(text.len() < LIST_MOST, "{} bytes, {LIST_MOST} at most", text.len());
+    assert!(text.len() < MAX_LIST_BYTES, "{} bytes, {MAX_LIST_BYTES} at most", text.len());
     assert_eq!(parse_in_chunks(&text, 16_384).0.hosts.len(), 2 * EXECUTORS);
 }
 
@@ -145,7 +145,7 @@
 
 // A list that exceeds the maximum size, or is truncated and followed by another: the watch ends, and nothing of it is
 // used.
-#[test_case(&" ".repeat(LIST_MOST); "endless")]
+#[test_case(&" ".repeat(MAX_LIST_BYTES); "endless")]
 #[test_case("{\"version\":5}"; "truncated")]
 fn nothing_of_an_invalid_list_is_used(odd: &str) {
     let begun = full_list(4, &entries(EXECUTORS));
--- a/crates/coveroute-node/src/connection.rs
+++ b/crates/coveroute-node/src/connection.rs
@@ -103,7 +103,7 @@
 }
 
 /// Whether a request failed because this machine could not open a connection.
-pub fn could_not_connect(error: &SendRequestError) -> bool {
+pub fn is_local_connect_failure(error: &SendRequestError) -> bool {
     matches!(error, SendRequestError::Connect(awc::error::ConnectError::Io(e)) if is_local_error(e))
 }
 
--- a/crates/coveroute-node/src/discovery.rs
+++ b/crates/coveroute-node/src/discovery.rs
@@ -12,7 +12,7 @@
 use log::info;
 use tokio::time::timeout_at;
 
-use crate::connection::{could_not_connect, Dialer};
+use crate::connection::{is_local_connect_failure, Dialer};
 use crate::event::{DriverEvent, EventSender};
 use crate::hosts::Hosts;
 use crate::wire;
@@ -32,7 +32,7 @@
 /// A request that fails sooner than this was not queued: the service is down, or it has too many requests.
 const IMMEDIATE_FAILURE: Duration = Duration::from_millis(150);
 /// The largest accepted list: enough for twice the design capacity of executors (`docs/CAPACITY.md`), even if indented.
-pub const LIST_MOST: usize = 4 * 1024 * 1024;
+pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 /// Up to this size an incomplete list is parsed again with each chunk. Beyond, it is parsed only if it may be
 /// complete or has doubled since the last attempt, so each byte is parsed a few times at most, however small the
 /// chunks are.
@@ -87,7 +87,7 @@
     let mut answer = match timeout(RESPONSE_TIMEOUT, client.get(uri).send()).await {
         Err(_) => return ("no response in time".into(), missed(called)),
         // The connection failed: whether the service is running is unknown.
-        Ok(Err(e)) if could_not_connect(&e) => return (e.to_string(), missed(called)),
+        Ok(Err(e)) if is_local_connect_failure(&e) => return (e.to_string(), missed(called)),
         Ok(Err(e)) => return (e.to_string(), if was_queued() { Loss::Waited } else { Loss::Closed }),
         Ok(Ok(answer)) if answer.status() != 200 => {
             let loss = if was_queued() { Loss::Waited } else { Loss::Refused };
@@ -243,8 +243,8 @@
 
     /// The result while the buffer holds no complete list.
     fn incomplete(&self, keep_alive: bool) -> Result<Option<WatchItem>, String> {
-        if self.buffer.len() > LIST_MOST {
-            return Err(format!("list exceeds {LIST_MOST} bytes"));
+        if self.buffer.len() > MAX_LIST_BYTES {
+            return Err(format!("list exceeds {MAX_LIST_BYTES} bytes"));
         }
         // The line break that ends a list is not an empty line, but shows equally that the watch is alive.
         Ok(keep_alive.then_some(WatchItem::KeepAlive))
--- a/crates/coveroute-node/src/probe.rs
+++ b/crates/coveroute-node/src/probe.rs
@@ -6,7 +6,7 @@
 use coveroute::types::{Outcome, Report};
 use log::debug;
 
-use crate::connection::could_not_connect;
+use crate::connection::is_local_connect_failure;
 use crate::executors::Lease;
 use crate::send;
 use crate::wire;
@@ -23,7 +23,7 @@
     let path = if reports { wire::LOAD } else { wire::ALIVE };
     let ask = || async {
         let mut response = lease.client().get(format!("http://{}{path}", lease.addr())).send().await?;
-        let body = response.body().limit(wire::BODY_MOST).await.unwrap_or_default();
+        let body = response.body().limit(wire::MAX_BODY_BYTES).await.unwrap_or_default();
         Ok((response.status().as_u16(), body))
     };
     let asked = async {
@@ -40,7 +40,7 @@
     match timeout(time_limit, asked).await {
         Err(_) => (Outcome::TimedOut, Report::default()),
         // Handled like a lack of free connections: it says nothing about the executor.
-        Ok(Err(e)) if could_not_connect(&e) => (Outcome::Full, Report::default()),
+        Ok(Err(e)) if is_local_connect_failure(&e) => (Outcome::Full, Report::default()),
         Ok(Err(e)) => (send::failure_outcome(&e), Report::default()),
         Ok(Ok((200, body))) => (Outcome::Succeeded, send::report(&body)),
         Ok(Ok((503, body))) => (Outcome::Full, send::report(&body)),
@@ -54,7 +54,7 @@
     let uri = format!("http://{}{}/{call}", lease.addr(), wire::JOBS);
     let tell = async {
         if let Ok(mut response) = lease.client().delete(uri).send().await {
-            let _ = response.body().limit(wire::BODY_MOST).await;
+            let _ = response.body().limit(wire::MAX_BODY_BYTES).await;
         }
     };
     let _ = timeout(time_limit, tell).await;
--- a/crates/coveroute-node/src/send.rs
+++ b/crates/coveroute-node/src/send.rs
@@ -19,7 +19,7 @@
 use log::{debug, warn};
 
 use crate::attempt::{Attempt, Progress, Refusal};
-use crate::connection::could_not_connect;
+use crate::connection::is_local_connect_failure;
 use crate::executors::{AckTimeouts, Lease};
 use crate::take_in::Job;
 use crate::wire;
@@ -65,7 +65,7 @@
         }
         Ok(Ok(mut response)) => {
             tell(reply(response.status(), response.headers()));
-            let _ = timeout(DRAIN_TIMEOUT, response.body().limit(wire::BODY_MOST)).await;
+            let _ = timeout(DRAIN_TIMEOUT, response.body().limit(wire::MAX_BODY_BYTES)).await;
         }
     }
 }
@@ -109,7 +109,7 @@
             ) => {
                 return Err(SendError::Refused(refusal));
             }
-            (Err(e), ..) if could_not_connect(&e) => return Err(SendError::NoConnection(e)),
+            (Err(e), ..) if is_local_connect_failure(&e) => return Err(SendError::NoConnection(e)),
             (Err(e), ..) => return Err(SendError::Failed(e)),
         }
     }
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -247,7 +247,7 @@
         let acknowledge = Cell::new(acknowledge);
         let news =
             |body: &Bytes| Ok(DriverEvent::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
-        let answer = self.forward_body(request, wire::BODY_MOST, "a job status update", news).await;
+        let answer = self.forward_body(request, wire::MAX_BODY_BYTES, "a job status update", news).await;
         match (answer, acknowledged) {
             (Answer::Succeeded(body), Some(acknowledged)) => match acknowledged.await {
                 Ok(false) => Answer::Throttled { pause: 0.0 },
@@ -270,7 +270,7 @@
             let hosts = serde_json::from_slice::<Hosts>(body).map_err(|e| e.to_string())?;
             Ok(DriverEvent::Watch(UNASKED, Watched::Listed(hosts.into())))
         };
-        self.forward_body(&mut request, discovery::LIST_MOST, "a list of executors", list).await
+        self.forward_body(&mut request, discovery::MAX_LIST_BYTES, "a list of executors", list).await
     }
 
     /// Parses a body of at most `most` bytes and sends the result to the driver. `what` names the body in the
--- a/crates/coveroute-node/src/take_in.rs
+++ b/crates/coveroute-node/src/take_in.rs
@@ -63,7 +63,7 @@
     if text(wire::CALL_CLASS).is_some_and(|told| told != class) {
         return Err(unfit("X-Call-Class is not the first part of the path"));
     }
-    let body = body(payload, &headers, wire::BODY_MOST).await?;
+    let body = body(payload, &headers, wire::MAX_BODY_BYTES).await?;
     let call = Call {
         call: call.into(),
         class: class.to_owned(),
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -413,15 +413,15 @@
     assert!(matches!(told, Answer::Unfit(s, _) if s.as_u16() == status), "{told:?}");
 }
 
-#[test_case(wire::BODY_MOST, true; "the maximum is accepted")]
-#[test_case(wire::BODY_MOST + 1, false; "one more byte is not")]
+#[test_case(wire::MAX_BODY_BYTES, true; "the maximum is accepted")]
+#[test_case(wire::MAX_BODY_BYTES + 1, false; "one more byte is not")]
 fn body_size_is_limited(size: usize, fits: bool) {
     let payload = TestRequest::default().set_payload(vec![0; size]).finish().into_parts().1;
     let mut headers = HeaderMap::new();
-    assert_eq!(block(take_in::body(payload, &headers, wire::BODY_MOST)).is_ok(), fits);
+    assert_eq!(block(take_in::body(payload, &headers, wire::MAX_BODY_BYTES)).is_ok(), fits);
     // A body that is too large by its declared length is rejected before it arrives.
     headers.insert(CONTENT_LENGTH, HeaderValue::from(size));
-    assert_eq!(block(take_in::body(Payload::None, &headers, wire::BODY_MOST)).is_ok(), fits);
+    assert_eq!(block(take_in::body(Payload::None, &headers, wire::MAX_BODY_BYTES)).is_ok(), fits);
 }
 
 const MS: Duration = Duration::from_millis(1);
--- a/crates/coveroute-node/src/wire.rs
+++ b/crates/coveroute-node/src/wire.rs
@@ -18,4 +18,4 @@
 pub const REJECTED: &str = "x-rejected";
 
 /// Maximum size of a request or response body, in bytes.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
