--- a/crates/coveroute-node/src/logger.rs
+++ b/crates/coveroute-node/src/logger.rs
@@ -10,40 +10,40 @@
 /// second.
 const MAX_LINES_PER_SECOND: u32 = 100;
 
-/// Rate limiter: counts the lines of the current second.
+/// Limits the lines per second: counts those of the current second.
 #[derive(Debug)]
-pub struct Pace {
+pub struct RateLimiter {
     pub second: u64,
     pub lines: u32,
 }
 
 /// Whether a line is written.
 #[derive(Debug, PartialEq)]
-pub enum Turn {
+pub enum Decision {
     Written,
     /// Written, after this many lines were left out.
     WrittenAfter(u32),
     LeftOut,
 }
 
-impl Pace {
+impl RateLimiter {
     /// Decides on a line in the given second.
-    pub fn turn(&mut self, second: u64) -> Turn {
+    pub fn decide(&mut self, second: u64) -> Decision {
         let left_out = self.lines.saturating_sub(MAX_LINES_PER_SECOND);
         if self.second != second {
             (self.second, self.lines) = (second, 1);
-            return if left_out > 0 { Turn::WrittenAfter(left_out) } else { Turn::Written };
+            return if left_out > 0 { Decision::WrittenAfter(left_out) } else { Decision::Written };
         }
         self.lines = self.lines.saturating_add(1);
         if self.lines > MAX_LINES_PER_SECOND {
-            Turn::LeftOut
+            Decision::LeftOut
         } else {
-            Turn::Written
+            Decision::Written
         }
     }
 }
 
-struct Stderr(Mutex<Pace>);
+struct Stderr(Mutex<RateLimiter>);
 
 impl Log for Stderr {
     fn enabled(&self, metadata: &Metadata) -> bool {
@@ -59,11 +59,11 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |unix| unix.as_secs_f64());
         let module = record.target().rsplit("::").next().unwrap_or_default();
         let all = log::max_level() >= LevelFilter::Debug;
-        let turn = self.0.lock().map_or(Turn::Written, |mut pace| pace.turn(unix as u64));
+        let decision = self.0.lock().map_or(Decision::Written, |mut limiter| limiter.decide(unix as u64));
         // Errors are ignored: a log that can't be written must not stop the node.
-        match turn {
-            Turn::LeftOut if !all => return,
-            Turn::WrittenAfter(lines) if !all => {
+        match decision {
+            Decision::LeftOut if !all => return,
+            Decision::WrittenAfter(lines) if !all => {
                 let _ = writeln!(std::io::stderr(), "{unix:.3} WARN  logger: {lines} lines left out");
             }
             _ => {}
@@ -76,7 +76,7 @@
 
 /// Installs the logger.
 pub fn start(level: LevelFilter) {
-    static LOGGER: Stderr = Stderr(Mutex::new(Pace { second: 0, lines: 0 }));
+    static LOGGER: Stderr = Stderr(Mutex::new(RateLimiter { second: 0, lines: 0 }));
     if log::set_logger(&LOGGER).is_ok() {
         log::set_max_level(level);
     }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -28,7 +28,7 @@
 use crate::executors::{AckTimeouts, ExecutorConnections};
 use crate::fleet::{FleetMember, Membership};
 use crate::hosts::Hosts;
-use crate::logger::{Pace, Turn};
+use crate::logger::{Decision, RateLimiter};
 use crate::management;
 use crate::peers::Peers;
 use crate::phase::NodeState;
@@ -468,9 +468,12 @@
 
 #[test]
 fn log_lines_are_rate_limited() {
-    let mut pace = Pace { second: 7, lines: 0 };
-    let written = (0..500).filter(|_| pace.turn(7) == Turn::Written).count();
-    assert_eq!((written, pace.turn(8), pace.turn(8)), (100, Turn::WrittenAfter(400), Turn::Written));
+    let mut limiter = RateLimiter { second: 7, lines: 0 };
+    let written = (0..500).filter(|_| limiter.decide(7) == Decision::Written).count();
+    assert_eq!(
+        (written, limiter.decide(8), limiter.decide(8)),
+        (100, Decision::WrittenAfter(400), Decision::Written)
+    );
 }
 
 /// Runs a client against a server with two client slots and one extra slot; returns the client's result.
