--- a/crates/coveroute-node/src/clock.rs
+++ b/crates/coveroute-node/src/clock.rs
@@ -15,26 +15,30 @@
 /// A process's clock and the machine's monotonic clock at the same moment, in seconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Reading {
-    shown: f64,
-    steady: f64,
+    /// The process's clock.
+    #[serde(rename = "shown")]
+    wall: f64,
+    /// The monotonic clock.
+    #[serde(rename = "steady")]
+    monotonic: f64,
 }
 
 /// The machine's monotonic clock, which all its processes share.
-fn steady() -> Option<f64> {
+fn monotonic_now() -> Option<f64> {
     clock_gettime(ClockId::CLOCK_MONOTONIC).ok().map(|time| Duration::from(time).as_secs_f64())
 }
 
 impl Clock {
     /// Continues another process's clock, so that times mean the same to both processes even if the system
     /// clock was stepped in between.
-    pub fn following(reading: Reading) -> Self {
+    pub fn continuing(reading: Reading) -> Self {
         let own = Clock::new();
-        let shown = steady().map(|steady| reading.shown + (steady - reading.steady));
-        Clock { at_start: shown.unwrap_or(own.at_start), ..own }
+        let wall = monotonic_now().map(|monotonic| reading.wall + (monotonic - reading.monotonic));
+        Clock { at_start: wall.unwrap_or(own.at_start), ..own }
     }
 
     pub fn reading(&self) -> Option<Reading> {
-        steady().map(|steady| Reading { shown: self.now(), steady })
+        monotonic_now().map(|monotonic| Reading { wall: self.now(), monotonic })
     }
 
     pub fn new() -> Self {
--- a/crates/coveroute-node/src/handover.rs
+++ b/crates/coveroute-node/src/handover.rs
@@ -27,7 +27,7 @@
 
     /// The clock of this process, which continues the predecessor's if that is known.
     pub fn clock(&self) -> Clock {
-        self.clock.map_or_else(Clock::new, Clock::following)
+        self.clock.map_or_else(Clock::new, Clock::continuing)
     }
 
     /// The engine's state. If it came from another discovery service than `discovery`, its list version is reset.
