--- a/crates/coveroute-node/src/departures.rs
+++ b/crates/coveroute-node/src/disconnect_tests.rs
@@ -20,10 +20,10 @@
 use message::read_message;
 
 use crate::clock::seconds;
-use crate::crossings::{disconnect, kernel_value, Disconnect, MAX_NOTICE_DELAY};
 use crate::event::DriverEvent;
+use crate::race_tests::{disconnect, kernel_value, Disconnect, MAX_NOTICE_DELAY};
 use crate::server::{self, ClientServer};
-use crate::tests::{block, changed, driver_by, followed};
+use crate::tests::{block, config_with, discovery_connected, driver_with_config};
 
 /// Free slots reported by an executor with room.
 const FREE_SLOTS: u32 = 8;
@@ -184,11 +184,11 @@
     let known: Vec<String> = executors.iter().enumerate().map(entry).collect();
     let known = format!("\"servers\": [{}]", known.join(","));
     let nowhere = [("\"servers\": []", &*known), ("127.0.0.1:8500", "127.0.0.1:1")];
-    let config = changed(&[&nowhere[..], pairs].concat());
+    let config = config_with(&[&nowhere[..], pairs].concat());
     let count = executors.len();
     block(async move {
-        let (mut driver, events, event_receiver, node_state) = driver_by(config);
-        driver.handle_event(followed());
+        let (mut driver, events, event_receiver, node_state) = driver_with_config(config);
+        driver.handle_event(discovery_connected());
         let server =
             Rc::new(ClientServer::new(crate::clock::Clock::new(), node_state, events.clone(), (600, 64)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/coveroute-node/src/watches.rs
+++ b/crates/coveroute-node/src/discovery_tests.rs
@@ -18,7 +18,7 @@
 use crate::client_connection::Client;
 use crate::clock::seconds;
 use crate::event::{DriverEvent, EventSender};
-use crate::tests::{block, changed, driver_by, job, NO_REPORTS, PUSHED};
+use crate::tests::{block, config_with, driver_with_config, job, NO_REPORTS, PUSHED};
 
 /// Seconds after which an undelivered change counts as known. A drain's grace period comes on top, and may be short.
 const KNOWN_AFTER: f64 = 6.0;
@@ -186,7 +186,7 @@
         pairs.push(("\"replicasOfMe\": 1", format!("\"replicasOfMe\": {nodes}")));
         pairs.extend(pushed.then(|| (PUSHED.0, PUSHED.1.to_owned())));
         let pairs: Vec<_> = pairs.iter().map(|(old, new)| (*old, new.as_str())).collect();
-        let (driver, tell, event_receiver, _) = driver_by(changed(&pairs));
+        let (driver, tell, event_receiver, _) = driver_with_config(config_with(&pairs));
         let sent = Rc::new(RefCell::default());
         let mut ports = ports.into_iter();
         for at in 0..2 {
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -255,7 +255,7 @@
 }
 
 // As many clients as a node of the example configuration accepts at once send jobs in a burst, and one of them
-// disconnects. Its departure is queued behind all the other events. Measures for how long; `departures.rs` checks
+// disconnects. Its departure is queued behind all the other events. Measures for how long; `disconnect_tests.rs` checks
 // what is sent meanwhile.
 #[test]
 fn a_burst_delays_the_event_of_a_disconnected_client() {
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -1,26 +1,26 @@
 //! The coveroute node: accepts invocations from clients and pushes them to executors. The library `coveroute` makes the
 //! decisions; this program carries them out.
 mod arrival;
-#[cfg(test)]
-mod at_size;
 mod attempt;
 mod callbacks;
 mod client_connection;
 mod clock;
 mod config;
 mod connection;
-#[cfg(test)]
-mod crossings;
-#[cfg(test)]
-mod departures;
 mod descriptors;
+#[cfg(test)]
+mod disconnect_tests;
 mod discovery;
+#[cfg(test)]
+mod discovery_tests;
 mod driver;
 mod event;
 mod executors;
 mod fleet;
 mod handover;
 mod hosts;
+#[cfg(test)]
+mod large_input_tests;
 mod link;
 mod listen;
 mod logger;
@@ -28,6 +28,8 @@
 mod peers;
 mod phase;
 mod probe;
+#[cfg(test)]
+mod race_tests;
 mod relay;
 mod replace;
 mod send;
@@ -38,8 +40,6 @@
 mod tests;
 mod transient;
 mod validation;
-#[cfg(test)]
-mod watches;
 mod wire;
 
 use std::future::Future;
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -98,7 +98,7 @@
 }
 
 /// Discovery responds, so the list that the driver knows from before its start is current.
-pub fn followed() -> DriverEvent {
+pub fn discovery_connected() -> DriverEvent {
     DriverEvent::Watch(UNASKED, Watched::Begun)
 }
 
@@ -107,13 +107,15 @@
     let entry =
         |(at, addr): (usize, &SocketAddr)| format!(r#"{{"id":"s-{at}","addr":"{addr}","state":"up"}}"#);
     let entries: Vec<String> = addrs.iter().enumerate().map(entry).collect();
-    let (mut driver, _, event_receiver, node_state) = driver_by(config(&entries.join(",")));
-    driver.handle_event(followed());
+    let (mut driver, _, event_receiver, node_state) = driver_with_config(config(&entries.join(",")));
+    driver.handle_event(discovery_connected());
     (driver, event_receiver, node_state)
 }
 
 /// A driver with this configuration, and both ends of its event channel.
-pub fn driver_by(config: Config) -> (Driver, EventSender, UnboundedReceiver<DriverEvent>, Rc<NodeState>) {
+pub fn driver_with_config(
+    config: Config,
+) -> (Driver, EventSender, UnboundedReceiver<DriverEvent>, Rc<NodeState>) {
     let (clock, node_state, (events, event_receiver)) =
         (Clock::new(), Rc::new(NodeState::new()), unbounded_channel());
     let executor_connections = ExecutorConnections::new(64, config.dial, config.idle);
@@ -129,8 +131,8 @@
 }
 
 /// The example configuration with these replacements, parsed.
-pub fn changed(pairs: &[(&str, &str)]) -> Config {
-    Config::parse(&changed_text(pairs), config::Environment::default()).expect("valid")
+pub fn config_with(pairs: &[(&str, &str)]) -> Config {
+    Config::parse(&config_text_with(pairs), config::Environment::default()).expect("valid")
 }
 
 fn executor_connections(addr: SocketAddr) -> ExecutorConnections {
@@ -674,9 +676,9 @@
     const DRAINING_LIST: &str = "{\n  \"version\": 2,\n  \"full\": true,\n  \"servers\": [\n    {\"id\": \"s\",\n\"addr\": \"127.0.0.1:1\", \"state\": \"draining\"}\n  ]\n}\n";
     let (addr, told) =
         discovery_service(vec![(vec![], false), (vec!["\n"], false), (vec![DRAINING_LIST], true)]);
-    let config = changed(&[PUSHED, ("127.0.0.1:8500", &addr.to_string())]);
+    let config = config_with(&[PUSHED, ("127.0.0.1:8500", &addr.to_string())]);
     let (phase, took) = block(async move {
-        let (driver, _, event_receiver, node_state) = driver_by(config);
+        let (driver, _, event_receiver, node_state) = driver_with_config(config);
         let driver = actix_rt::spawn(driver.run(event_receiver));
         let begun = Instant::now();
         while node_state.phase() != Phase::Serving && begun.elapsed() < seconds(5.0) {
@@ -775,7 +777,7 @@
 }
 
 /// The example configuration's text with these replacements.
-fn changed_text(pairs: &[(&str, &str)]) -> String {
+fn config_text_with(pairs: &[(&str, &str)]) -> String {
     pairs.iter().fold(CONFIG.to_owned(), |text, (old, new)| {
         assert!(text.contains(old), "{old}");
         text.replace(old, new)
@@ -804,8 +806,8 @@
 #[test_case(&[WITH_HINTS, ("\"seed\":", "\"peers\": [], \"seed\":")], "peers: 0 addresses for 1 nodes"; "too few addresses")]
 #[test_case(&[("\"me\": 0", "\"me\": 3")], "settings.me: 3"; "a node number out of range")]
 fn inconsistent_settings_are_rejected_by_key(pairs: &[(&str, &str)], words: &str) {
-    let told =
-        Config::parse(&changed_text(pairs), config::Environment::default()).expect_err("an inconsistency");
+    let told = Config::parse(&config_text_with(pairs), config::Environment::default())
+        .expect_err("an inconsistency");
     assert!(told.starts_with(words) && !told.contains('\n'), "{told}");
 }
 
@@ -814,7 +816,7 @@
 #[test_case(&[PUSHED, NO_REPORTS[0], NO_REPORTS[2]], (false, false, true, Sizes::Listed); "pushed, probes without reports")]
 #[test_case(&[PUSHED, WITH_HINTS, WITH_ADDRESSES], (false, true, true, Sizes::Never); "pushed, hints between nodes")]
 fn every_deployment_type_is_supported(pairs: &[(&str, &str)], expected: (bool, bool, bool, Sizes)) {
-    let config = Config::parse(&changed_text(pairs), config::Environment::default()).expect("valid");
+    let config = Config::parse(&config_text_with(pairs), config::Environment::default()).expect("valid");
     let set = &config.settings;
     assert_eq!((set.must_ask, set.peers, set.probing, set.sizes), expected);
     assert_eq!((config.pushed_by().is_some(), set.only_draining), (!set.must_ask, false));
@@ -838,11 +840,11 @@
     });
     let known = format!("\"servers\": [{{\"id\":\"s\",\"addr\":\"{addr}\",\"state\":\"up\"}}]");
     let config =
-        changed(&[pairs, &[("\"servers\": []", &known), ("127.0.0.1:8500", "127.0.0.1:1")]].concat());
+        config_with(&[pairs, &[("\"servers\": []", &known), ("127.0.0.1:8500", "127.0.0.1:1")]].concat());
     assert_eq!((config.settings.reports, config.settings.probing), expected);
     let sent = block(async move {
-        let (mut driver, events, event_receiver, _) = driver_by(config);
-        driver.handle_event(followed());
+        let (mut driver, events, event_receiver, _) = driver_with_config(config);
+        driver.handle_event(discovery_connected());
         let (answer, _answered) = tokio::sync::oneshot::channel();
         let _ = events.send(DriverEvent::Accepted(
             7,
@@ -865,14 +867,14 @@
 fn the_drain_rule_is_read_in_the_simulators_format() {
     let rule = ("\"overloadFactor\"", "\"onlyDrainingBinds\": true, \"overloadFactor\"");
     assert!(
-        Config::parse(&changed_text(&[rule]), config::Environment::default())
+        Config::parse(&config_text_with(&[rule]), config::Environment::default())
             .expect("valid")
             .settings
             .only_draining
     );
     let (at, odd) = (rule.0, "\"onlyDrainingBinds\": \"perhaps\", \"overloadFactor\"");
-    let told =
-        Config::parse(&changed_text(&[(at, odd)]), config::Environment::default()).expect_err("no such rule");
+    let told = Config::parse(&config_text_with(&[(at, odd)]), config::Environment::default())
+        .expect_err("no such rule");
     assert!(!told.contains('\n') && told.contains("perhaps"), "{told}");
 }
 
@@ -889,8 +891,10 @@
     rules: &str,
     expected: Result<Option<(f64, f64, f64)>, &str>,
 ) {
-    let told =
-        Config::parse(&changed_text(&[(RULE, &format!("{rules}{RULE}"))]), config::Environment::default());
+    let told = Config::parse(
+        &config_text_with(&[(RULE, &format!("{rules}{RULE}"))]),
+        config::Environment::default(),
+    );
     match (told, expected) {
         (Ok(config), Ok(budget)) => {
             assert_eq!(config.settings.budget.map(|b| (b.floor, b.share, b.span)), budget)
@@ -903,7 +907,7 @@
 #[test]
 fn late_shedding_and_ask_within_are_read() {
     let set = |rules: &str| {
-        let text = changed_text(&[(RULE, &format!("{rules}{RULE}"))]);
+        let text = config_text_with(&[(RULE, &format!("{rules}{RULE}"))]);
         Config::parse(&text, config::Environment::default()).expect("valid").settings
     };
     let (plain, late) = (set(""), set("\"lateShedding\": true, \"askWithin\": 5000, "));
@@ -916,9 +920,9 @@
 
 /// Sends a list to a node with this registry mode and discovery address; returns its answer and whether it then serves.
 fn pushed(mode: &str, discovery: &str, method: &'static str, list: &'static str) -> (String, bool) {
-    let config = changed(&[("on_request", mode), ("127.0.0.1:8500", discovery)]);
+    let config = config_with(&[("on_request", mode), ("127.0.0.1:8500", discovery)]);
     block(async move {
-        let (mut driver, events, mut event_receiver, node_state) = driver_by(config);
+        let (mut driver, events, mut event_receiver, node_state) = driver_with_config(config);
         let server = Rc::new(ClientServer::new(Clock::new(), node_state.clone(), events, (2, 1)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
@@ -954,11 +958,11 @@
 #[test_case(&[], [127, 0, 0, 1]; "the registry mode only changes at a restart")]
 fn a_reload_changes_only_the_host_that_may_push(pairs: &[(&str, &str)], expected: [u8; 4]) {
     block(async {
-        let (mut driver, _, _event_receiver, node_state) = driver_by(changed(&[PUSHED]));
+        let (mut driver, _, _event_receiver, node_state) = driver_with_config(config_with(&[PUSHED]));
         driver
             .handle_event(DriverEvent::Reload(Err("settings.weights: heavy is not one of ...".into()), None));
         assert_eq!(node_state.lists_from(), Some([127, 0, 0, 1].into()), "an invalid file");
-        driver.handle_event(DriverEvent::Reload(Ok(Box::new(changed(pairs))), None));
+        driver.handle_event(DriverEvent::Reload(Ok(Box::new(config_with(pairs))), None));
         assert_eq!((node_state.lists_from(), node_state.phase()), (Some(expected.into()), Phase::Starting));
     });
 }
@@ -1174,7 +1178,7 @@
     let text = if words.starts_with("settings: expected") {
         CONFIG.replace("5000.0", "NaN")
     } else {
-        changed_text(pairs)
+        config_text_with(pairs)
     };
     let told = Config::parse(&text, config::Environment::default()).expect_err("an error");
     let words = words.replace("settings: expected value", "expected value");
@@ -1189,14 +1193,14 @@
 #[test_case("\"seed\": \"8c1f30d27a5be964\",", ""; "a seed may be removed")]
 #[test_case("\"known\": { \"version\": 0, \"full\": true, \"servers\": [] },", ""; "the known list may be removed")]
 fn a_removed_key_is_detected(cut: &str, key: &str) {
-    let (whole, less) = (Keys::of(CONFIG), Keys::of(&changed_text(&[(cut, "")])));
+    let (whole, less) = (Keys::of(CONFIG), Keys::of(&config_text_with(&[(cut, "")])));
     assert_eq!(less.first_missing(&whole).unwrap_or(""), key);
     assert_eq!(whole.first_missing(&less), None, "additional keys are allowed");
 }
 
 #[test]
 fn a_key_removed_from_one_operation_is_detected() {
-    let both = changed_text(&[("\"effect\": \"free\",", "\"effect\": \"free\", \"window\": 1,")]);
+    let both = config_text_with(&[("\"effect\": \"free\",", "\"effect\": \"free\", \"window\": 1,")]);
     let both = both.replace("\"single_shot\",", "\"single_shot\", \"window\": 1,");
     let one = both.replacen(" \"window\": 1,", "", 1);
     assert_eq!(Keys::of(&one).first_missing(&Keys::of(&both)), Some("settings.categories.window"));
@@ -1211,14 +1215,15 @@
         let again = |text: &str| Config::parse_reload(text, config::Environment::default()).map(Box::new);
         let cut = |len: usize| CONFIG[..len].to_owned();
         let bad = ["".to_owned(), cut(CONFIG.len() / 2), cut(CONFIG.len() - 3)];
-        let lost = changed_text(&[("\"maxRetryAfter\": 2000.0", "\"other\": 1"), ("5000.0", "4000.0")]);
-        let me = changed_text(&[("\"me\": 0", "\"me\": 1"), ("\"replicasOfMe\": 1", "\"replicasOfMe\": 2")]);
+        let lost = config_text_with(&[("\"maxRetryAfter\": 2000.0", "\"other\": 1"), ("5000.0", "4000.0")]);
+        let me =
+            config_text_with(&[("\"me\": 0", "\"me\": 1"), ("\"replicasOfMe\": 1", "\"replicasOfMe\": 2")]);
         let rejected = bad.len() as u64 + 2;
         bad.iter()
             .chain([&lost, &me])
             .for_each(|text| driver.handle_event(DriverEvent::Reload(again(text), None)));
         assert_eq!(format!("{:?} {:?}", driver.settings(), node_state.max_pause()), before);
-        let new = changed_text(&[
+        let new = config_text_with(&[
             ("\"maxRetryAfter\": 2000.0", "\"maxRetryAfter\": 1500.0"),
             ("\"me\": 0", "\"me\":0"),
         ]);
