--- a/crates/coveroute-node/tests/crowds/deadline_propagation.rs
+++ b/crates/coveroute-node/tests/crowds/deadline_propagation.rs
@@ -252,9 +252,10 @@
     (TcpListener::from(socket), filling)
 }
 
-// The first attempt is rejected at once; the connection of the retry is established a second later.
+// One server rejects every attempt at once; the connections to the other are established only after its accept queue has been
+// emptied. First attempts and retries may meet either. Guards against a budget from before the connection was established.
 #[test]
-fn retry_budget_accounts_for_a_late_connection() {
+fn attempt_budgets_stay_within_the_clients_remaining_time_when_a_connection_is_late() {
     let checker: Arc<Checker> = Arc::default();
     let quick = Server::new("s-0", &checker, node_of, Arc::new(|_, _| Behaviour::Reject));
     let late = Server::new("s-1", &checker, node_of, Arc::new(|_, _| Behaviour::Accept(20)));
--- a/crates/coveroute-node/tests/crowds/harness.rs
+++ b/crates/coveroute-node/tests/crowds/harness.rs
@@ -398,7 +398,8 @@
     }
 
     pub fn signal(&self, signal: libc::c_int) {
-        // SAFETY: a child of this process that is not reaped while this value lives.
+        // SAFETY: `kill` accesses no memory of this process. Once `has_exited` or `wait_for_exit` has reaped the child, the
+        // id is free: the call then fails, or reaches another process that the kernel has given the id to since.
         let result = unsafe { libc::kill(self.id(), signal) };
         assert_eq!(result, 0, "{}", std::io::Error::last_os_error());
     }
