--- a/crates/coveroute-node/src/relay.rs
+++ b/crates/coveroute-node/src/answer.rs
@@ -1,4 +1,4 @@
-//! Relay: an invocation's final answer and its HTTP response to the client.
+//! Answer: an invocation's final answer and its HTTP response to the client.
 use actix_http::body::BoxBody;
 use actix_http::header::{HeaderValue, RETRY_AFTER};
 use actix_http::{Response, StatusCode};
@@ -16,7 +16,7 @@
     /// The job failed or may have run.
     Errored,
     /// The request is invalid and was not accepted.
-    Unfit(StatusCode, &'static str),
+    Invalid(StatusCode, &'static str),
 }
 
 impl From<engine::Answer> for Answer {
@@ -26,14 +26,14 @@
             engine::Answer::Throttled { pause } => Answer::Throttled { pause },
             engine::Answer::Errored => Answer::Errored,
             engine::Answer::Unfit(Unfit::Again) => {
-                Answer::Unfit(StatusCode::CONFLICT, "this call has come before")
+                Answer::Invalid(StatusCode::CONFLICT, "this call has come before")
             }
             engine::Answer::Unfit(Unfit::Operation) => {
-                Answer::Unfit(StatusCode::NOT_FOUND, "no such operation")
+                Answer::Invalid(StatusCode::NOT_FOUND, "no such operation")
             }
             engine::Answer::Unfit(Unfit::TurnedAway(status)) => {
                 let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
-                Answer::Unfit(status, "turned away by the executor")
+                Answer::Invalid(status, "turned away by the executor")
             }
         }
     }
@@ -60,7 +60,7 @@
             Answer::Succeeded(result) => (StatusCode::OK, result, 0.0),
             Answer::Throttled { pause } => (StatusCode::SERVICE_UNAVAILABLE, "try again\n".into(), pause),
             Answer::Errored => (StatusCode::INTERNAL_SERVER_ERROR, "failed\n".into(), 0.0),
-            Answer::Unfit(status, words) => (status, format!("{words}\n").into(), 0.0),
+            Answer::Invalid(status, words) => (status, format!("{words}\n").into(), 0.0),
         }
     }
 
--- a/crates/coveroute-node/src/client_connection.rs
+++ b/crates/coveroute-node/src/client_connection.rs
@@ -17,8 +17,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::{oneshot, Notify};
 
+use crate::answer::Answer;
 use crate::arrival::newest_byte_age;
-use crate::relay::Answer;
 use crate::socket::Socket;
 
 /// Where a connection stands in the request cycle.
--- a/crates/coveroute-node/src/discovery.rs
+++ b/crates/coveroute-node/src/discovery.rs
@@ -63,10 +63,10 @@
         let (client, events) = (self.client.clone(), self.events.clone());
         let uri = format!("http://{}{}?stream=1&index={version}", self.addr, wire::HOSTS);
         let watch = actix_rt::spawn(async move {
-            let tell = |watched| drop(events.send(DriverEvent::Watch(number, watched)));
-            let (why, loss) = watch(&client, &uri, tell).await;
+            let report = |watched| drop(events.send(DriverEvent::Watch(number, watched)));
+            let (why, loss) = watch(&client, &uri, report).await;
             info!("watch {number} ended: {why}");
-            tell(Watched::Lost(loss));
+            report(Watched::Lost(loss));
         });
         if let Some(old) = self.watch.replace(watch) {
             old.abort();
--- a/crates/coveroute-node/src/discovery_tests.rs
+++ b/crates/coveroute-node/src/discovery_tests.rs
@@ -124,10 +124,15 @@
 
 /// An executor that accepts each job, records the time, and completes it at once. It reports nothing else, draining or
 /// not.
-async fn work(listener: TcpListener, at: usize, sent: Rc<RefCell<Vec<(usize, Instant)>>>, tell: EventSender) {
+async fn work(
+    listener: TcpListener,
+    at: usize,
+    sent: Rc<RefCell<Vec<(usize, Instant)>>>,
+    events: EventSender,
+) {
     loop {
-        let (mut stream, sent, tell) =
-            (listener.accept().await.expect("a connection").0, sent.clone(), tell.clone());
+        let (mut stream, sent, events) =
+            (listener.accept().await.expect("a connection").0, sent.clone(), events.clone());
         actix_rt::spawn(async move {
             loop {
                 let head = head(&mut stream).await;
@@ -139,7 +144,7 @@
                 let word = Word::Succeeded(Bytes::new());
                 let (call, from) = (call.to_owned(), format!("s-{at}"));
                 let news = News { call, from, word, report: Report::default() };
-                let _ = tell.send(DriverEvent::News(news, Bytes::new(), None));
+                let _ = events.send(DriverEvent::News(news, Bytes::new(), None));
             }
         });
     }
@@ -186,11 +191,11 @@
         pairs.push(("\"replicasOfMe\": 1", format!("\"replicasOfMe\": {nodes}")));
         pairs.extend(pushed.then(|| (PUSHED.0, PUSHED.1.to_owned())));
         let pairs: Vec<_> = pairs.iter().map(|(old, new)| (*old, new.as_str())).collect();
-        let (driver, tell, event_receiver, _) = driver_with_config(config_with(&pairs));
+        let (driver, events, event_receiver, _) = driver_with_config(config_with(&pairs));
         let sent = Rc::new(RefCell::default());
         let mut ports = ports.into_iter();
         for at in 0..2 {
-            actix_rt::spawn(work(ports.next().expect("a port"), at, sent.clone(), tell.clone()));
+            actix_rt::spawn(work(ports.next().expect("a port"), at, sent.clone(), events.clone()));
         }
         actix_rt::spawn(service.clone().serve(ports.next().expect("a port")));
         actix_rt::spawn(driver.run(event_receiver));
@@ -207,7 +212,7 @@
             let mut job = job(&call, "look", 1.0, clock.now());
             job.headers.insert(HeaderName::from_static("x-call-id"), call.try_into().expect("a value"));
             let client = Client { answer, connection: None };
-            tell.send(DriverEvent::Accepted(id, Box::new(job), client)).expect("a driver");
+            events.send(DriverEvent::Accepted(id, Box::new(job), client)).expect("a driver");
         }
         let first = service.came.borrow()[0];
         let since = |at: &Instant| at.saturating_duration_since(first).as_secs_f64();
@@ -219,8 +224,7 @@
 
 // A watch falls silent, and an executor starts to drain right after. Each node requests the list again in its turn,
 // by `called` at the latest. Nothing is sent to the draining executor once the drain counts as known, and the other
-// one then gets all jobs. Guards against delays that add up: the silence, waiting for the turn and a failing request
-// (calm+brink).
+// one then gets all jobs. Guards against delays that add up: the silence, waiting for the turn and a failing request.
 #[test_case(&[FallsSilent, Followed], 0, 1, 2.8; "a single node")]
 #[test_case(&[FallsSilent, Followed], 2, 6, 4.5; "one of six")]
 #[test_case(&[FallsSilent, Followed], 299, 300, 4.5; "one of hundreds")]
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -26,13 +26,13 @@
 use crate::fleet::FleetMember;
 use crate::handover::{HandoverState, TransferredJob};
 use crate::link::{Link, LinkEvent, Side};
+use crate::node_state::NodeState;
 use crate::peers::Peers;
-use crate::phase::NodeState;
 use crate::probe::{give_up, probe};
 use crate::replace::{self, BoundSocket};
+use crate::request::Job;
 use crate::send;
 use crate::server::AdoptedConnection;
-use crate::take_in::Job;
 use crate::validation::Keys;
 
 /// Share of the load limit for cold executors that goes to the process that accepts connections, while two processes of
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 use super::*;
-use crate::relay::Answer;
+use crate::answer::Answer;
 use crate::tests::{attempt, block, config, driver, executor, job, soon};
 
 const ID: InvId = 7;
--- a/crates/coveroute-node/src/event.rs
+++ b/crates/coveroute-node/src/event.rs
@@ -12,7 +12,7 @@
 use crate::config::Config;
 use crate::handover::HandoverState;
 use crate::link::{Link, LinkEvent, Side};
-use crate::take_in::Job;
+use crate::request::Job;
 
 pub type EventSender = mpsc::UnboundedSender<DriverEvent>;
 
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -19,7 +19,7 @@
 
 use crate::clock::seconds;
 use crate::event::{DriverEvent, EventSender};
-use crate::phase::NodeState;
+use crate::node_state::NodeState;
 
 /// The most datagrams handled per second. A member that each of 1,000 others asks every 0.2 s has ten.
 const MAX_DATAGRAMS_PER_SECOND: u32 = 2000;
--- a/crates/coveroute-node/src/handover.rs
+++ b/crates/coveroute-node/src/handover.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::{Clock, Reading};
-use crate::take_in::Job;
+use crate::request::Job;
 
 /// The state that the successor starts with.
 #[derive(Debug, Deserialize, Serialize)]
--- a/crates/coveroute-node/src/large_input_tests.rs
+++ b/crates/coveroute-node/src/large_input_tests.rs
@@ -219,8 +219,8 @@
         assert_eq!((before.len(), before[77]), (TENANTS, 77.5));
         driver.handle_event(DriverEvent::Reload(again(&config_with_tenants(Some(77))), None));
         assert_eq!(driver.settings().quotas, before);
-        let (tell, mut told) = tokio::sync::oneshot::channel();
-        driver.handle_event(DriverEvent::FiguresRequested(tell));
+        let (reply, mut told) = tokio::sync::oneshot::channel();
+        driver.handle_event(DriverEvent::FiguresRequested(reply));
         let figures = told.try_recv().expect("figures");
         assert_eq!((figures.engine.applied, figures.engine.rejected), (1, 1));
     });
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -1,5 +1,6 @@
 //! The coveroute node: accepts invocations from clients and pushes them to executors. The library `coveroute` makes the
 //! decisions; this program carries them out.
+mod answer;
 mod arrival;
 mod attempt;
 mod callbacks;
@@ -25,17 +26,16 @@
 mod listen;
 mod logger;
 mod management;
+mod node_state;
 mod peers;
-mod phase;
 mod probe;
 #[cfg(test)]
 mod race_tests;
-mod relay;
 mod replace;
+mod request;
 mod send;
 mod server;
 mod socket;
-mod take_in;
 #[cfg(test)]
 mod tests;
 mod transient;
@@ -62,7 +62,7 @@
 use event::{DriverEvent, EventSender};
 use executors::ExecutorConnections;
 use fleet::FleetMember;
-use phase::NodeState;
+use node_state::NodeState;
 use server::ClientServer;
 
 const USAGE: &str = "\
--- a/crates/coveroute-node/src/management.rs
+++ b/crates/coveroute-node/src/management.rs
@@ -19,7 +19,7 @@
 use crate::attempt::AttemptFigures;
 use crate::event::{DriverEvent, EventSender, NodeFigures};
 use crate::fleet::{self, FleetMember};
-use crate::phase::NodeState;
+use crate::node_state::NodeState;
 use crate::socket::Socket;
 
 /// The unit name in log lines. It is not the name of this module, because filters of existing logs match it.
--- a/crates/coveroute-node/src/phase.rs
+++ b/crates/coveroute-node/src/node_state.rs
@@ -1,4 +1,4 @@
-//! Phase: the node state that all modules share: its lifecycle phase, which the driver copies from the
+//! Node state: what all modules share of it: the lifecycle phase, which the driver copies from the
 //! engine, and the requests in progress.
 use std::cell::Cell;
 use std::net::IpAddr;
--- a/crates/coveroute-node/src/probe.rs
+++ b/crates/coveroute-node/src/probe.rs
@@ -52,10 +52,10 @@
 /// forward has ended.
 pub async fn give_up(lease: Lease, call: Arc<str>, time_limit: Duration) {
     let uri = format!("http://{}{}/{call}", lease.addr(), wire::JOBS);
-    let tell = async {
+    let request = async {
         if let Ok(mut response) = lease.client().delete(uri).send().await {
             let _ = response.body().limit(wire::MAX_BODY_BYTES).await;
         }
     };
-    let _ = timeout(time_limit, tell).await;
+    let _ = timeout(time_limit, request).await;
 }
--- a/crates/coveroute-node/src/race_tests.rs
+++ b/crates/coveroute-node/src/race_tests.rs
@@ -15,7 +15,7 @@
 use crate::client_connection::{ClientConnection, ClientConnections, Stream};
 use crate::clock::{seconds, Clock};
 use crate::event::DriverEvent;
-use crate::phase::NodeState;
+use crate::node_state::NodeState;
 use crate::server::{self, ClientServer};
 use crate::tests::block;
 
--- a/crates/coveroute-node/src/take_in.rs
+++ b/crates/coveroute-node/src/request.rs
@@ -1,4 +1,4 @@
-//! Take in: turns a client's request into a job. The request is kept as received; only what decisions depend
+//! Request: turns a client's request into a job. The request is kept as received; only what decisions depend
 //! on is decoded.
 use actix_http::header::{HeaderMap, CONTENT_LENGTH};
 use actix_http::uri::PathAndQuery;
@@ -8,7 +8,7 @@
 use coveroute_engine::Call;
 use futures_util::StreamExt;
 
-use crate::relay::Answer;
+use crate::answer::Answer;
 use crate::wire;
 
 /// Maximum total size of a request's headers, in bytes; they are kept for as long as the job.
@@ -30,18 +30,18 @@
 
 /// Reads the whole request; `came` is when its head had arrived. A request with an invalid head is rejected
 /// before its body is read, so that clients can't make the node read large bodies that it can't use.
-pub async fn job(mut request: Request, came: f64) -> Result<Job, Answer> {
-    let unfit = |words| Answer::Unfit(StatusCode::BAD_REQUEST, words);
+pub async fn read_job(mut request: Request, came: f64) -> Result<Job, Answer> {
+    let invalid = |words| Answer::Invalid(StatusCode::BAD_REQUEST, words);
     if request.method() != Method::POST {
-        return Err(Answer::Unfit(StatusCode::METHOD_NOT_ALLOWED, "jobs come by POST"));
+        return Err(Answer::Invalid(StatusCode::METHOD_NOT_ALLOWED, "jobs come by POST"));
     }
     let size: usize = request.headers().iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
     if size > MAX_HEADER_BYTES {
-        return Err(Answer::Unfit(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "too many headers"));
+        return Err(Answer::Invalid(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "too many headers"));
     }
     let is_repeated = |name: &&str| request.headers().get_all(*name).nth(1).is_some();
     if SINGLE_VALUE.iter().any(is_repeated) {
-        return Err(unfit("a header that may come once came twice"));
+        return Err(invalid("a header that may come once came twice"));
     }
     let payload = request.take_payload();
     let (head, _) = request.into_parts();
@@ -52,18 +52,19 @@
         |name| headers.get(name).and_then(|value| std::str::from_utf8(value.as_bytes()).ok()).map(str::trim);
     let number = |name| text(name).and_then(|value| value.parse::<f64>().ok());
     let digits = |name| text(name).filter(|value| value.bytes().all(|b| b.is_ascii_digit()));
-    let call = text(wire::CALL_ID).filter(|call| is_valid_call_id(call)).ok_or(unfit("no fit X-Call-Id"))?;
+    let call =
+        text(wire::CALL_ID).filter(|call| is_valid_call_id(call)).ok_or(invalid("no fit X-Call-Id"))?;
     // A budget beyond 32 bits counts as missing: no client waits for that long, and executors reject it.
     let budget = digits(wire::BUDGET_MS).and_then(|ms| ms.parse::<u32>().ok()).filter(|ms| *ms > 0);
-    let budget = f64::from(budget.ok_or(unfit("no fit X-Budget-Ms"))?) / 1e3;
+    let budget = f64::from(budget.ok_or(invalid("no fit X-Budget-Ms"))?) / 1e3;
     let target = head.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
-    let class = class(target.path());
+    let class = operation(target.path());
     // Otherwise the node could treat a job as harmless to repeat that is a different operation to the
     // executor.
     if text(wire::CALL_CLASS).is_some_and(|told| told != class) {
-        return Err(unfit("X-Call-Class is not the first part of the path"));
+        return Err(invalid("X-Call-Class is not the first part of the path"));
     }
-    let body = body(payload, &headers, wire::MAX_BODY_BYTES).await?;
+    let body = read_body(payload, &headers, wire::MAX_BODY_BYTES).await?;
     let call = Call {
         call: call.into(),
         class: class.to_owned(),
@@ -79,14 +80,14 @@
 }
 
 /// The operation that a path names: its first segment.
-pub fn class(path: &str) -> &str {
+pub fn operation(path: &str) -> &str {
     path.split('/').nth(1).unwrap_or_default()
 }
 
 /// Reads a body of at most `most` bytes; one with a larger stated length is rejected unread. The time limit
 /// is enforced by the connection's sweep.
-pub async fn body(mut payload: Payload, headers: &HeaderMap, most: usize) -> Result<Bytes, Answer> {
-    let too_large = || Err(Answer::Unfit(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
+pub async fn read_body(mut payload: Payload, headers: &HeaderMap, most: usize) -> Result<Bytes, Answer> {
+    let too_large = || Err(Answer::Invalid(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
     let stated =
         headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.trim().parse::<usize>().ok());
     if stated > Some(most) {
@@ -94,7 +95,7 @@
     }
     let mut body = BytesMut::with_capacity(stated.unwrap_or(0));
     while let Some(chunk) = payload.next().await {
-        let chunk = chunk.map_err(|_| Answer::Unfit(StatusCode::BAD_REQUEST, BODY_INCOMPLETE))?;
+        let chunk = chunk.map_err(|_| Answer::Invalid(StatusCode::BAD_REQUEST, BODY_INCOMPLETE))?;
         if body.len() + chunk.len() > most {
             return too_large();
         }
--- a/crates/coveroute-node/src/send.rs
+++ b/crates/coveroute-node/src/send.rs
@@ -21,7 +21,7 @@
 use crate::attempt::{Attempt, Progress, Refusal};
 use crate::connection::is_local_connect_failure;
 use crate::executors::{AckTimeouts, Lease};
-use crate::take_in::Job;
+use crate::request::Job;
 use crate::wire;
 
 /// Time limit for reading the body of a response, which carries no information beyond its head. A connection
@@ -32,7 +32,7 @@
 /// established late, and a third time if the node is delayed just then.
 const MAX_BEGINS: usize = 3;
 
-/// Sends the job unchanged and reports the reply through `tell` as soon as it is known. If the executor does
+/// Sends the job unchanged and reports the reply through `on_reply` as soon as it is known. If the executor does
 /// not acknowledge the job in time, that is first reported, and later the connection is closed. This covers
 /// machines that vanish and jobs that get lost, neither of which causes an error.
 pub async fn forward(
@@ -40,31 +40,31 @@
     job: &Job,
     attempt: Rc<Attempt>,
     timeouts: AckTimeouts,
-    tell: impl Fn(Reply),
+    on_reply: impl Fn(Reply),
 ) {
-    let mut sent = pin!(exchange(&lease, job, &attempt, || tell(Reply::Written)));
+    let mut sent = pin!(exchange(&lease, job, &attempt, || on_reply(Reply::Written)));
     let mut response = timeout(timeouts.report_after, &mut sent).await;
     if response.is_err() {
-        tell(Reply::Unheard);
+        on_reply(Reply::Unheard);
         response = timeout(timeouts.give_up_after.saturating_sub(timeouts.report_after), sent).await;
     }
     match response {
-        Err(_) => tell(Reply::Ended(Outcome::TimedOut, Report::default())),
+        Err(_) => on_reply(Reply::Ended(Outcome::TimedOut, Report::default())),
         Ok(Err(SendError::Refused(Refusal::ClientDisconnected))) => {
             // Ends the task that serves the client, which reports the disconnect.
             attempt.client().iter().for_each(|client| client.close.notify_one());
         }
-        Ok(Err(SendError::Refused(_))) => tell(Reply::Ended(Outcome::Moot, Report::default())),
+        Ok(Err(SendError::Refused(_))) => on_reply(Reply::Ended(Outcome::Moot, Report::default())),
         Ok(Err(SendError::NoConnection(e))) => {
             attempt.note_no_connection(&e);
-            tell(Reply::Ended(Outcome::Moot, Report::default()));
+            on_reply(Reply::Ended(Outcome::Moot, Report::default()));
         }
         Ok(Err(SendError::Failed(e))) => {
             debug!("exchange with executor {} failed: {e}", lease.addr());
-            tell(Reply::Ended(failure_outcome(&e), Report::default()));
+            on_reply(Reply::Ended(failure_outcome(&e), Report::default()));
         }
         Ok(Ok(mut response)) => {
-            tell(reply(response.status(), response.headers()));
+            on_reply(reply(response.status(), response.headers()));
             let _ = timeout(DRAIN_TIMEOUT, response.body().limit(wire::MAX_BODY_BYTES)).await;
         }
     }
@@ -86,7 +86,7 @@
     lease: &Lease,
     job: &Job,
     attempt: &Rc<Attempt>,
-    tell_written: impl Fn(),
+    on_written: impl Fn(),
 ) -> Result<ClientResponse, SendError> {
     let uri = Uri::builder().scheme("http").authority(lease.addr().to_string());
     // Can't fail: both parts were parsed before.
@@ -96,8 +96,7 @@
         let mut request = lease.client().request(job.method.clone(), uri.clone());
         *request.headers_mut() = headers(&job.headers, left);
         let body = Body { bytes: job.body.clone(), attempt: attempt.clone() };
-        let sent =
-            attempt.run_exchange(report_written(request.send_body(body), attempt, &tell_written)).await;
+        let sent = attempt.run_exchange(report_written(request.send_body(body), attempt, &on_written)).await;
         match (sent, attempt.progress(), attempt.refusal()) {
             (Ok(response), ..) => return Ok(response),
             (Err(_), Progress::Waiting, Some(Refusal::BudgetOverstated)) => {}
@@ -144,17 +143,13 @@
     }
 }
 
-/// Runs the exchange and calls `tell_written` once when the request has been completely written.
-async fn report_written<T>(
-    exchange: impl Future<Output = T>,
-    attempt: &Attempt,
-    tell_written: impl Fn(),
-) -> T {
+/// Runs the exchange and calls `on_written` once when the request has been completely written.
+async fn report_written<T>(exchange: impl Future<Output = T>, attempt: &Attempt, on_written: impl Fn()) -> T {
     let (mut exchange, mut reported) = (pin!(exchange), false);
     poll_fn(|context| {
         let polled = exchange.as_mut().poll(context);
         if attempt.progress() == Progress::Written && !std::mem::replace(&mut reported, true) {
-            tell_written();
+            on_written();
         }
         polled
     })
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -21,6 +21,7 @@
 use tokio::io::{AsyncWriteExt, Interest};
 use tokio::sync::{mpsc, oneshot, Notify};
 
+use crate::answer::Answer;
 use crate::client_connection::{
     Client, ClientConnection, ClientConnections, ConnectionState, EvictionClass, Stream,
 };
@@ -28,10 +29,9 @@
 use crate::descriptors::Descriptors;
 use crate::event::{DriverEvent, EventSender};
 use crate::hosts::Hosts;
-use crate::phase::NodeState;
-use crate::relay::Answer;
+use crate::node_state::NodeState;
 use crate::socket::Socket;
-use crate::{callbacks, discovery, take_in, wire};
+use crate::{callbacks, discovery, request, wire};
 
 /// An idle connection is closed after this time, whether or not its place is needed.
 const MAX_IDLE: Duration = Duration::from_secs(120);
@@ -197,7 +197,7 @@
     /// sent to another node by closing. After an invalid request the connection is closed to free its place.
     pub fn keeps_open(&self, answer: &Answer) -> bool {
         match self.node_state.phase() {
-            _ if matches!(answer, Answer::Unfit(..)) => false,
+            _ if matches!(answer, Answer::Invalid(..)) => false,
             // The connection will be handed over to the successor process.
             _ if !self.node_state.accepts_connections() => true,
             Phase::Starting | Phase::Serving | Phase::Reloading => true,
@@ -219,20 +219,20 @@
             }
             (wire::UP, _) => Answer::Throttled { pause: 0.0 },
             (wire::NEWS, &Method::POST) => self.news(&mut request).await,
-            (wire::NEWS, _) => Answer::Unfit(StatusCode::METHOD_NOT_ALLOWED, "news come by POST"),
+            (wire::NEWS, _) => Answer::Invalid(StatusCode::METHOD_NOT_ALLOWED, "news come by POST"),
             (wire::HOSTS, _) => self.pushed_list(request).await,
             _ => {
-                let class = take_in::class(request.path()).to_owned();
-                match take_in::job(request, came).await {
+                let class = request::operation(request.path()).to_owned();
+                match request::read_job(request, came).await {
                     Ok(job) => {
                         connection.iter().for_each(|connection| connection.set_waiting());
                         return self.job(job, connection).await;
                     }
-                    Err(unfit) => {
-                        if !matches!(unfit, Answer::Unfit(_, take_in::BODY_INCOMPLETE)) {
+                    Err(invalid) => {
+                        if !matches!(invalid, Answer::Invalid(_, request::BODY_INCOMPLETE)) {
                             let _ = self.events.send(DriverEvent::Ended(class, Verdict::Errored));
                         }
-                        unfit
+                        invalid
                     }
                 }
             }
@@ -261,10 +261,10 @@
     async fn pushed_list(&self, mut request: Request) -> Answer {
         let peer = request.peer_addr().map(|peer| peer.ip());
         if peer.is_none() || peer != self.node_state.lists_from() {
-            return Answer::Unfit(StatusCode::FORBIDDEN, "the list is not taken from there");
+            return Answer::Invalid(StatusCode::FORBIDDEN, "the list is not taken from there");
         }
         if request.method() != Method::POST {
-            return Answer::Unfit(StatusCode::METHOD_NOT_ALLOWED, "lists come by POST");
+            return Answer::Invalid(StatusCode::METHOD_NOT_ALLOWED, "lists come by POST");
         }
         let list = |body: &Bytes| {
             let hosts = serde_json::from_slice::<Hosts>(body).map_err(|e| e.to_string())?;
@@ -283,9 +283,9 @@
         parse: impl Fn(&Bytes) -> Result<DriverEvent, String>,
     ) -> Answer {
         let payload = request.take_payload();
-        let body = match take_in::body(payload, &request.head().headers, most).await {
+        let body = match request::read_body(payload, &request.head().headers, most).await {
             Ok(body) => body,
-            Err(unfit) => return unfit,
+            Err(invalid) => return invalid,
         };
         match parse(&body) {
             Ok(event) => {
@@ -294,14 +294,14 @@
             }
             Err(e) => {
                 warn!("can't parse {what}: {e}");
-                Answer::Unfit(StatusCode::BAD_REQUEST, "can't be read")
+                Answer::Invalid(StatusCode::BAD_REQUEST, "can't be read")
             }
         }
     }
 
     async fn job(
         &self,
-        job: take_in::Job,
+        job: request::Job,
         connection: Option<&Rc<ClientConnection>>,
     ) -> (Answer, AfterResponse) {
         let _guard = self.node_state.request_guard();
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -17,6 +17,7 @@
 use test_case::test_case;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
+use crate::answer::Answer;
 use crate::attempt::{Attempt, AttemptFigures, Deadline};
 use crate::callbacks;
 use crate::client_connection::{Client, ClientConnection, ConnectionState, EvictionClass};
@@ -30,13 +31,12 @@
 use crate::hosts::Hosts;
 use crate::logger::{Decision, RateLimiter};
 use crate::management;
+use crate::node_state::NodeState;
 use crate::peers::Peers;
-use crate::phase::NodeState;
 use crate::probe::probe;
-use crate::relay::Answer;
+use crate::request::{self, Job};
 use crate::send;
 use crate::server::{self, ClientServer};
-use crate::take_in::{self, Job};
 use crate::validation::Keys;
 use crate::wire;
 
@@ -383,7 +383,7 @@
 #[test]
 fn a_job_keeps_its_bytes() {
     let headers = [ID, BUDGET, ("x-call-cost", "1500"), ("x-call-info", "slots=1, memory=0.5")];
-    let job = block(take_in::job(request(&headers, b"\xff\0"), 3.0)).expect("a job");
+    let job = block(request::read_job(request(&headers, b"\xff\0"), 3.0)).expect("a job");
     assert_eq!((job.target.as_str(), &job.body[..]), ("/look/a%20b?c=%2F", &b"\xff\0"[..]));
     assert_eq!((&*job.call.class, job.call.budget, job.call.came), ("look", 0.48, 3.0));
     assert_eq!((job.call.hint, job.call.memory), (Some(0.0015), Some(0.5)));
@@ -395,7 +395,7 @@
     let mut request = request(&[ID, BUDGET], b"");
     let name = HeaderValue::from_bytes("rederi-åbo".as_bytes()).expect("a value");
     request.headers_mut().insert(HeaderName::from_static(wire::CALLER), name);
-    let job = block(take_in::job(request, 0.0)).expect("a job");
+    let job = block(request::read_job(request, 0.0)).expect("a job");
     assert_eq!(job.call.caller.as_deref(), Some("rederi-åbo"));
 }
 
@@ -411,8 +411,8 @@
 #[test_case(&[ID, ID, BUDGET], 400; "two ids")]
 #[test_case(&[ID, BUDGET, ("x-call-class", "pay")], 400; "a path for another operation")]
 fn invalid_requests_are_rejected(headers: &[(&'static str, &'static str)], status: u16) {
-    let told = block(take_in::job(request(headers, b""), 0.0)).expect_err("an answer");
-    assert!(matches!(told, Answer::Unfit(s, _) if s.as_u16() == status), "{told:?}");
+    let told = block(request::read_job(request(headers, b""), 0.0)).expect_err("an answer");
+    assert!(matches!(told, Answer::Invalid(s, _) if s.as_u16() == status), "{told:?}");
 }
 
 #[test_case(wire::MAX_BODY_BYTES, true; "the maximum is accepted")]
@@ -420,10 +420,10 @@
 fn body_size_is_limited(size: usize, fits: bool) {
     let payload = TestRequest::default().set_payload(vec![0; size]).finish().into_parts().1;
     let mut headers = HeaderMap::new();
-    assert_eq!(block(take_in::body(payload, &headers, wire::MAX_BODY_BYTES)).is_ok(), fits);
+    assert_eq!(block(request::read_body(payload, &headers, wire::MAX_BODY_BYTES)).is_ok(), fits);
     // A body that is too large by its declared length is rejected before it arrives.
     headers.insert(CONTENT_LENGTH, HeaderValue::from(size));
-    assert_eq!(block(take_in::body(Payload::None, &headers, wire::MAX_BODY_BYTES)).is_ok(), fits);
+    assert_eq!(block(request::read_body(Payload::None, &headers, wire::MAX_BODY_BYTES)).is_ok(), fits);
 }
 
 const MS: Duration = Duration::from_millis(1);
@@ -512,7 +512,10 @@
     let throttled = [0.5, 0.0].map(|pause| Answer::Throttled { pause });
     let [later, at_once] = throttled.each_ref().map(|answer| server.keeps_open(answer));
     assert_eq!([server.keeps_open(&Answer::Succeeded("r".into())), later, at_once], kept);
-    assert!(!server.keeps_open(&Answer::Unfit(StatusCode::CONFLICT, "")), "closed after an invalid request");
+    assert!(
+        !server.keeps_open(&Answer::Invalid(StatusCode::CONFLICT, "")),
+        "closed after an invalid request"
+    );
 }
 
 const ODD_NEWS: &str = "POST /_jobs/news HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\n\r\n{";
@@ -973,7 +976,7 @@
     assert_eq!(Listing::from(hosts).hosts[0].size, 3.5);
     let told = |extra: &[(&'static str, &'static str)]| {
         let headers = [&[ID, BUDGET], extra].concat();
-        let job = block(take_in::job(request(&headers, b""), 0.0)).expect("valid");
+        let job = block(request::read_job(request(&headers, b""), 0.0)).expect("valid");
         (job.call.key, job.call.again)
     };
     let [one, same, another] =
@@ -1126,8 +1129,8 @@
                 AttemptFigures { written: 4, overstated: 1, longest_excess: 0.25, ..Default::default() };
             let figures = NodeFigures { engine, attempts };
             while let Some(event) = event_receiver.recv().await {
-                if let DriverEvent::FiguresRequested(tell) = event {
-                    let _ = tell.send(figures.clone());
+                if let DriverEvent::FiguresRequested(reply) = event {
+                    let _ = reply.send(figures.clone());
                 }
             }
         });
@@ -1228,8 +1231,8 @@
             ("\"me\": 0", "\"me\":0"),
         ]);
         driver.handle_event(DriverEvent::Reload(again(&new), None));
-        let (tell, mut told) = tokio::sync::oneshot::channel();
-        driver.handle_event(DriverEvent::FiguresRequested(tell));
+        let (reply, mut told) = tokio::sync::oneshot::channel();
+        driver.handle_event(DriverEvent::FiguresRequested(reply));
         let figures = told.try_recv().expect("figures");
         assert_eq!((figures.engine.applied, figures.engine.rejected), (1, rejected));
         assert_eq!((node_state.max_pause(), driver.settings().max_pause), (1.5, 1.5));
