--- a/crates/coveroute-node/src/attempt.rs
+++ b/crates/coveroute-node/src/attempt.rs
@@ -264,11 +264,11 @@
     fn completed(&self) {
         self.progress.set(Progress::Written);
         let now = Instant::now();
-        let (told, client_left) = (self.budget_told.get(), self.deadline.client_left(now));
+        let (stated, client_left) = (self.budget_told.get(), self.deadline.client_left(now));
         let took = now.saturating_duration_since(self.decided);
-        debug!("{self} written {took:.3?} after the decision: stated a budget of {told:.3?}, client had {client_left:.3?} left");
+        debug!("{self} written {took:.3?} after the decision: stated a budget of {stated:.3?}, client had {client_left:.3?} left");
         increment(&self.counts.written);
-        let excess = told.saturating_sub(client_left);
+        let excess = stated.saturating_sub(client_left);
         if !excess.is_zero() {
             warn!(
                 "{self} stated a budget {excess:.3?} larger than the client had left: the node was delayed"
--- a/crates/coveroute-node/src/client_connection.rs
+++ b/crates/coveroute-node/src/client_connection.rs
@@ -280,8 +280,8 @@
     pub fn unread(&self) -> usize {
         let mut count: libc::c_int = 0;
         // SAFETY: writes one integer; an invalid descriptor is reported as an error.
-        let told = unsafe { libc::ioctl(self.socket.get().unwrap_or(-1), libc::FIONREAD, &mut count) };
-        if told == 0 {
+        let result = unsafe { libc::ioctl(self.socket.get().unwrap_or(-1), libc::FIONREAD, &mut count) };
+        if result == 0 {
             count as usize
         } else {
             0
--- a/crates/coveroute-node/src/disconnect_tests.rs
+++ b/crates/coveroute-node/src/disconnect_tests.rs
@@ -28,7 +28,7 @@
 /// Free slots reported by an executor with room.
 const FREE_SLOTS: u32 = 8;
 /// Call ids of the client that disconnects and of the one that stays.
-const BOTH: [&str; 2] = ["leaver", "twin"];
+const CLIENT_CALLS: [&str; 2] = ["leaver", "twin"];
 
 /// A job as an executor received it.
 struct Attempt {
@@ -42,7 +42,7 @@
 
 /// What the fake executors do and what they have received. The path of a job says how its first attempt ends.
 #[derive(Default)]
-struct World {
+struct FakeExecutors {
     /// The free slots that each executor reports.
     free: [AtomicU32; 2],
     attempts: Mutex<Vec<Attempt>>,
@@ -50,7 +50,7 @@
     node: Mutex<Option<SocketAddr>>,
 }
 
-impl World {
+impl FakeExecutors {
     fn set_free(&self, free: [u32; 2]) {
         self.free.iter().zip(free).for_each(|(own, free)| own.store(free, Ordering::SeqCst));
     }
@@ -71,16 +71,16 @@
 
     /// Waits until `count` attempts of the call have arrived; false on a timeout.
     fn await_attempts(&self, call: &str, count: usize) -> bool {
-        until(|| self.attempts(call) >= count)
+        wait_until(|| self.attempts(call) >= count)
     }
 
     /// The response of executor `at` to the job that it has just read; `None` to close the connection.
     fn response(&self, at: usize, call: &str, path: &str) -> Option<String> {
         let first = self.attempts(call) == 1;
         let behavior = path.rsplit('/').next().filter(|_| first).unwrap_or("takes");
-        if matches!(behavior, "returned" | "fails" | "resets") && BOTH.contains(&call) {
+        if matches!(behavior, "returned" | "fails" | "resets") && CLIENT_CALLS.contains(&call) {
             // Once both first attempts have arrived, no executor has room for another one.
-            until(|| BOTH.iter().all(|call| self.attempts(call) > 0));
+            wait_until(|| CLIENT_CALLS.iter().all(|call| self.attempts(call) > 0));
             self.set_free([0, 0]);
         }
         if behavior == "returned" {
@@ -154,18 +154,18 @@
 }
 
 /// Waits for a condition; false on a timeout.
-fn until(what: impl Fn() -> bool) -> bool {
+fn wait_until(condition: impl Fn() -> bool) -> bool {
     let begun = Instant::now();
-    while !what() && begun.elapsed() < seconds(5.0) {
+    while !condition() && begun.elapsed() < seconds(5.0) {
         thread::sleep(Duration::from_millis(1));
     }
-    what()
+    condition()
 }
 
 /// The node as seen by its clients and the test.
 struct Node {
     addr: SocketAddr,
-    world: Arc<World>,
+    fake_executors: Arc<FakeExecutors>,
     /// Blocks the node's thread for the given time, then reports free slots on all executors to it.
     busy: UnboundedSender<Duration>,
 }
@@ -175,7 +175,7 @@
 fn with_node<T: Send + 'static>(
     pairs: &[(&str, &str)],
     executors: &[SocketAddr],
-    world: Arc<World>,
+    fake_executors: Arc<FakeExecutors>,
     test: impl FnOnce(Node) -> T + Send + 'static,
 ) -> T {
     let entry = |(at, addr): (usize, &SocketAddr)| {
@@ -183,8 +183,8 @@
     };
     let known: Vec<String> = executors.iter().enumerate().map(entry).collect();
     let known = format!("\"servers\": [{}]", known.join(","));
-    let nowhere = [("\"servers\": []", &*known), ("127.0.0.1:8500", "127.0.0.1:1")];
-    let config = config_with(&[&nowhere[..], pairs].concat());
+    let replacements = [("\"servers\": []", &*known), ("127.0.0.1:8500", "127.0.0.1:1")];
+    let config = config_with(&[&replacements[..], pairs].concat());
     let count = executors.len();
     block(async move {
         let (mut driver, events, event_receiver, node_state) = driver_with_config(config);
@@ -195,7 +195,7 @@
         let addr = listener.local_addr().expect("an address");
         actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
         let driver = actix_rt::spawn(driver.run(event_receiver));
-        *world.node.lock().expect("a node") = Some(addr);
+        *fake_executors.node.lock().expect("a node") = Some(addr);
         let (busy, mut blocks) = unbounded_channel();
         actix_rt::spawn(async move {
             while let Some(time) = blocks.recv().await {
@@ -206,7 +206,7 @@
                     .for_each(|tgt| drop(events.send(DriverEvent::Probed(tgt, Outcome::Succeeded, report))));
             }
         });
-        let node = Node { addr, world, busy };
+        let node = Node { addr, fake_executors, busy };
         let result = actix_rt::task::spawn_blocking(move || test(node)).await.expect("a test");
         driver.abort();
         result
@@ -214,21 +214,22 @@
 }
 
 /// Starts two fake executors.
-fn executors() -> (Arc<World>, Vec<SocketAddr>) {
-    let world = Arc::new(World::default());
+fn executors() -> (Arc<FakeExecutors>, Vec<SocketAddr>) {
+    let fake_executors = Arc::new(FakeExecutors::default());
     let executor = |at: usize| {
-        let (listener, world) = (TcpListener::bind("127.0.0.1:0").expect("a port"), world.clone());
+        let (listener, fake_executors) =
+            (TcpListener::bind("127.0.0.1:0").expect("a port"), fake_executors.clone());
         let addr = listener.local_addr().expect("an address");
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let world = world.clone();
-                thread::spawn(move || world.serve(at, stream));
+                let fake_executors = fake_executors.clone();
+                thread::spawn(move || fake_executors.serve(at, stream));
             }
         });
         addr
     };
     let addrs = (0..2).map(executor).collect();
-    (world, addrs)
+    (fake_executors, addrs)
 }
 
 fn request(call: &str, behavior: &str) -> String {
@@ -247,14 +248,14 @@
 
     /// Lets both executors serve several jobs at a time, so that the node keeps open connections to them.
     fn warm_up(&self) {
-        self.world.set_free([FREE_SLOTS; 2]);
+        self.fake_executors.set_free([FREE_SLOTS; 2]);
         for round in 0.. {
             let streams: Vec<_> =
                 (0..8).map(|at| self.send_request(&format!("warm{round}-{at}"), "done")).collect();
             for stream in streams {
                 assert!(read_message(&mut BufReader::new(stream)).is_some(), "an answer");
             }
-            let received = self.world.attempts.lock().expect("attempts");
+            let received = self.fake_executors.attempts.lock().expect("attempts");
             if (0..2).all(|at| received.iter().filter(|attempt| attempt.at == at).count() > 2) {
                 return;
             }
@@ -277,7 +278,7 @@
 
 /// Longer time limits, for a busy machine: everything that is waited for here normally happens within a
 /// second or two.
-const PATIENT: [(&str, &str); 2] = [
+const LONG_TIME_LIMITS: [(&str, &str); 2] = [
     ("\"onTime\": 1000.0, \"deadline\": 5000.0", "\"onTime\": 6000.0, \"deadline\": 9000.0"),
     ("\"dialTimeout\": 250.0", "\"dialTimeout\": 1000.0"),
 ];
@@ -304,37 +305,40 @@
 #[test_case(WaitsFor::Copy, (0, 0), Disconnect::Close; "before a copy")]
 #[test_case(WaitsFor::Copy, (40, 30), Disconnect::HalfClose; "before a copy, behind requests")]
 fn no_attempt_begins_for_a_disconnected_client(waits: WaitsFor, extra: Extra, how: Disconnect) {
-    let (world, addrs) = executors();
+    let (fake_executors, addrs) = executors();
     const COPIES: (&str, &str) = ("\"maxAttempts\": 4", "\"maxAttempts\": 4, \"secondCopies\": true");
     const STARTS: (&str, &str) = (
         "\"registryMode\"",
         "\"familyInfo\": { \"progress\": 1000.0, \"tellsStart\": true }, \"registryMode\"",
     );
-    const COPIED: [(&str, &str); 4] = [PATIENT[0], PATIENT[1], COPIES, STARTS];
+    const COPIED: [(&str, &str); 4] = [LONG_TIME_LIMITS[0], LONG_TIME_LIMITS[1], COPIES, STARTS];
     let (behavior, pairs, free) = match waits {
-        WaitsFor::Room => ("takes", &PATIENT[..], [0, 0]),
-        WaitsFor::RoomAfter(behavior) => (behavior, &PATIENT[..], [FREE_SLOTS, 0]),
-        WaitsFor::AckTimeout => ("silent", &PATIENT[..], [FREE_SLOTS; 2]),
+        WaitsFor::Room => ("takes", &LONG_TIME_LIMITS[..], [0, 0]),
+        WaitsFor::RoomAfter(behavior) => (behavior, &LONG_TIME_LIMITS[..], [FREE_SLOTS, 0]),
+        WaitsFor::AckTimeout => ("silent", &LONG_TIME_LIMITS[..], [FREE_SLOTS; 2]),
         WaitsFor::Copy => ("takes", &COPIED[..], [FREE_SLOTS; 2]),
     };
     let before = usize::from(waits != WaitsFor::Room);
-    with_node(pairs, &addrs, world, move |node| {
-        let world = node.world.clone();
+    with_node(pairs, &addrs, fake_executors, move |node| {
+        let fake_executors = node.fake_executors.clone();
         node.warm_up();
-        world.set_free(free);
+        fake_executors.set_free(free);
         // By then the node no longer relies on earlier reports of free slots.
         thread::sleep(seconds(0.3));
-        let [leaver, twin] = BOTH.map(|call| node.send_request(call, behavior));
-        assert!(BOTH.iter().all(|call| world.await_attempts(call, before)), "the first attempts arrive");
+        let [leaver, twin] = CLIENT_CALLS.map(|call| node.send_request(call, behavior));
+        assert!(
+            CLIENT_CALLS.iter().all(|call| fake_executors.await_attempts(call, before)),
+            "the first attempts arrive"
+        );
         thread::sleep(seconds(0.05));
         send_extra(&leaver, extra);
         disconnect_async(leaver, how);
         thread::sleep(seconds(MAX_NOTICE_DELAY));
-        assert_eq!(BOTH.map(|call| world.attempts(call)), [before; 2], "both requests wait");
-        world.set_free([FREE_SLOTS; 2]);
-        assert!(world.await_attempts("twin", before + 1), "the connected client's request goes on");
+        assert_eq!(CLIENT_CALLS.map(|call| fake_executors.attempts(call)), [before; 2], "both requests wait");
+        fake_executors.set_free([FREE_SLOTS; 2]);
+        assert!(fake_executors.await_attempts("twin", before + 1), "the connected client's request goes on");
         thread::sleep(seconds(0.15));
-        assert_eq!(world.attempts("leaver"), before, "attempts for the disconnected client");
+        assert_eq!(fake_executors.attempts("leaver"), before, "attempts for the disconnected client");
         drop(twin);
     });
 }
@@ -347,7 +351,7 @@
     let requests: String = (0..ahead).map(|at| request(&format!("ahead{at}"), "takes")).collect();
     let _ = socket.write_all(requests.as_bytes());
     let _ = socket.write_all("X".repeat(junk).as_bytes());
-    assert!(until(|| kernel_value(stream, libc::TIOCOUTQ) == 0), "everything arrives");
+    assert!(wait_until(|| kernel_value(stream, libc::TIOCOUTQ) == 0), "everything arrives");
 }
 
 /// Disconnects; a half-closed connection is kept open for a while in another thread.
@@ -372,11 +376,11 @@
 #[test_case((0, 0), Disconnect::Reset; "it resets")]
 #[test_case((0, 30_000), Disconnect::Close; "behind bytes")]
 fn a_close_counts_before_the_node_has_processed_it(extra: Extra, how: Disconnect) {
-    let (world, addrs) = executors();
-    with_node(&PATIENT, &addrs, world, move |node| {
+    let (fake_executors, addrs) = executors();
+    with_node(&LONG_TIME_LIMITS, &addrs, fake_executors, move |node| {
         node.warm_up();
-        let world = node.world.clone();
-        world.set_free([0; 2]);
+        let fake_executors = node.fake_executors.clone();
+        fake_executors.set_free([0; 2]);
         thread::sleep(seconds(0.15));
         let (leaver, twin) = (node.send_request("leaver", "takes"), node.send_request("twin", "takes"));
         thread::sleep(seconds(0.05));
@@ -384,9 +388,9 @@
         thread::sleep(seconds(0.1));
         send_extra(&leaver, extra);
         disconnect_async(leaver, how);
-        assert!(world.await_attempts("twin", 1), "the connected client's request goes on");
+        assert!(fake_executors.await_attempts("twin", 1), "the connected client's request goes on");
         thread::sleep(seconds(0.1));
-        assert_eq!(world.attempts("leaver"), 0, "attempts for the disconnected client");
+        assert_eq!(fake_executors.attempts("leaver"), 0, "attempts for the disconnected client");
         drop(twin);
     });
 }
@@ -407,7 +411,7 @@
     let pairs =
         [("\"probing\": true", "\"probing\": false"), ("\"dialTimeout\": 250.0", "\"dialTimeout\": 8000.0")];
     with_node(&pairs, &[addr], Arc::default(), move |node| {
-        let world = node.world.clone();
+        let fake_executors = node.fake_executors.clone();
         let client = node.send_request("leaver", "takes");
         thread::sleep(seconds(0.2));
         let stays = if has_disconnected {
@@ -418,18 +422,20 @@
         };
         thread::sleep(seconds(MAX_NOTICE_DELAY));
         drop(filling);
-        let serving = world.clone();
+        let serving = fake_executors.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let world = serving.clone();
-                thread::spawn(move || world.serve(0, stream));
+                let fake_executors = serving.clone();
+                thread::spawn(move || fake_executors.serve(0, stream));
             }
         });
         match stays {
-            Some(_) => assert!(world.await_attempts("leaver", attempts), "the connection is established"),
+            Some(_) => {
+                assert!(fake_executors.await_attempts("leaver", attempts), "the connection is established")
+            }
             None => thread::sleep(seconds(2.0)),
         }
-        assert_eq!(world.attempts("leaver"), attempts);
+        assert_eq!(fake_executors.attempts("leaver"), attempts);
     });
 }
 
@@ -439,8 +445,8 @@
 #[test_case(1, Disconnect::HalfClose; "in its body, half-closed")]
 #[test_case(1, Disconnect::Reset; "in its body, by a reset")]
 fn an_incomplete_request_is_not_attempted(missing: usize, how: Disconnect) {
-    let (world, addrs) = executors();
-    with_node(&[], &addrs, world, move |node| {
+    let (fake_executors, addrs) = executors();
+    with_node(&[], &addrs, fake_executors, move |node| {
         node.warm_up();
         let mut leaver = TcpStream::connect(node.addr).expect("a node");
         let text = request("leaver", "takes");
@@ -448,9 +454,9 @@
         thread::sleep(seconds(0.05));
         disconnect_async(leaver, how);
         let _twin = node.send_request("twin", "takes");
-        assert!(node.world.await_attempts("twin", 1), "the connected client is served");
+        assert!(node.fake_executors.await_attempts("twin", 1), "the connected client is served");
         thread::sleep(seconds(0.05));
-        assert_eq!(node.world.attempts("leaver"), 0, "attempts for the disconnected client");
+        assert_eq!(node.fake_executors.attempts("leaver"), 0, "attempts for the disconnected client");
     });
 }
 
@@ -495,58 +501,66 @@
     // seconds.
     const ATTEMPTS: usize = 60;
     const LONGEST: f64 = 10.0;
-    let (world, addrs) = executors();
-    let (late, attempted, executor_delay) = with_node(&PATIENT, &addrs, world.clone(), move |node| {
-        node.warm_up();
-        let (node, over, begun) = (Arc::new(node), Arc::new(AtomicBool::new(false)), Instant::now());
-        let executor_delay = executor_delay(over.clone());
-        let (mine, done) = (node.clone(), over.clone());
-        let disturbances = thread::spawn(move || {
-            let mut chance = Chance::new(1);
-            while !done.load(Ordering::SeqCst) {
-                mine.world
-                    .set_free([0, 0].map(|_: u32| if chance.draw() < 0.85 { 12 * FREE_SLOTS } else { 0 }));
-                if chance.draw() < 0.1 {
-                    let _ = mine.busy.send(seconds(0.15 * chance.draw()));
+    let (fake_executors, addrs) = executors();
+    let (late, attempted, executor_delay) =
+        with_node(&LONG_TIME_LIMITS, &addrs, fake_executors.clone(), move |node| {
+            node.warm_up();
+            let (node, over, begun) = (Arc::new(node), Arc::new(AtomicBool::new(false)), Instant::now());
+            let executor_delay = executor_delay(over.clone());
+            let (mine, done) = (node.clone(), over.clone());
+            let disturbances = thread::spawn(move || {
+                let mut chance = Chance::new(1);
+                while !done.load(Ordering::SeqCst) {
+                    mine.fake_executors.set_free([0, 0].map(|_: u32| {
+                        if chance.draw() < 0.85 {
+                            12 * FREE_SLOTS
+                        } else {
+                            0
+                        }
+                    }));
+                    if chance.draw() < 0.1 {
+                        let _ = mine.busy.send(seconds(0.15 * chance.draw()));
+                    }
+                    thread::sleep(seconds(0.02 + 0.1 * chance.draw()));
                 }
-                thread::sleep(seconds(0.02 + 0.1 * chance.draw()));
-            }
+            });
+            let client = |number: usize| {
+                let node = node.clone();
+                thread::spawn(move || {
+                    let mut chance = Chance::new(2 + number as u64);
+                    let mut any = |many: usize| (chance.draw() * many as f64) as usize;
+                    let one = |at: usize| {
+                        let call = format!("c{number}-{at}");
+                        let stream = node.send_request(&call, BEHAVIORS.get(any(18)).unwrap_or(&"takes"));
+                        thread::sleep(Duration::from_millis(any(250) as u64));
+                        send_extra(&stream, EXTRAS[any(EXTRAS.len())]);
+                        disconnect_async(stream, WAYS[any(WAYS.len())]);
+                        (call, Instant::now())
+                    };
+                    let needs_more = || {
+                        node.fake_executors.client_attempts() < ATTEMPTS && begun.elapsed() < seconds(LONGEST)
+                    };
+                    (0..).take_while(|at| *at < EACH || needs_more()).map(one).collect::<Vec<_>>()
+                })
+            };
+            let clients: Vec<_> = (0..CLIENTS).map(client).collect();
+            let left: Vec<_> =
+                clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
+            thread::sleep(seconds(0.5));
+            over.store(true, Ordering::SeqCst);
+            disturbances.join().expect("the disturbances");
+            let received = node.fake_executors.attempts.lock().expect("attempts");
+            let after = |(call, left): &(String, Instant)| {
+                let own = received.iter().filter(|attempt| attempt.call == *call);
+                let late = |at: Instant| at.saturating_duration_since(*left);
+                own.map(|attempt| (late(attempt.ended), late(attempt.begun))).max().unwrap_or_default()
+            };
+            let late: Vec<_> = left.iter().map(after).collect();
+            let before =
+                left.iter().filter(|(call, _)| received.iter().any(|attempt| attempt.call == *call)).count();
+            assert!(before >= ATTEMPTS / 4 && before < left.len(), "calls with an attempt: {before}");
+            (late, before, executor_delay.join().expect("a figure"))
         });
-        let client = |number: usize| {
-            let node = node.clone();
-            thread::spawn(move || {
-                let mut chance = Chance::new(2 + number as u64);
-                let mut any = |many: usize| (chance.draw() * many as f64) as usize;
-                let one = |at: usize| {
-                    let call = format!("c{number}-{at}");
-                    let stream = node.send_request(&call, BEHAVIORS.get(any(18)).unwrap_or(&"takes"));
-                    thread::sleep(Duration::from_millis(any(250) as u64));
-                    send_extra(&stream, EXTRAS[any(EXTRAS.len())]);
-                    disconnect_async(stream, WAYS[any(WAYS.len())]);
-                    (call, Instant::now())
-                };
-                let needs_more =
-                    || node.world.client_attempts() < ATTEMPTS && begun.elapsed() < seconds(LONGEST);
-                (0..).take_while(|at| *at < EACH || needs_more()).map(one).collect::<Vec<_>>()
-            })
-        };
-        let clients: Vec<_> = (0..CLIENTS).map(client).collect();
-        let left: Vec<_> = clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
-        thread::sleep(seconds(0.5));
-        over.store(true, Ordering::SeqCst);
-        disturbances.join().expect("the disturbances");
-        let received = node.world.attempts.lock().expect("attempts");
-        let after = |(call, left): &(String, Instant)| {
-            let own = received.iter().filter(|attempt| attempt.call == *call);
-            let late = |at: Instant| at.saturating_duration_since(*left);
-            own.map(|attempt| (late(attempt.ended), late(attempt.begun))).max().unwrap_or_default()
-        };
-        let late: Vec<_> = left.iter().map(after).collect();
-        let before =
-            left.iter().filter(|(call, _)| received.iter().any(|attempt| attempt.call == *call)).count();
-        assert!(before >= ATTEMPTS / 4 && before < left.len(), "calls with an attempt: {before}");
-        (late, before, executor_delay.join().expect("a figure"))
-    });
     let mut last: Vec<Duration> = late.iter().map(|late| late.0).collect();
     last.sort();
     let (count, after) = (last.len(), last.iter().filter(|last| !last.is_zero()).count());
--- a/crates/coveroute-node/src/discovery_tests.rs
+++ b/crates/coveroute-node/src/discovery_tests.rs
@@ -47,7 +47,7 @@
 /// starts to drain once the first request has been answered, or hangs.
 struct Service {
     script: &'static [Call],
-    came: RefCell<Vec<Instant>>,
+    requested_at: RefCell<Vec<Instant>>,
     drains: Cell<bool>,
     workers: [SocketAddr; 2],
 }
@@ -56,8 +56,8 @@
     async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             let stream = listener.accept().await.expect("a call").0;
-            let call = self.script[self.came.borrow().len().min(self.script.len() - 1)];
-            self.came.borrow_mut().push(Instant::now());
+            let call = self.script[self.requested_at.borrow().len().min(self.script.len() - 1)];
+            self.requested_at.borrow_mut().push(Instant::now());
             actix_rt::spawn(self.clone().answer(stream, call));
         }
     }
@@ -80,9 +80,9 @@
             }
             Followed => {
                 let _ = stream.write_all((begins.to_owned() + &chunk(&self.list(drains))).as_bytes()).await;
-                let mut beat = interval(seconds(1.0));
+                let mut ticks = interval(seconds(1.0));
                 while stream.write_all(chunk("\n").as_bytes()).await.is_ok() {
-                    beat.tick().await;
+                    ticks.tick().await;
                 }
             }
             FallsSilent | Closes => {
@@ -124,7 +124,7 @@
 
 /// An executor that accepts each job, records the time, and completes it at once. It reports nothing else, draining or
 /// not.
-async fn work(
+async fn run_executor(
     listener: TcpListener,
     at: usize,
     sent: Rc<RefCell<Vec<(usize, Instant)>>>,
@@ -181,8 +181,8 @@
             ports.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
         }
         let addrs: Vec<_> = ports.iter().map(|port| port.local_addr().expect("an address")).collect();
-        let (came, drains) = (RefCell::default(), Cell::default());
-        let service = Rc::new(Service { script, came, drains, workers: [addrs[0], addrs[1]] });
+        let (requested_at, drains) = (RefCell::default(), Cell::default());
+        let service = Rc::new(Service { script, requested_at, drains, workers: [addrs[0], addrs[1]] });
         let known = format!("\"servers\": [{},{}]", service.entry(0, "up"), service.entry(1, "up"));
         let mut pairs = NO_REPORTS.map(|(old, new)| (old, new.to_owned())).to_vec();
         pairs.push(("\"servers\": []", known));
@@ -195,16 +195,18 @@
         let sent = Rc::new(RefCell::default());
         let mut ports = ports.into_iter();
         for at in 0..2 {
-            actix_rt::spawn(work(ports.next().expect("a port"), at, sent.clone(), events.clone()));
+            actix_rt::spawn(run_executor(ports.next().expect("a port"), at, sent.clone(), events.clone()));
         }
         actix_rt::spawn(service.clone().serve(ports.next().expect("a port")));
         actix_rt::spawn(driver.run(event_receiver));
-        let (mut beat, mut id, mut answers) = (interval(seconds(0.025)), 0, Vec::new());
+        let (mut ticks, mut id, mut answers) = (interval(seconds(0.025)), 0, Vec::new());
         let (clock, begun) = (crate::clock::Clock::new(), Instant::now());
-        let over = |came: &[Instant]| came.first().is_some_and(|first| first.elapsed() > seconds(duration));
-        while !over(&service.came.borrow()) {
+        let over = |requested_at: &[Instant]| {
+            requested_at.first().is_some_and(|first| first.elapsed() > seconds(duration))
+        };
+        while !over(&service.requested_at.borrow()) {
             assert!(begun.elapsed() < seconds(2.0 * duration), "the node never requests the list");
-            beat.tick().await;
+            ticks.tick().await;
             id += 1;
             let (answer, answered) = oneshot::channel();
             answers.push(answered);
@@ -214,9 +216,9 @@
             let client = Client { answer, connection: None };
             events.send(DriverEvent::Accepted(id, Box::new(job), client)).expect("a driver");
         }
-        let first = service.came.borrow()[0];
+        let first = service.requested_at.borrow()[0];
         let since = |at: &Instant| at.saturating_duration_since(first).as_secs_f64();
-        let calls = service.came.borrow().iter().map(since).collect();
+        let calls = service.requested_at.borrow().iter().map(since).collect();
         let sent = sent.borrow().iter().map(|(at, when)| (*at, since(when))).collect();
         Observed { calls, sent }
     })
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -515,9 +515,9 @@
     ) {
         let others: Vec<Rc<Link>> = self.predecessor.iter().chain(&self.successor).cloned().collect();
         let others: Vec<_> = others.into_iter().filter(|link| Some(link.side) != from).collect();
-        let own = self.engine.knows(&news.call);
-        if own || others.is_empty() {
-            ack.map(|ack| ack.send(own || from.is_none()));
+        let known_here = self.engine.knows(&news.call);
+        if known_here || others.is_empty() {
+            ack.map(|ack| ack.send(known_here || from.is_none()));
             return self.dispatch(Event::News(news));
         }
         let events = self.events.clone();
