--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -12,7 +12,9 @@
 use actix_http::{Method, Payload, StatusCode};
 use actix_rt::time::{sleep, timeout};
 use coveroute::types::{Outcome, Report, Reports, Sizes, Standing, Told};
-use coveroute_engine::{Call, Figures, ListFigures, Listing, Phase, Reply, Tally, Watched, Word, UNASKED};
+use coveroute_engine::{
+    Call, Figures, ListFigures, Listing, Memory, Phase, Reply, Tally, Watched, Word, UNASKED,
+};
 use coveroute_fleet::Plan;
 use test_case::test_case;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
@@ -28,7 +30,9 @@
 use crate::event::{DriverEvent, EventSender, NodeFigures};
 use crate::executors::{AckTimeouts, ExecutorConnections};
 use crate::fleet::{FleetMember, Membership};
+use crate::handover::HandoverState;
 use crate::hosts::Hosts;
+use crate::link::Message;
 use crate::logger::{Decision, RateLimiter};
 use crate::management;
 use crate::node_state::NodeState;
@@ -468,6 +472,27 @@
     assert!(took < seconds(2.9) && taken == 0, "closed after {took:?}, {taken} taken");
 }
 
+// The two processes of a replacement may be of different releases, which must agree on these names.
+#[test]
+fn link_messages_keep_their_serialized_names() {
+    let clock = Clock::new().reading();
+    let state = HandoverState::of(([127, 0, 0, 1], 1).into(), Memory::default(), clock);
+    let text = |message: &Message| serde_json::to_value(message).expect("JSON");
+    assert_eq!(text(&Message::Hello(1)), serde_json::json!({"Hello": 1}));
+    assert_eq!(text(&Message::Serving), "Serves");
+    assert_eq!(text(&Message::Stopped), "Stopped");
+    assert_eq!(text(&Message::IdleConnection), "Guest");
+    assert_eq!(text(&Message::ExecutorReport(1, "b".into())), serde_json::json!({"News": [1, "b"]}));
+    assert_eq!(text(&Message::ReportReply(1, true)), serde_json::json!({"Heard": [1, true]}));
+    let state = text(&Message::State(Box::new(state), 2));
+    let keys = |value: &serde_json::Value| -> Vec<String> {
+        value.as_object().expect("an object").keys().cloned().collect()
+    };
+    assert_eq!((keys(&state), &state["Handed"][1]), (vec!["Handed".to_owned()], &2.into()));
+    assert_eq!(keys(&state["Handed"][0]), ["clock", "discovery", "memory"]);
+    assert_eq!(keys(&state["Handed"][0]["clock"]), ["shown", "steady"]);
+}
+
 #[test]
 fn log_lines_are_rate_limited() {
     let mut limiter = RateLimiter { second: 7, lines: 0 };
