--- a/crates/coveroute-node/src/attempt.rs
+++ b/crates/coveroute-node/src/attempt.rs
@@ -12,8 +12,8 @@
 use coveroute_engine::ANSWER_TAKES;
 use log::{debug, warn};
 
+use crate::client_connection::ClientConnection;
 use crate::clock::seconds;
-use crate::guest::Guest;
 use crate::socket::Socket;
 
 mod counts;
@@ -35,7 +35,7 @@
 }
 
 impl Deadline {
-    pub fn at(answer_by: Instant, write_until: Instant) -> Self {
+    pub fn new(answer_by: Instant, write_until: Instant) -> Self {
         Deadline { answer_by, write_until }
     }
 
@@ -100,7 +100,7 @@
     /// When the attempt was decided on.
     decided: Instant,
     deadline: Deadline,
-    client: Option<Rc<Guest>>,
+    client: Option<Rc<ClientConnection>>,
     counts: Rc<AttemptCounts>,
     /// The time budget stated in the request.
     budget_told: Cell<Duration>,
@@ -125,7 +125,7 @@
     pub fn new(
         (id, number): (InvId, usize),
         deadline: Deadline,
-        client: Option<Rc<Guest>>,
+        client: Option<Rc<ClientConnection>>,
         counts: Rc<AttemptCounts>,
     ) -> Self {
         Attempt {
@@ -154,7 +154,7 @@
         CURRENT.scope(self.clone(), exchange).await
     }
 
-    pub fn client(&self) -> Option<&Rc<Guest>> {
+    pub fn client(&self) -> Option<&Rc<ClientConnection>> {
         self.client.as_ref()
     }
 
@@ -222,8 +222,8 @@
 
     /// Records that this machine failed to open a connection for the attempt.
     pub fn note_no_connection(&self, why: &dyn fmt::Display) {
-        debug!("{self} not begun: {why}");
-        self.counts.no_connection();
+        debug!("{self} not started: {why}");
+        self.counts.count_no_connection();
     }
 
     /// Why the attempt was refused since it last began, if it was.
@@ -264,11 +264,11 @@
     fn completed(&self) {
         self.progress.set(Progress::Written);
         let now = Instant::now();
-        let (told, client_left) = (self.budget_told.get(), self.deadline.client_left(now));
+        let (stated, client_left) = (self.budget_told.get(), self.deadline.client_left(now));
         let took = now.saturating_duration_since(self.decided);
-        debug!("{self} written {took:.3?} after the decision: stated a budget of {told:.3?}, client had {client_left:.3?} left");
+        debug!("{self} written {took:.3?} after the decision: stated a budget of {stated:.3?}, client had {client_left:.3?} left");
         increment(&self.counts.written);
-        let excess = told.saturating_sub(client_left);
+        let excess = stated.saturating_sub(client_left);
         if !excess.is_zero() {
             warn!(
                 "{self} stated a budget {excess:.3?} larger than the client had left: the node was delayed"
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -17,22 +17,22 @@
 
 use crate::attempt::{Attempt, AttemptCounts, Deadline, Progress};
 use crate::callbacks;
+use crate::client_connection::{Client, ClientConnection, ClientConnections, Handover};
 use crate::clock::{seconds, Clock};
 use crate::config::Config;
 use crate::discovery::Discovery;
-use crate::executors::Links;
-use crate::fleet::Carrier;
-use crate::guest::{Client, Guest, Guests, Leaves};
-use crate::handed::{Handed, TransferredJob};
-use crate::happening::{Happening, Happenings, NodeFigures};
-use crate::link::{Link, Said, Side};
+use crate::event::{DriverEvent, EventSender, NodeFigures};
+use crate::executors::ExecutorConnections;
+use crate::fleet::FleetMember;
+use crate::handover::{HandoverState, TransferredJob};
+use crate::link::{Link, LinkEvent, Side};
+use crate::node_state::NodeState;
 use crate::peers::Peers;
-use crate::phase::Life;
 use crate::probe::{give_up, probe};
 use crate::replace::{self, BoundSocket};
+use crate::request::Job;
 use crate::send;
-use crate::server::Comes;
-use crate::take_in::Job;
+use crate::server::AdoptedConnection;
 use crate::validation::Keys;
 
 /// Share of the load limit for cold executors that goes to the process that accepts connections, while two processes of
@@ -93,13 +93,13 @@
     /// For hints from other nodes, where nodes exchange them.
     pub datagrams: Option<UdpSocket>,
     /// This node's fleet membership, where the deployment has a fleet.
-    pub carrier: Option<Rc<Carrier>>,
+    pub fleet_member: Option<Rc<FleetMember>>,
     /// The link to the predecessor process, and the state that it handed over.
-    pub predecessor: Option<(Rc<Link>, Handed)>,
+    pub predecessor: Option<(Rc<Link>, HandoverState)>,
     pub successor_socket: Option<SuccessorSocket>,
     /// The clients' connections, and the queue for connections that the predecessor hands over.
-    pub guests: Guests,
-    pub adopted: Option<mpsc::UnboundedSender<Comes>>,
+    pub connections: ClientConnections,
+    pub adopted: Option<mpsc::UnboundedSender<AdoptedConnection>>,
 }
 
 /// The Unix socket at which successors connect, and the sockets that are passed to them.
@@ -111,8 +111,8 @@
 pub struct Driver {
     clock: Clock,
     engine: Engine,
-    life: Rc<Life>,
-    links: Links,
+    node_state: Rc<NodeState>,
+    executor_connections: ExecutorConnections,
     discovery: Discovery,
     jobs: HashMap<InvId, PendingJob>,
     /// The task of each forward. Aborting one before its answer closes the connection.
@@ -122,18 +122,18 @@
     applied: AppliedConfig,
     /// Hints to and from other nodes, where enabled.
     peers: Option<Peers>,
-    carrier: Option<Rc<Carrier>>,
+    fleet_member: Option<Rc<FleetMember>>,
     /// The other processes of this node: the one that this process replaces, and the one that replaces it.
     predecessor: Option<Rc<Link>>,
     successor: Option<Rc<Link>>,
     /// The socket for successors, until it is bound and once it is.
     successor_socket: Option<SuccessorSocket>,
     bound_socket: Option<BoundSocket>,
-    guests: Guests,
-    adopted: Option<mpsc::UnboundedSender<Comes>>,
+    connections: ClientConnections,
+    adopted: Option<mpsc::UnboundedSender<AdoptedConnection>>,
     /// Whether the predecessor was told that this process serves.
     announced: bool,
-    happenings: Happenings,
+    events: EventSender,
     /// Reused buffer for the actions of the next event.
     actions: Vec<Action>,
 }
@@ -142,50 +142,51 @@
     pub fn new(
         config: Config,
         clock: Clock,
-        life: Rc<Life>,
-        links: Links,
+        node_state: Rc<NodeState>,
+        executor_connections: ExecutorConnections,
         endpoints: Endpoints,
-        happenings: Happenings,
+        events: EventSender,
     ) -> Result<Self, String> {
-        let Endpoints { datagrams, carrier, predecessor, successor_socket, guests, adopted } = endpoints;
-        life.take_lists_from(config.pushed_by());
-        life.take_max_pause(config.settings.max_pause);
+        let Endpoints { datagrams, fleet_member, predecessor, successor_socket, connections, adopted } =
+            endpoints;
+        node_state.set_lists_from(config.pushed_by());
+        node_state.set_max_pause(config.settings.max_pause);
         let applied = AppliedConfig::of(&config);
         let Config { settings, names, seed, timeouts, known, discovery, peers, .. } = config;
         let listen = |socket: UdpSocket| {
-            Peers::new(settings.me, peers.unwrap_or_default(), socket, happenings.clone(), carrier.clone())
+            Peers::new(settings.me, peers.unwrap_or_default(), socket, events.clone(), fleet_member.clone())
                 .map_err(|e| format!("peer socket: {e}"))
         };
         let peers = datagrams.map(listen).transpose()?;
-        let (predecessor, handed) = predecessor.unzip();
-        let memory = handed.map(|handed| handed.memory(discovery));
+        let (predecessor, handover_state) = predecessor.unzip();
+        let memory = handover_state.map(|state| state.memory(discovery));
         let reports = settings.reports != Reports::Never;
         let setup = Setup { settings, names, seed, timeouts, known, memory };
         let mut actions = Vec::new();
         let mut driver = Driver {
             clock,
             engine: Engine::new(clock.now(), setup, &mut actions),
-            life,
-            links,
-            discovery: Discovery::new(discovery, happenings.clone()),
+            node_state,
+            executor_connections,
+            discovery: Discovery::new(discovery, events.clone()),
             jobs: HashMap::new(),
             forwards: HashMap::new(),
             attempts: Rc::default(),
             reports,
             applied,
             peers,
-            carrier,
+            fleet_member,
             predecessor,
             successor: None,
             successor_socket,
-            guests,
+            connections,
             adopted,
             bound_socket: None,
             announced: false,
-            happenings,
+            events,
             actions,
         };
-        driver.life.follow(driver.predecessor.is_some());
+        driver.node_state.set_predecessor_accepting(driver.predecessor.is_some());
         driver.split_limits();
         driver.execute_actions();
         if driver.predecessor.is_none() {
@@ -196,16 +197,16 @@
     }
 
     /// Runs until the node has reached its final phase.
-    pub async fn run(mut self, mut happenings: mpsc::UnboundedReceiver<Happening>) {
-        while self.life.phase() != Phase::Ended {
+    pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<DriverEvent>) {
+        while self.node_state.phase() != Phase::Ended {
             let next_poll = Instant::now() + seconds(CLOSING_POLL_INTERVAL);
-            let handing_over = !self.life.takes();
-            let closing = (self.life.phase() == Phase::Closing || handing_over).then_some(next_poll);
+            let handing_over = !self.node_state.accepts_connections();
+            let closing = (self.node_state.phase() == Phase::Closing || handing_over).then_some(next_poll);
             let due = self.engine.next_due().map(|due| self.clock.instant(due));
             let next = due.into_iter().chain(closing).min();
             tokio::select! {
                 biased;
-                happening = happenings.recv() => happening.into_iter().for_each(|what| self.happened(what)),
+                event = events.recv() => event.into_iter().for_each(|event| self.handle_event(event)),
                 () = tokio::time::sleep_until(next.unwrap_or(next_poll).into()) => {}
             }
             self.advance();
@@ -213,8 +214,8 @@
                 self.hand_over();
             }
             // A connection stays busy until its answer has been written.
-            let busy = || self.guests.borrow().values().any(|guest| guest.is_busy());
-            if closing.is_some() && self.life.idle() && !busy() {
+            let busy = || self.connections.borrow().values().any(|connection| connection.is_busy());
+            if closing.is_some() && self.node_state.idle() && !busy() {
                 self.dispatch(Event::Idle);
             }
         }
@@ -235,57 +236,62 @@
         self.execute_actions();
     }
 
-    pub fn happened(&mut self, happening: Happening) {
-        match happening {
-            Happening::Taken(id, job, client) => {
-                self.carrier.iter().for_each(|carrier| carrier.record_invocation(job.call.caller.as_deref()));
+    pub fn handle_event(&mut self, event: DriverEvent) {
+        match event {
+            DriverEvent::Accepted(id, job, client) => {
+                self.fleet_member
+                    .iter()
+                    .for_each(|fleet_member| fleet_member.record_invocation(job.call.caller.as_deref()));
                 let job: Rc<Job> = job.into();
                 self.jobs.insert(id, PendingJob { job: job.clone(), client });
                 self.dispatch(Event::Taken(id, &job.call));
             }
-            Happening::Left(id) => {
+            DriverEvent::Disconnected(id) => {
                 self.jobs.remove(&id);
                 self.dispatch(Event::Left(id));
             }
-            Happening::Replied(id, forward, reply) => {
+            DriverEvent::Replied(id, forward, reply) => {
                 if !matches!(reply, Reply::Unheard | Reply::Written) {
                     self.forwards.remove(&(id, forward));
                 }
                 self.dispatch(Event::Replied(id, forward, reply));
             }
-            Happening::News(news, body, ack) => self.handle_news(news, body, ack, None),
-            Happening::Returned(news, ack, settled) => {
+            DriverEvent::News(news, body, ack) => self.handle_news(news, body, ack, None),
+            DriverEvent::ReportRelayed(news, ack, settled) => {
                 let settled = settled || self.engine.knows(&news.call);
                 self.dispatch(Event::News(news));
                 ack.map(|ack| ack.send(settled));
             }
-            Happening::Handing(reply) => {
-                let _ = reply.send(Handed::of(
+            DriverEvent::HandoverRequested(reply) => {
+                let _ = reply.send(HandoverState::of(
                     self.applied.discovery,
                     self.engine.memory(),
                     self.clock.reading(),
                 ));
             }
-            Happening::Linked(link) => self.successor_connected(link),
-            Happening::Said(side, number, said) => self.handle_link_message(side, number, said),
-            Happening::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
-            Happening::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
-            Happening::Heard { from, told, mark, count } => {
+            DriverEvent::SuccessorConnected(link) => self.successor_connected(link),
+            DriverEvent::LinkMessage(side, number, event) => self.handle_link_message(side, number, event),
+            DriverEvent::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
+            DriverEvent::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
+            DriverEvent::Heard { from, told, mark, count } => {
                 self.dispatch(Event::Heard { from, told, mark, count });
             }
-            Happening::Reload(Ok(config), plan) => self.reload(&config, plan),
-            Happening::Reload(Err(reason), _) => self.reject_reload(&reason),
-            Happening::Ended(operation, verdict) => self.dispatch(Event::Ended(&operation, verdict)),
-            Happening::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
-            Happening::Asked(reply) => {
+            DriverEvent::Reload(Ok(config), plan) => self.reload(&config, plan),
+            DriverEvent::Reload(Err(reason), _) => self.reject_reload(&reason),
+            DriverEvent::Ended(operation, verdict) => self.dispatch(Event::Ended(&operation, verdict)),
+            DriverEvent::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
+            DriverEvent::FiguresRequested(reply) => {
                 let (engine, attempts) = (self.engine.figures(self.clock.now()), self.attempts.figures());
                 let _ = reply.send(NodeFigures { engine, attempts });
             }
-            Happening::Stop => {
+            DriverEvent::Stop => {
                 // Before the stop gives back jobs or closes connections.
                 self.hand_over();
                 // A successor continues as the same fleet member, so the fleet is told of a departure only without one.
-                self.carrier.iter().filter(|_| self.successor.is_none()).for_each(|carrier| carrier.leave());
+                self.fleet_member
+                    .iter()
+                    .filter(|_| self.successor.is_none())
+                    .for_each(|fleet_member| fleet_member.leave());
                 self.dispatch(Event::Stop);
             }
         }
@@ -302,12 +308,12 @@
             return self.reject_reload("the node is stopping");
         }
         let new = AppliedConfig::of(config);
-        let pushed = (self.life.lists_from().is_some(), config.pushed_by().is_some());
+        let pushed = (self.node_state.lists_from().is_some(), config.pushed_by().is_some());
         if let Some(why) = self.applied.reject_reason(&new, pushed) {
             return self.reject_reload(&why);
         }
-        if let Some((carrier, plan)) = self.carrier.as_ref().zip(plan) {
-            if let Err(why) = carrier.reread(plan, config.shares()) {
+        if let Some((fleet_member, plan)) = self.fleet_member.as_ref().zip(plan) {
+            if let Err(why) = fleet_member.reread(plan, config.shares()) {
                 return self.reject_reload(&format!("fleet file: {why}"));
             }
         }
@@ -320,9 +326,9 @@
             self.discovery.set_addr(new.discovery);
         }
         self.applied = AppliedConfig { fixed: self.applied.fixed, ..new };
-        self.life.take_lists_from(config.pushed_by());
-        self.life.take_max_pause(config.settings.max_pause);
-        self.links.retune(config.dial, config.idle);
+        self.node_state.set_lists_from(config.pushed_by());
+        self.node_state.set_max_pause(config.settings.max_pause);
+        self.executor_connections.set_timeouts(config.dial, config.idle);
         self.reports = config.settings.reports != Reports::Never;
         self.dispatch(Event::Reread { tuning: Some(Box::new(config.tuning())), moved });
     }
@@ -341,8 +347,9 @@
                 break;
             }
         }
-        self.life.set(self.engine.phase());
-        if let Some(predecessor) = self.predecessor.as_ref().filter(|_| self.life.is_up() && !self.announced)
+        self.node_state.set_phase(self.engine.phase());
+        if let Some(predecessor) =
+            self.predecessor.as_ref().filter(|_| self.node_state.is_up() && !self.announced)
         {
             predecessor.send_serving();
             self.announced = true;
@@ -354,9 +361,9 @@
     /// connections gets most of the latter.
     fn split_limits(&mut self) {
         let paired = self.predecessor.is_some() || self.successor.is_some();
-        self.life.pair(paired);
-        self.links.share(paired);
-        let part = match (paired, self.life.takes()) {
+        self.node_state.set_paired(paired);
+        self.executor_connections.set_paired(paired);
+        let part = match (paired, self.node_state.accepts_connections()) {
             (false, _) => 1.0,
             (true, true) => COLD_SHARE,
             (true, false) => 1.0 - COLD_SHARE,
@@ -366,7 +373,7 @@
 
     fn listen_for_successors(&mut self) {
         if let Some(SuccessorSocket { path, sockets }) = self.successor_socket.take() {
-            self.bound_socket = replace::listen_for_successors(&path, sockets, self.happenings.clone());
+            self.bound_socket = replace::listen_for_successors(&path, sockets, self.events.clone());
         }
     }
 
@@ -379,7 +386,7 @@
 
     /// Sets whether this process accepts connections and receives other nodes' messages.
     fn set_accepting(&mut self, accepting: bool) {
-        self.life.take_connections(accepting);
+        self.node_state.set_accepts_connections(accepting);
         self.receive_peer_messages(accepting);
         self.split_limits();
     }
@@ -389,50 +396,54 @@
         self.peers.iter_mut().for_each(|peers| peers.set_receiving(enabled));
     }
 
-    fn handle_link_message(&mut self, side: Side, number: u64, said: Said) {
+    fn handle_link_message(&mut self, side: Side, number: u64, event: LinkEvent) {
         let link = match side {
             Side::Predecessor => &mut self.predecessor,
             Side::Successor => &mut self.successor,
         };
         let Some(own) = link.as_ref().filter(|link| link.number == number).cloned() else { return };
-        match (side, said) {
-            (Side::Successor, Said::Serves) => {
+        match (side, event) {
+            (Side::Successor, LinkEvent::Serving) => {
                 info!("the successor process serves: this process accepts no more connections");
                 self.set_accepting(false);
                 own.send_stopped();
                 self.hand_over();
             }
-            (Side::Predecessor, Said::Stopped) => self.takeover_complete(),
-            (Side::Predecessor, Said::Guest(socket)) => {
-                self.adopt_connection(socket, Comes::Idle);
+            (Side::Predecessor, LinkEvent::Stopped) => self.takeover_complete(),
+            (Side::Predecessor, LinkEvent::IdleConnection(socket)) => {
+                self.adopt_connection(socket, AdoptedConnection::Idle);
             }
-            (Side::Predecessor, Said::Job(job, socket)) => self.adopt_job(*job, socket),
-            (Side::Successor, Said::Guest(_) | Said::Job(..)) => {
+            (Side::Predecessor, LinkEvent::Job(job, socket)) => self.adopt_job(*job, socket),
+            (Side::Successor, LinkEvent::IdleConnection(_) | LinkEvent::Job(..)) => {
                 warn!("unexpected handover of a connection from the successor")
             }
-            (side, Said::News(body, ack)) => match callbacks::parse(&body) {
+            (side, LinkEvent::ExecutorReport(body, ack)) => match callbacks::parse(&body) {
                 Ok(news) => self.handle_news(news, body, Some(ack), Some(side)),
                 Err(e) => warn!("invalid executor report on the process link: {e}"),
             },
-            (Side::Predecessor, Said::Ended) => {
+            (Side::Predecessor, LinkEvent::Ended) => {
                 self.predecessor = None;
                 self.receive_peer_messages(true);
                 self.takeover_complete();
                 self.split_limits();
             }
-            (Side::Successor, Said::Ended) => {
+            (Side::Successor, LinkEvent::Ended) => {
                 // If the successor dies, this process resumes serving.
                 self.successor = None;
                 self.set_accepting(true);
             }
-            (Side::Predecessor, Said::Serves) | (Side::Successor, Said::Stopped) => {
+            (Side::Predecessor, LinkEvent::Serving) | (Side::Successor, LinkEvent::Stopped) => {
                 warn!("unexpected message on the process link")
             }
         }
     }
 
     /// Passes a connection from the predecessor to the server; returns whether the server took it.
-    fn adopt_connection(&mut self, socket: OwnedFd, wrap: impl FnOnce(TcpStream) -> Comes) -> bool {
+    fn adopt_connection(
+        &mut self,
+        socket: OwnedFd,
+        wrap: impl FnOnce(TcpStream) -> AdoptedConnection,
+    ) -> bool {
         let stream = TcpStream::from_std(std::net::TcpStream::from(socket));
         match (stream, &self.adopted) {
             (Ok(stream), Some(adopted)) => return adopted.send(wrap(stream)).is_ok(),
@@ -443,49 +454,52 @@
     }
 
     /// Continues a job that the predecessor handed over.
-    fn adopt_job(&mut self, handed: TransferredJob, socket: OwnedFd) {
-        let job = handed.job().filter(|_| handed.parcel.is_sound());
+    fn adopt_job(&mut self, transferred: TransferredJob, socket: OwnedFd) {
+        let job = transferred.job().filter(|_| transferred.parcel.is_sound());
         let Some(job) = job else { return error!("invalid job handed over by the predecessor") };
-        let (id, (answer, answered)) = (self.life.next_id(), oneshot::channel());
+        let (id, (answer, answered)) = (self.node_state.next_id(), oneshot::channel());
         // The client may have disconnected during the handover, so the socket is checked before anything is sent.
-        let guest = Rc::new(Guest::new(socket.as_raw_fd()));
-        let client = Client { answer, guest: Some(guest.clone()) };
+        let connection = Rc::new(ClientConnection::new(socket.as_raw_fd()));
+        let client = Client { answer, connection: Some(connection.clone()) };
         self.jobs.insert(id, PendingJob { job: Rc::new(job), client });
-        let mine = guest.clone();
-        if !self.adopt_connection(socket, |stream| Comes::Waiting(stream, mine, id, answered)) {
-            guest.closed();
+        let mine = connection.clone();
+        if !self.adopt_connection(socket, |stream| AdoptedConnection::Waiting(stream, mine, id, answered)) {
+            connection.set_closed();
         }
-        self.engine.take_in(self.clock.now(), id, handed.parcel, &mut self.actions);
+        self.engine.take_in(self.clock.now(), id, transferred.parcel, &mut self.actions);
         self.execute_actions();
     }
 
     /// Hands over to the successor what can be moved now: idle connections, and jobs with their clients' connections.
     /// After a stop request this process exits once nothing is left.
     fn hand_over(&mut self) {
-        let Some(successor) = self.successor.clone().filter(|_| !self.life.takes()) else { return };
-        let guests: Vec<_> = self.guests.borrow().values().cloned().collect();
-        for guest in &guests {
-            let Some(leaves) = guest.leaves() else { continue };
-            let Ok(socket) = guest.socket() else { continue };
+        let Some(successor) = self.successor.clone().filter(|_| !self.node_state.accepts_connections())
+        else {
+            return;
+        };
+        let connections: Vec<_> = self.connections.borrow().values().cloned().collect();
+        for connection in &connections {
+            let Some(leaves) = connection.handover() else { continue };
+            let Ok(socket) = connection.socket() else { continue };
             match leaves {
-                Leaves::Idle => successor.send_connection(socket),
-                Leaves::Waiting(id) => {
+                Handover::Idle => successor.send_connection(socket),
+                Handover::Waiting(id) => {
                     let Some(job) = self.jobs.get(&id).map(|pending| pending.job.clone()) else { continue };
                     let Some(parcel) = self.engine.part_with(id) else { continue };
                     self.jobs.remove(&id);
                     successor.send_job(TransferredJob::of(parcel, &job), socket);
                 }
             }
-            guest.goes();
+            connection.set_handed_over();
         }
-        if guests.is_empty() && successor.is_flushed() && self.life.phase() == Phase::Leaving {
+        if connections.is_empty() && successor.is_flushed() && self.node_state.phase() == Phase::Leaving {
             self.dispatch(Event::Relieved);
         }
     }
 
     /// The predecessor has stopped accepting: this process now serves alone.
     fn takeover_complete(&mut self) {
-        self.life.follow(false);
+        self.node_state.set_predecessor_accepting(false);
         self.listen_for_successors();
     }
 
@@ -501,12 +515,12 @@
     ) {
         let others: Vec<Rc<Link>> = self.predecessor.iter().chain(&self.successor).cloned().collect();
         let others: Vec<_> = others.into_iter().filter(|link| Some(link.side) != from).collect();
-        let own = self.engine.knows(&news.call);
-        if own || others.is_empty() {
-            ack.map(|ack| ack.send(own || from.is_none()));
+        let known_here = self.engine.knows(&news.call);
+        if known_here || others.is_empty() {
+            ack.map(|ack| ack.send(known_here || from.is_none()));
             return self.dispatch(Event::News(news));
         }
-        let happenings = self.happenings.clone();
+        let events = self.events.clone();
         actix_rt::spawn(async move {
             let mut known = true;
             for link in others {
@@ -521,14 +535,14 @@
             }
             // No process knows the job, so there is nothing to wait for, unless one did not reply. The job may have
             // arrived here in the meantime.
-            let _ = happenings.send(Happening::Returned(news, ack, known && from.is_none()));
+            let _ = events.send(DriverEvent::ReportRelayed(news, ack, known && from.is_none()));
         });
     }
 
     fn execute(&mut self, action: Action) -> Option<Event<'static>> {
         match action {
             Action::Send { id, forward, tgt, end, write_until } => {
-                let deadline = Deadline::at(self.clock.instant(end), self.clock.instant(write_until));
+                let deadline = Deadline::new(self.clock.instant(end), self.clock.instant(write_until));
                 return self.send(id, forward, tgt, deadline);
             }
             Action::Abort { id, forward } => {
@@ -536,18 +550,18 @@
             }
             Action::Recall { id, forward } => return self.recall(id, forward),
             Action::GiveUp { tgt, call } => {
-                let patience = self.links.patience();
-                let lease = self.links.lease(tgt);
-                lease.map(|lease| actix_rt::spawn(give_up(lease, call, patience)));
+                let time_limit = self.executor_connections.request_timeout();
+                let lease = self.executor_connections.lease(tgt);
+                lease.map(|lease| actix_rt::spawn(give_up(lease, call, time_limit)));
             }
             Action::Answer { id, answer } => {
                 let pending = self.jobs.remove(&id);
                 pending.map(|pending| pending.client.answer.send(answer.into()));
             }
             Action::Probe(tgt) => return self.probe(tgt),
-            Action::Release(tgt) => self.links.release(tgt),
-            Action::At(tgt, addr) => self.links.listed(tgt, addr),
-            Action::Gone(tgt) => self.links.gone(tgt),
+            Action::Release(tgt) => self.executor_connections.close_idle(tgt),
+            Action::At(tgt, addr) => self.executor_connections.set_address(tgt, addr),
+            Action::Gone(tgt) => self.executor_connections.remove(tgt),
             Action::Follow { watch, version } => self.discovery.follow(watch, version),
             Action::Tell { to, told, mark, count } => {
                 self.peers.iter().for_each(|peers| peers.send(to, told, mark, count));
@@ -558,23 +572,23 @@
 
     fn send(&mut self, id: InvId, forward: usize, tgt: Tgt, deadline: Deadline) -> Option<Event<'static>> {
         let Some((job, client)) =
-            self.jobs.get(&id).map(|pending| (pending.job.clone(), pending.client.guest.clone()))
+            self.jobs.get(&id).map(|pending| (pending.job.clone(), pending.client.connection.clone()))
         else {
             debug!("forward {forward} of {id} not started: the client disconnected");
-            self.attempts.client_left();
+            self.attempts.count_client_left();
             return Some(not_started(id, forward));
         };
-        let Some(lease) = self.links.lease(tgt) else {
+        let Some(lease) = self.executor_connections.lease(tgt) else {
             debug!("forward {forward} of {id} not started: no free connection");
-            self.attempts.no_connection();
+            self.attempts.count_no_connection();
             return Some(not_started(id, forward));
         };
-        let (happenings, patience) = (self.happenings.clone(), self.links.taken_within());
+        let (events, timeouts) = (self.events.clone(), self.executor_connections.ack_timeouts());
         let attempt = Rc::new(Attempt::new((id, forward), deadline, client, self.attempts.clone()));
         let mine = attempt.clone();
         let task = actix_rt::spawn(async move {
-            let report = |reply| drop(happenings.send(Happening::Replied(id, forward, reply)));
-            send::forward(lease, &job, mine, patience, report).await;
+            let report = |reply| drop(events.send(DriverEvent::Replied(id, forward, reply)));
+            send::forward(lease, &job, mine, timeouts, report).await;
         });
         self.forwards.insert((id, forward), ForwardTask { task, attempt });
         None
@@ -591,14 +605,15 @@
     }
 
     fn probe(&mut self, tgt: Tgt) -> Option<Event<'static>> {
-        let Some(lease) = self.links.lease(tgt) else {
+        let Some(lease) = self.executor_connections.lease(tgt) else {
             // Without a free connection the executor has no capacity that could be used now.
             return Some(Event::Probed(tgt, Outcome::Full, Report::default()));
         };
-        let (happenings, reports, patience) = (self.happenings.clone(), self.reports, self.links.patience());
+        let (events, reports, time_limit) =
+            (self.events.clone(), self.reports, self.executor_connections.request_timeout());
         actix_rt::spawn(async move {
-            let (outcome, report) = probe(lease, reports, patience).await;
-            let _ = happenings.send(Happening::Probed(tgt, outcome, report));
+            let (outcome, report) = probe(lease, reports, time_limit).await;
+            let _ = events.send(DriverEvent::Probed(tgt, outcome, report));
         });
         None
     }
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -18,8 +18,8 @@
 use serde::Serialize;
 
 use crate::clock::seconds;
-use crate::happening::{Happening, Happenings};
-use crate::phase::Life;
+use crate::event::{DriverEvent, EventSender};
+use crate::node_state::NodeState;
 
 /// The most datagrams handled per second. A member that each of 1,000 others asks every 0.2 s has ten.
 const MAX_DATAGRAMS_PER_SECOND: u32 = 2000;
@@ -72,11 +72,12 @@
     read.map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9)
 }
 
-pub struct Carrier {
+/// This node as a member of the fleet: the protocol state, and the socket that its messages are sent from.
+pub struct FleetMember {
     fleet: RefCell<Fleet>,
     /// For sending; non-blocking.
     socket: UdpSocket,
-    life: Rc<Life>,
+    node_state: Rc<NodeState>,
     published: Cell<Option<Stage>>,
     /// Whether this process is the one of its node that takes part in the fleet.
     active: Cell<bool>,
@@ -88,12 +89,12 @@
     /// Tenants' shares, and this node's rights to parts of them where the fleet enforces them.
     shares: RefCell<Vec<(String, f64)>>,
     rights: RefCell<Option<Rights>>,
-    happenings: Happenings,
+    events: EventSender,
 }
 
 /// The fleet's figures for operators.
 #[derive(Serialize)]
-pub struct Shown {
+pub struct FleetFigures {
     #[serde(flatten)]
     figures: Figures,
     /// Datagrams dropped by the rate limit.
@@ -127,13 +128,13 @@
     age: f64,
 }
 
-impl Carrier {
+impl FleetMember {
     /// Starts inactive: it takes part once this process receives its node's datagrams.
     pub fn new(
         membership: &Membership,
         plan: Plan,
         shares: Vec<(String, f64)>,
-        (socket, life, happenings): (UdpSocket, Rc<Life>, Happenings),
+        (socket, node_state, events): (UdpSocket, Rc<NodeState>, EventSender),
     ) -> Result<Self, String> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let mark = mix(unix.as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
@@ -151,10 +152,10 @@
         let rate_window = Cell::new((Instant::now(), MAX_DATAGRAMS_PER_SECOND));
         let rights = RefCell::new(Self::rights(&fleet, &shares));
         let (fleet, shares) = (RefCell::new(fleet), RefCell::new(shares));
-        Ok(Carrier {
+        Ok(FleetMember {
             fleet,
             socket,
-            life,
+            node_state,
             published,
             active: Cell::new(false),
             republish_at,
@@ -162,7 +163,7 @@
             flooded,
             shares,
             rights,
-            happenings,
+            events,
         })
     }
 
@@ -196,7 +197,7 @@
                     (name.clone(), here)
                 };
                 let quotas = shares.iter().filter(|(_, share)| *share > 0.0).map(here).collect();
-                let _ = self.happenings.send(Happening::Quotas(quotas));
+                let _ = self.events.send(DriverEvent::Quotas(quotas));
             }
         }
         self.send_rights_messages(messages);
@@ -232,7 +233,7 @@
 
     /// Publishes this node's stage when it changes or its record is about to expire.
     fn publish_stage(&self, actions: &mut Vec<Action>) {
-        let stage = match self.life.phase() {
+        let stage = match self.node_state.phase() {
             Phase::Starting => Stage::Starting,
             Phase::Serving | Phase::Reloading => Stage::Serving,
             Phase::Leaving | Phase::Closing | Phase::Ended => Stage::Leaving,
@@ -318,7 +319,7 @@
         Ok(())
     }
 
-    pub fn shown(&self) -> Shown {
+    pub fn figures(&self) -> FleetFigures {
         let (fleet, now) = (self.fleet.borrow(), now());
         let stages = fleet.read(now, Kind::STANDING).filter_map(|reading| {
             let standing = Standing::read(reading.value)?;
@@ -341,6 +342,6 @@
             None => (BTreeMap::new(), None),
         };
         let (figures, standing, flooded) = (fleet.figures(now), stages.collect(), self.flooded.get());
-        Shown { figures, flooded, standing, limits, mints }
+        FleetFigures { figures, flooded, standing, limits, mints }
     }
 }
--- a/crates/coveroute-node/src/handed.rs
+++ b/crates/coveroute-node/src/handover.rs
@@ -7,10 +7,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::{Clock, Reading};
-use crate::take_in::Job;
+use crate::request::Job;
 
+/// The state that the successor starts with.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct Handed {
+pub struct HandoverState {
     /// The discovery service that the list came from. Another service's list versions are unrelated.
     discovery: SocketAddr,
     memory: Memory,
@@ -19,14 +20,14 @@
     clock: Option<Reading>,
 }
 
-impl Handed {
+impl HandoverState {
     pub fn of(discovery: SocketAddr, memory: Memory, clock: Option<Reading>) -> Self {
-        Handed { discovery, memory, clock }
+        HandoverState { discovery, memory, clock }
     }
 
     /// The clock of this process, which continues the predecessor's if that is known.
     pub fn clock(&self) -> Clock {
-        self.clock.map_or_else(Clock::new, Clock::following)
+        self.clock.map_or_else(Clock::new, Clock::continuing)
     }
 
     /// The engine's state. If it came from another discovery service than `discovery`, its list version is reset.
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -1,45 +1,45 @@
 //! The coveroute node: accepts invocations from clients and pushes them to executors. The library `coveroute` makes the
 //! decisions; this program carries them out.
+mod answer;
 mod arrival;
-#[cfg(test)]
-mod at_size;
 mod attempt;
 mod callbacks;
+mod client_connection;
 mod clock;
 mod config;
 mod connection;
-#[cfg(test)]
-mod crossings;
-#[cfg(test)]
-mod departures;
 mod descriptors;
+#[cfg(test)]
+mod disconnect_tests;
 mod discovery;
+#[cfg(test)]
+mod discovery_tests;
 mod driver;
+mod event;
 mod executors;
 mod fleet;
-mod guest;
-mod handed;
-mod happening;
+mod handover;
 mod hosts;
+#[cfg(test)]
+mod large_input_tests;
 mod link;
 mod listen;
 mod logger;
-mod operators;
+mod management;
+mod node_state;
 mod peers;
-mod phase;
 mod probe;
-mod relay;
+#[cfg(test)]
+mod race_tests;
 mod replace;
+mod request;
 mod send;
 mod server;
 mod socket;
-mod take_in;
 #[cfg(test)]
 mod tests;
 mod transient;
 mod validation;
-#[cfg(test)]
-mod watches;
 mod wire;
 
 use std::future::Future;
@@ -59,11 +59,11 @@
 use coveroute_fleet::rights::limit_id;
 use coveroute_fleet::Plan;
 use driver::{Driver, Endpoints, SuccessorSocket};
-use executors::Links;
-use fleet::Carrier;
-use happening::{Happening, Happenings};
-use phase::Life;
-use server::Door;
+use event::{DriverEvent, EventSender};
+use executors::ExecutorConnections;
+use fleet::FleetMember;
+use node_state::NodeState;
+use server::ClientServer;
 
 const USAGE: &str = "\
 coveroute: accepts invocations from clients and pushes them to executors
@@ -127,10 +127,10 @@
     }
 
     /// Reads both files again; reports them, or why one of them is invalid.
-    async fn reread(&self) -> Happening {
+    async fn reread(&self) -> DriverEvent {
         match self.read_reload().await {
-            Ok((config, plan)) => Happening::Reload(Ok(config), plan),
-            Err(reason) => Happening::Reload(Err(reason), None),
+            Ok((config, plan)) => DriverEvent::Reload(Ok(config), plan),
+            Err(reason) => DriverEvent::Reload(Err(reason), None),
         }
     }
 
@@ -217,15 +217,15 @@
 }
 
 async fn serve(config: Config, files: Files) -> Result<(), String> {
-    let (happenings, happens) = mpsc::unbounded_channel();
+    let (events, event_receiver) = mpsc::unbounded_channel();
     // First, because a signal without a handler would end the process.
-    actix_rt::spawn(signals(happenings.clone(), files.clone())?);
+    actix_rt::spawn(signals(events.clone(), files.clone())?);
     let fleet = files.plan(&config)?;
     // This address is not shared, and is bound before the handover: operators could not tell two processes apart that
     // answer there.
-    let operators = match config.management {
+    let management_listener = match config.management {
         Some(addr) => {
-            Some(listen::bind_operators(addr).await.map_err(|e| format!("management: {addr}: {e}"))?)
+            Some(listen::bind_management(addr).await.map_err(|e| format!("management: {addr}: {e}"))?)
         }
         None => None,
     };
@@ -234,30 +234,30 @@
         Some(path) => replace::predecessor(path).await,
         None => None,
     };
-    let (predecessor, sockets) =
-        predecessor.map(|predecessor| predecessor.into_link(happenings.clone())).unzip();
+    let (predecessor, sockets) = predecessor.map(|predecessor| predecessor.into_link(events.clone())).unzip();
     let peer_addr = Files::own_peer(&config).or(fleet.as_ref().map(|(.., address)| *address));
     let (listener, datagrams) = listen::open(config.listen, peer_addr, sockets.unwrap_or_default()).await?;
-    let clock = predecessor.as_ref().map_or_else(Clock::new, |(_, handed)| handed.clock());
-    let life = Rc::new(Life::new());
+    let clock = predecessor.as_ref().map_or_else(Clock::new, |(_, state)| state.clock());
+    let node_state = Rc::new(NodeState::new());
     let (executors, clients) = descriptor_limits(config.sockets, config.memory_mb);
-    let links = Links::new(executors, config.dial, config.idle);
-    let door = Rc::new(Door::new(clock, life.clone(), happenings.clone(), clients));
-    let carrier = match (fleet, &datagrams) {
+    let executor_connections = ExecutorConnections::new(executors, config.dial, config.idle);
+    let server = Rc::new(ClientServer::new(clock, node_state.clone(), events.clone(), clients));
+    let fleet_member = match (fleet, &datagrams) {
         (Some((membership, plan, _)), Some(socket)) => {
             let socket = socket.try_clone().map_err(|e| e.to_string())?;
-            Some(Rc::new(Carrier::new(
+            Some(Rc::new(FleetMember::new(
                 &membership,
                 plan,
                 config.shares(),
-                (socket, life.clone(), happenings.clone()),
+                (socket, node_state.clone(), events.clone()),
             )?))
         }
         _ => None,
     };
-    carrier.iter().for_each(|carrier| drop(actix_rt::spawn(carrier.clone().run())));
-    let desk = operators::Desk::new(life.clone(), happenings.clone(), carrier.clone());
-    operators.map(|listener| actix_rt::spawn(operators::accept(listener, desk)));
+    fleet_member.iter().for_each(|fleet_member| drop(actix_rt::spawn(fleet_member.clone().run())));
+    let management =
+        management::ManagementServer::new(node_state.clone(), events.clone(), fleet_member.clone());
+    management_listener.map(|listener| actix_rt::spawn(management::accept(listener, management)));
     let own = |socket: std::io::Result<OwnedFd>| socket.map_err(|e| e.to_string());
     let mut sockets = vec![own(listener.as_fd().try_clone_to_owned())?];
     if let Some(datagrams) = &datagrams {
@@ -267,39 +267,39 @@
     let (adopt, adopted) = mpsc::unbounded_channel();
     let endpoints = Endpoints {
         datagrams,
-        carrier,
+        fleet_member,
         predecessor,
         successor_socket,
-        guests: door.guests(),
+        connections: server.connections(),
         adopted: Some(adopt),
     };
-    let driver = Driver::new(config, clock, life, links, endpoints, happenings)?;
-    actix_rt::spawn(server::accept(listener, door.clone(), adopted));
-    actix_rt::spawn(server::sweep(door));
-    driver.run(happens).await;
+    let driver = Driver::new(config, clock, node_state, executor_connections, endpoints, events)?;
+    actix_rt::spawn(server::accept(listener, server.clone(), adopted));
+    actix_rt::spawn(server::sweep(server));
+    driver.run(event_receiver).await;
     info!("stopped");
     Ok(())
 }
 
 /// Turns the signals to stop and to reload into events.
-fn signals(happenings: Happenings, files: Files) -> Result<impl Future<Output = ()>, String> {
+fn signals(events: EventSender, files: Files) -> Result<impl Future<Output = ()>, String> {
     let listen = |kind| signal(kind).map_err(|e| e.to_string());
     let mut term = listen(SignalKind::terminate())?;
     let mut int = listen(SignalKind::interrupt())?;
     let mut hup = listen(SignalKind::hangup())?;
     Ok(async move {
         loop {
-            let happening = tokio::select! {
-                _ = term.recv() => Happening::Stop,
-                _ = int.recv() => Happening::Stop,
+            let event = tokio::select! {
+                _ = term.recv() => DriverEvent::Stop,
+                _ = int.recv() => DriverEvent::Stop,
                 _ = hup.recv() => {
                     // In a separate task: a stop must not wait for disk reads.
-                    let (happenings, files) = (happenings.clone(), files.clone());
-                    actix_rt::spawn(async move { happenings.send(files.reread().await) });
+                    let (events, files) = (events.clone(), files.clone());
+                    actix_rt::spawn(async move { events.send(files.reread().await) });
                     continue;
                 }
             };
-            let _ = happenings.send(happening);
+            let _ = events.send(event);
         }
     })
 }
--- a/crates/coveroute-node/src/operators.rs
+++ b/crates/coveroute-node/src/management.rs
@@ -1,4 +1,4 @@
-//! Operators: the management endpoint, on an address of its own, with the readiness check and the metrics.
+//! Management server: the management endpoint, on an address of its own, with the readiness check and the metrics.
 //! Each connection carries one request. Limits and connection slots are independent of those for clients.
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -17,11 +17,14 @@
 use tokio::sync::oneshot;
 
 use crate::attempt::AttemptFigures;
-use crate::fleet::{self, Carrier};
-use crate::happening::{Happening, Happenings, NodeFigures};
-use crate::phase::Life;
+use crate::event::{DriverEvent, EventSender, NodeFigures};
+use crate::fleet::{self, FleetMember};
+use crate::node_state::NodeState;
 use crate::socket::Socket;
 
+/// The unit name in log lines. It is not the name of this module, because filters of existing logs match it.
+const LOG_TARGET: &str = concat!(env!("CARGO_BIN_NAME"), "::operators");
+
 const READY: &str = "/v1/readyz";
 const METRICS: &str = "/v1/metrics";
 
@@ -46,7 +49,7 @@
     sighup_rejected: u64,
     /// The node's view of the fleet, if it is in one.
     #[serde(skip_serializing_if = "Option::is_none")]
-    fleet: Option<fleet::Shown>,
+    fleet: Option<fleet::FleetFigures>,
 }
 
 /// The node's list of executors. The times are null until discovery first answered.
@@ -130,20 +133,26 @@
 }
 
 /// The state shared by all requests of operators.
-pub struct Desk {
-    life: Rc<Life>,
-    happenings: Happenings,
-    carrier: Option<Rc<Carrier>>,
+pub struct ManagementServer {
+    node_state: Rc<NodeState>,
+    events: EventSender,
+    fleet_member: Option<Rc<FleetMember>>,
 }
 
-impl Desk {
-    pub fn new(life: Rc<Life>, happenings: Happenings, carrier: Option<Rc<Carrier>>) -> Rc<Self> {
-        Rc::new(Desk { life, happenings, carrier })
+impl ManagementServer {
+    pub fn new(
+        node_state: Rc<NodeState>,
+        events: EventSender,
+        fleet_member: Option<Rc<FleetMember>>,
+    ) -> Rc<Self> {
+        Rc::new(ManagementServer { node_state, events, fleet_member })
     }
 
     async fn answer(&self, request: Request) -> Response<BoxBody> {
         let mut answer = match (request.path(), request.method()) {
-            (READY, &Method::GET | &Method::HEAD) if self.life.is_ready() => text(StatusCode::OK, "ready\n"),
+            (READY, &Method::GET | &Method::HEAD) if self.node_state.is_ready() => {
+                text(StatusCode::OK, "ready\n")
+            }
             (READY, &Method::GET | &Method::HEAD) => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             (METRICS, &Method::GET | &Method::HEAD) => self.metrics().await,
             (READY | METRICS, _) => {
@@ -160,8 +169,8 @@
     /// Requests the metrics from the driver, which owns them and handles the events before this one first.
     async fn metrics(&self) -> Response<BoxBody> {
         let (reply, replied) = oneshot::channel();
-        let _ = self.happenings.send(Happening::Asked(reply));
-        let fleet = || self.carrier.as_ref().map(|carrier| carrier.shown());
+        let _ = self.events.send(DriverEvent::FiguresRequested(reply));
+        let fleet = || self.fleet_member.as_ref().map(|fleet_member| fleet_member.figures());
         let metrics = replied.await.ok().map(|figures| Metrics { fleet: fleet(), ..Metrics::from(figures) });
         let Some(Ok(body)) = metrics.map(|metrics| serde_json::to_vec(&metrics)) else {
             return text(StatusCode::SERVICE_UNAVAILABLE, "the node has ended\n");
@@ -178,13 +187,13 @@
 
 /// Accepts operators' connections for as long as the process runs. Connections that send no complete request
 /// are closed: each has a time limit, and beyond the maximum number the oldest is closed.
-pub async fn accept(listener: TcpListener, desk: Rc<Desk>) {
+pub async fn accept(listener: TcpListener, server: Rc<ManagementServer>) {
     let service = HttpService::build()
         .keep_alive(KeepAlive::Disabled)
         .client_request_timeout(Duration::ZERO) // `REQUEST_TIMEOUT` limits the whole exchange.
         .h1(actix_service::fn_service(move |request| {
-            let desk = desk.clone();
-            async move { Ok::<_, std::convert::Infallible>(desk.answer(request).await) }
+            let server = server.clone();
+            async move { Ok::<_, std::convert::Infallible>(server.answer(request).await) }
         }))
         .new_service(());
     let Ok(service) = service.await else { return };
@@ -199,12 +208,12 @@
                 let serving = service.call((Socket::new(socket), Some(peer)));
                 connections.push_back(actix_rt::spawn(async move {
                     if let Ok(Err(e)) = timeout(REQUEST_TIMEOUT, serving).await {
-                        debug!("management endpoint: {peer}: {e:?}");
+                        debug!(target: LOG_TARGET, "management endpoint: {peer}: {e:?}");
                     }
                 }));
             }
             Err(e) => {
-                warn!("management endpoint: can't accept a connection: {e}");
+                warn!(target: LOG_TARGET, "management endpoint: can't accept a connection: {e}");
                 sleep(Duration::from_millis(10)).await;
             }
         }
--- a/crates/coveroute-node/src/peers.rs
+++ b/crates/coveroute-node/src/peers.rs
@@ -13,8 +13,8 @@
 use log::debug;
 use tokio::net::UdpSocket;
 
-use crate::fleet::Carrier;
-use crate::happening::{Happening, Happenings};
+use crate::event::{DriverEvent, EventSender};
+use crate::fleet::FleetMember;
 
 /// Delay after a failed receive.
 const RETRY_DELAY: Duration = Duration::from_millis(1);
@@ -34,8 +34,8 @@
 #[derive(Clone)]
 struct Recipients {
     addrs: Rc<[SocketAddr]>,
-    happenings: Happenings,
-    carrier: Option<Rc<Carrier>>,
+    events: EventSender,
+    fleet_member: Option<Rc<FleetMember>>,
 }
 
 impl Peers {
@@ -44,13 +44,13 @@
         me: usize,
         addrs: Vec<SocketAddr>,
         socket: std::net::UdpSocket,
-        happenings: Happenings,
-        carrier: Option<Rc<Carrier>>,
+        events: EventSender,
+        fleet_member: Option<Rc<FleetMember>>,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         let (receiver, addrs) =
             (Rc::new(UdpSocket::from_std(socket.try_clone()?)?), Rc::<[SocketAddr]>::from(addrs));
-        let recipients = Recipients { addrs: addrs.clone(), happenings, carrier };
+        let recipients = Recipients { addrs: addrs.clone(), events, fleet_member };
         Ok(Peers { socket, addrs, me, receiver, task: None, recipients })
     }
 
@@ -64,7 +64,7 @@
             }
             None => {}
         }
-        self.recipients.carrier.iter().for_each(|carrier| carrier.take_part(enabled));
+        self.recipients.fleet_member.iter().for_each(|fleet_member| fleet_member.take_part(enabled));
     }
 
     pub fn send(&self, to: usize, told: Told, mark: u32, count: u8) {
@@ -85,9 +85,11 @@
             sleep(RETRY_DELAY).await;
             continue;
         };
-        let (bytes, Recipients { addrs, happenings, carrier }) = (&buffer[..len], &recipients);
-        if let Some(carrier) = carrier.as_ref().filter(|_| bytes.first() == Some(&MARK) || addrs.is_empty()) {
-            carrier.receive(sender, bytes);
+        let (bytes, Recipients { addrs, events, fleet_member }) = (&buffer[..len], &recipients);
+        if let Some(fleet_member) =
+            fleet_member.as_ref().filter(|_| bytes.first() == Some(&MARK) || addrs.is_empty())
+        {
+            fleet_member.receive(sender, bytes);
             continue;
         }
         let from = addrs.iter().position(|addr| *addr == sender);
@@ -95,7 +97,7 @@
             std::str::from_utf8(bytes).ok().filter(|text| text.len() <= MAX_HINT_BYTES).and_then(message);
         match from.zip(read) {
             Some((from, (told, mark, count))) => {
-                if happenings.send(Happening::Heard { from, told, mark, count }).is_err() {
+                if events.send(DriverEvent::Heard { from, told, mark, count }).is_err() {
                     return;
                 }
             }
--- a/crates/coveroute-node/src/probe.rs
+++ b/crates/coveroute-node/src/probe.rs
@@ -6,7 +6,7 @@
 use coveroute::types::{Outcome, Report};
 use log::debug;
 
-use crate::connection::could_not_connect;
+use crate::connection::is_local_connect_failure;
 use crate::executors::Lease;
 use crate::send;
 use crate::wire;
@@ -19,11 +19,11 @@
 /// idle connection may be reset at the next request by an intermediary or by the executor, which says nothing
 /// about the executor's health, and repeating a probe is harmless. If the process has died, the next
 /// connection is refused.
-pub async fn probe(lease: Lease, reports: bool, patience: Duration) -> (Outcome, Report) {
+pub async fn probe(lease: Lease, reports: bool, time_limit: Duration) -> (Outcome, Report) {
     let path = if reports { wire::LOAD } else { wire::ALIVE };
     let ask = || async {
         let mut response = lease.client().get(format!("http://{}{path}", lease.addr())).send().await?;
-        let body = response.body().limit(wire::BODY_MOST).await.unwrap_or_default();
+        let body = response.body().limit(wire::MAX_BODY_BYTES).await.unwrap_or_default();
         Ok((response.status().as_u16(), body))
     };
     let asked = async {
@@ -37,10 +37,10 @@
         }
         ask().await
     };
-    match timeout(patience, asked).await {
+    match timeout(time_limit, asked).await {
         Err(_) => (Outcome::TimedOut, Report::default()),
         // Handled like a lack of free connections: it says nothing about the executor.
-        Ok(Err(e)) if could_not_connect(&e) => (Outcome::Full, Report::default()),
+        Ok(Err(e)) if is_local_connect_failure(&e) => (Outcome::Full, Report::default()),
         Ok(Err(e)) => (send::failure_outcome(&e), Report::default()),
         Ok(Ok((200, body))) => (Outcome::Succeeded, send::report(&body)),
         Ok(Ok((503, body))) => (Outcome::Full, send::report(&body)),
@@ -50,12 +50,12 @@
 
 /// Tells an executor to give up a job that it has accepted. The response is ignored: for this node the
 /// forward has ended.
-pub async fn give_up(lease: Lease, call: Arc<str>, patience: Duration) {
+pub async fn give_up(lease: Lease, call: Arc<str>, time_limit: Duration) {
     let uri = format!("http://{}{}/{call}", lease.addr(), wire::JOBS);
-    let tell = async {
+    let request = async {
         if let Ok(mut response) = lease.client().delete(uri).send().await {
-            let _ = response.body().limit(wire::BODY_MOST).await;
+            let _ = response.body().limit(wire::MAX_BODY_BYTES).await;
         }
     };
-    let _ = timeout(patience, tell).await;
+    let _ = timeout(time_limit, request).await;
 }
--- a/crates/coveroute-node/src/crossings.rs
+++ b/crates/coveroute-node/src/race_tests.rs
@@ -12,11 +12,11 @@
 use test_case::test_case;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
+use crate::client_connection::{ClientConnection, ClientConnections, Stream};
 use crate::clock::{seconds, Clock};
-use crate::guest::{Guest, Guests, Stream};
-use crate::happening::Happening;
-use crate::phase::Life;
-use crate::server::{self, Door};
+use crate::event::DriverEvent;
+use crate::node_state::NodeState;
+use crate::server::{self, ClientServer};
 use crate::tests::block;
 
 /// The time in seconds in which a node must notice that a client has disconnected; set by the operators.
@@ -26,13 +26,13 @@
 const TURN_INTERVAL: f64 = 0.001;
 
 /// Starts a server on a port of its own. The test takes the place of the driver and receives its events.
-async fn door() -> (SocketAddr, UnboundedReceiver<Happening>, Rc<Door>) {
-    let (happenings, happens) = unbounded_channel();
-    let door = Rc::new(Door::new(Clock::new(), Rc::new(Life::new()), happenings, (8, 4)));
+async fn server() -> (SocketAddr, UnboundedReceiver<DriverEvent>, Rc<ClientServer>) {
+    let (events, event_receiver) = unbounded_channel();
+    let server = Rc::new(ClientServer::new(Clock::new(), Rc::new(NodeState::new()), events, (8, 4)));
     let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    actix_rt::spawn(server::accept(listener, door.clone(), unbounded_channel().1));
-    (addr, happens, door)
+    actix_rt::spawn(server::accept(listener, server.clone(), unbounded_channel().1));
+    (addr, event_receiver, server)
 }
 
 fn request(id: usize) -> String {
@@ -62,9 +62,9 @@
 }
 
 /// Waits for the first accepted job.
-async fn first_job(happens: &mut UnboundedReceiver<Happening>) -> (u64, Box<dyn std::any::Any>) {
+async fn first_job(event_receiver: &mut UnboundedReceiver<DriverEvent>) -> (u64, Box<dyn std::any::Any>) {
     loop {
-        if let Happening::Taken(id, _, answer) = happens.recv().await.expect("a happening") {
+        if let DriverEvent::Accepted(id, _, answer) = event_receiver.recv().await.expect("an event") {
             return (id.into(), Box::new(answer));
         }
     }
@@ -72,14 +72,14 @@
 
 /// Records the turns of this thread, and whether the kernel then had neither a byte nor a close from any
 /// client for it.
-fn turns(guests: Guests) -> Rc<RefCell<Vec<(Instant, bool)>>> {
+fn turns(connections: ClientConnections) -> Rc<RefCell<Vec<(Instant, bool)>>> {
     let turns: Rc<RefCell<Vec<(Instant, bool)>>> = Rc::default();
     let mine = turns.clone();
     actix_rt::spawn(async move {
         loop {
-            let unread = |guest: &Rc<Guest>| guest.unread();
-            let has_event = |guest| unread(guest) > 0 || guest.has_disconnected();
-            let idle = !guests.borrow().is_empty() && !guests.borrow().values().any(has_event);
+            let unread = |connection: &Rc<ClientConnection>| connection.unread();
+            let has_event = |connection| unread(connection) > 0 || connection.has_disconnected();
+            let idle = !connections.borrow().is_empty() && !connections.borrow().values().any(has_event);
             mine.borrow_mut().push((Instant::now(), idle));
             actix_rt::time::sleep(seconds(TURN_INTERVAL)).await;
         }
@@ -111,7 +111,7 @@
 #[test_case(0, 300_000, Disconnect::Close; "behind invalid bytes")]
 fn a_disconnect_while_the_request_is_pending_is_noticed(ahead: usize, junk: usize, how: Disconnect) {
     block(async move {
-        let (addr, mut happens, door) = door().await;
+        let (addr, mut event_receiver, server) = server().await;
         let (go, started) = std::sync::mpsc::channel::<()>();
         let client = spawn_blocking(move || {
             let mut stream = TcpStream::connect(addr).expect("a connection");
@@ -126,13 +126,13 @@
             disconnect(stream, how);
             left
         });
-        let (id, _answer) = first_job(&mut happens).await;
-        let turns = turns(door.guests());
+        let (id, _answer) = first_job(&mut event_receiver).await;
+        let turns = turns(server.connections());
         go.send(()).expect("a client");
         let noticed = timeout(seconds(3.0), async {
             loop {
-                match happens.recv().await {
-                    Some(Happening::Left(left)) if u64::from(left) == id => return Instant::now(),
+                match event_receiver.recv().await {
+                    Some(DriverEvent::Disconnected(left)) if u64::from(left) == id => return Instant::now(),
                     Some(_) => {}
                     None => panic!("the server has ended"),
                 }
@@ -157,7 +157,7 @@
 #[test]
 fn a_client_that_sends_too_much_while_it_waits_takes_up_no_core() {
     block(async move {
-        let (addr, mut happens, _door) = door().await;
+        let (addr, mut event_receiver, _server) = server().await;
         let client = spawn_blocking(move || {
             let mut stream = TcpStream::connect(addr).expect("a connection");
             stream.set_write_timeout(Some(seconds(0.2))).expect("a limit");
@@ -165,7 +165,7 @@
             let _ = stream.write_all(requests.as_bytes());
             stream
         });
-        let _answer = first_job(&mut happens).await;
+        let _answer = first_job(&mut event_receiver).await;
         let stream = client.await.expect("a client");
         let used = || {
             let time =
@@ -190,17 +190,20 @@
         let addr = listener.local_addr().expect("an address");
         let client = actix_rt::net::TcpStream::connect(addr).await.expect("a connection");
         let socket = listener.accept().await.expect("a connection").0;
-        let guest = Rc::new(Guest::new(-1));
-        let mut stream = Stream::new(socket, guest.clone());
-        guest.set_answered();
-        assert!(!guest.is_busy(), "nothing is being written");
+        let connection = Rc::new(ClientConnection::new(-1));
+        let mut stream = Stream::new(socket, connection.clone());
+        connection.set_answered();
+        assert!(!connection.is_busy(), "nothing is being written");
         // More than the kernel buffers for a client that reads nothing.
         let answer = vec![b'x'; 32 << 20];
         let mut client = client;
         let write = stream.write_all(&answer);
         tokio::pin!(write);
         assert!(timeout(seconds(0.2), &mut write).await.is_err(), "it can't be written completely");
-        assert!(guest.is_busy() && !guest.idle_for(Duration::ZERO), "a part is still to be written");
+        assert!(
+            connection.is_busy() && !connection.idle_for(Duration::ZERO),
+            "a part is still to be written"
+        );
         let read = async {
             let mut buffer = vec![0; 1 << 20];
             let mut count = 0;
@@ -210,7 +213,7 @@
         };
         let (written, ()) = tokio::join!(write, read);
         written.expect("all of it");
-        assert!(!guest.is_busy(), "everything is written");
+        assert!(!connection.is_busy(), "everything is written");
     });
 }
 
@@ -218,10 +221,10 @@
 // process, which would continue in the middle of them.
 #[test]
 fn a_connection_with_discarded_bytes_is_not_handed_over() {
-    let guest = Guest::new(-1);
-    guest.set_waiting();
-    guest.set_job(1);
-    assert!(guest.leaves().is_some() && guest.is_reusable());
-    guest.set_overrun();
-    assert!(guest.leaves().is_none() && !guest.is_reusable());
+    let connection = ClientConnection::new(-1);
+    connection.set_waiting();
+    connection.set_job(1);
+    assert!(connection.handover().is_some() && connection.is_reusable());
+    connection.set_overrun();
+    assert!(connection.handover().is_none() && !connection.is_reusable());
 }
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -21,15 +21,17 @@
 use tokio::io::{AsyncWriteExt, Interest};
 use tokio::sync::{mpsc, oneshot, Notify};
 
+use crate::answer::Answer;
+use crate::client_connection::{
+    Client, ClientConnection, ClientConnections, ConnectionState, EvictionClass, Stream,
+};
 use crate::clock::Clock;
 use crate::descriptors::Descriptors;
-use crate::guest::{Claim, Client, Doing, Guest, Guests, Stream};
-use crate::happening::{Happening, Happenings};
+use crate::event::{DriverEvent, EventSender};
 use crate::hosts::Hosts;
-use crate::phase::Life;
-use crate::relay::Answer;
+use crate::node_state::NodeState;
 use crate::socket::Socket;
-use crate::{callbacks, discovery, take_in, wire};
+use crate::{callbacks, discovery, request, wire};
 
 /// An idle connection is closed after this time, whether or not its place is needed.
 const MAX_IDLE: Duration = Duration::from_secs(120);
@@ -49,11 +51,11 @@
 }
 
 /// The state shared by all client connections.
-pub struct Door {
+pub struct ClientServer {
     clock: Clock,
-    life: Rc<Life>,
-    happenings: Happenings,
-    guests: Guests,
+    node_state: Rc<NodeState>,
+    events: EventSender,
+    connections: ClientConnections,
     /// Maximum number of connections with a pending request.
     max_waiting: usize,
     /// Maximum number of connections beyond those: idle, or given only an immediate answer.
@@ -65,18 +67,18 @@
     connection_ended: Notify,
 }
 
-impl Door {
+impl ClientServer {
     pub fn new(
         clock: Clock,
-        life: Rc<Life>,
-        happenings: Happenings,
+        node_state: Rc<NodeState>,
+        events: EventSender,
         (max_waiting, max_others): (usize, usize),
     ) -> Self {
-        Door {
+        ClientServer {
             clock,
-            life,
-            happenings,
-            guests: Guests::default(),
+            node_state,
+            events,
+            connections: ClientConnections::default(),
             max_waiting,
             max_others,
             accept_wait_since: Cell::new(None),
@@ -85,22 +87,27 @@
         }
     }
 
-    pub fn guests(&self) -> Guests {
-        self.guests.clone()
+    pub fn connections(&self) -> ClientConnections {
+        self.connections.clone()
     }
 
-    fn close_all(&self, which: impl Fn(&Guest) -> bool) {
-        self.guests.borrow().values().filter(|guest| which(guest)).for_each(|guest| guest.close.notify_one());
+    fn close_all(&self, which: impl Fn(&ClientConnection) -> bool) {
+        self.connections
+            .borrow()
+            .values()
+            .filter(|connection| which(connection))
+            .for_each(|connection| connection.close.notify_one());
     }
 
     /// Closes up to `most` connections to make room: first those without a completed request, then those that
     /// are idle after one, and in each group the longest idle first.
     fn evict_idle(&self, most: usize) {
-        let guests = self.guests.borrow();
-        let mut idle: Vec<_> = guests.values().map(|guest| (guest.claim(), guest)).collect();
-        idle.retain(|guest| guest.0 < Claim::Owed);
-        idle.sort_by_key(|(claim, guest)| (*claim == Claim::Rested, guest.since()));
-        idle.into_iter().take(most).for_each(|guest| guest.1.close.notify_one());
+        let connections = self.connections.borrow();
+        let mut idle: Vec<_> =
+            connections.values().map(|connection| (connection.eviction_class(), connection)).collect();
+        idle.retain(|connection| connection.0 < EvictionClass::Protected);
+        idle.sort_by_key(|(class, connection)| (*class == EvictionClass::Idle, connection.since()));
+        idle.into_iter().take(most).for_each(|connection| connection.1.close.notify_one());
     }
 
     /// Waits until one more connection may be opened, evicting idle ones. Otherwise clients could stay
@@ -110,8 +117,9 @@
         // Idle connections closed for each new one, so that clients that only connect lose their places
         // first.
         const AT_ONCE: usize = 16;
-        let open = || self.guests.borrow().len();
-        let (waiting, others) = (self.life.part(self.max_waiting), self.life.part(self.max_others));
+        let open = || self.connections.borrow().len();
+        let (waiting, others) =
+            (self.node_state.share_of(self.max_waiting), self.node_state.share_of(self.max_others));
         let all = (waiting + others).min(self.descriptors.get().max_connections());
         // Evicts early, to keep half of the places beyond the waiting connections free.
         if open() >= all.saturating_sub(others.div_ceil(2)) {
@@ -136,8 +144,9 @@
     fn descriptors_exhausted(&self) {
         const CLOSED: usize = 4; // At most one in this many open connections is evicted at a time.
         const LEAST: usize = 4; // The limit is not lowered below the configured one divided by this.
-        let open = self.guests.borrow().len();
-        let least = (self.life.part(self.max_waiting) + self.life.part(self.max_others)) / LEAST;
+        let open = self.connections.borrow().len();
+        let least =
+            (self.node_state.share_of(self.max_waiting) + self.node_state.share_of(self.max_others)) / LEAST;
         self.update_descriptors(|descriptors| descriptors.exhausted(open, least));
         self.evict_idle(open.div_ceil(CLOSED));
     }
@@ -163,22 +172,22 @@
     /// Accepts the next connection, at a time when this process takes connections.
     async fn next_connection(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
         loop {
-            self.life.until_takes(true).await;
+            self.node_state.until_accepts_connections(true).await;
             self.wait_for_capacity().await;
             tokio::select! {
                 biased;
-                () = self.life.until_takes(false) => {}
+                () = self.node_state.until_accepts_connections(false) => {}
                 accepted = poll_fn(|cx| self.poll_accept(listener, cx)) => return accepted,
             }
         }
     }
 
     async fn serve(self: Rc<Self>, request: Request) -> Response<BoxBody> {
-        let guest = request.peer_addr().and_then(|peer| self.guests.borrow().get(&peer).cloned());
-        let (answer, next) = self.answer(request, guest.as_ref()).await;
-        let is_reusable = guest.as_ref().is_none_or(|guest| guest.is_reusable());
-        let keep = next == AfterResponse::KeepOpen && is_reusable && self.keeps(&answer);
-        guest.iter().for_each(|guest| guest.set_answered());
+        let connection = request.peer_addr().and_then(|peer| self.connections.borrow().get(&peer).cloned());
+        let (answer, next) = self.answer(request, connection.as_ref()).await;
+        let is_reusable = connection.as_ref().is_none_or(|connection| connection.is_reusable());
+        let keep = next == AfterResponse::KeepOpen && is_reusable && self.keeps_open(&answer);
+        connection.iter().for_each(|connection| connection.set_answered());
         answer.response(keep)
     }
 
@@ -186,37 +195,44 @@
     /// elsewhere but open ones stay in use, so that a restart does not leave clients without a node while the
     /// one restarted before is not up yet; a client whose job is returned to it for an immediate retry is
     /// sent to another node by closing. After an invalid request the connection is closed to free its place.
-    pub fn keeps(&self, answer: &Answer) -> bool {
-        match self.life.phase() {
-            _ if matches!(answer, Answer::Unfit(..)) => false,
+    pub fn keeps_open(&self, answer: &Answer) -> bool {
+        match self.node_state.phase() {
+            _ if matches!(answer, Answer::Invalid(..)) => false,
             // The connection will be handed over to the successor process.
-            _ if !self.life.takes() => true,
+            _ if !self.node_state.accepts_connections() => true,
             Phase::Starting | Phase::Serving | Phase::Reloading => true,
             Phase::Leaving => !matches!(answer, Answer::Throttled { pause } if *pause <= 0.0),
             Phase::Closing | Phase::Ended => false,
         }
     }
 
-    async fn answer(&self, mut request: Request, guest: Option<&Rc<Guest>>) -> (Answer, AfterResponse) {
-        let came = guest.map_or_else(|| self.clock.now(), |guest| self.clock.at(guest.newest_arrival()));
+    async fn answer(
+        &self,
+        mut request: Request,
+        connection: Option<&Rc<ClientConnection>>,
+    ) -> (Answer, AfterResponse) {
+        let came = connection
+            .map_or_else(|| self.clock.now(), |connection| self.clock.at(connection.newest_arrival()));
         let answer = match (request.path(), request.method()) {
-            (wire::UP, &Method::GET | &Method::HEAD) if self.life.is_up() => Answer::Succeeded("up\n".into()),
+            (wire::UP, &Method::GET | &Method::HEAD) if self.node_state.is_up() => {
+                Answer::Succeeded("up\n".into())
+            }
             (wire::UP, _) => Answer::Throttled { pause: 0.0 },
             (wire::NEWS, &Method::POST) => self.news(&mut request).await,
-            (wire::NEWS, _) => Answer::Unfit(StatusCode::METHOD_NOT_ALLOWED, "news come by POST"),
+            (wire::NEWS, _) => Answer::Invalid(StatusCode::METHOD_NOT_ALLOWED, "news come by POST"),
             (wire::HOSTS, _) => self.pushed_list(request).await,
             _ => {
-                let class = take_in::class(request.path()).to_owned();
-                match take_in::job(request, came).await {
+                let class = request::operation(request.path()).to_owned();
+                match request::read_job(request, came).await {
                     Ok(job) => {
-                        guest.iter().for_each(|guest| guest.set_waiting());
-                        return self.job(job, guest).await;
+                        connection.iter().for_each(|connection| connection.set_waiting());
+                        return self.job(job, connection).await;
                     }
-                    Err(unfit) => {
-                        if !matches!(unfit, Answer::Unfit(_, take_in::BODY_INCOMPLETE)) {
-                            let _ = self.happenings.send(Happening::Ended(class, Verdict::Errored));
+                    Err(invalid) => {
+                        if !matches!(invalid, Answer::Invalid(_, request::BODY_INCOMPLETE)) {
+                            let _ = self.events.send(DriverEvent::Ended(class, Verdict::Errored));
                         }
-                        unfit
+                        invalid
                     }
                 }
             }
@@ -227,11 +243,11 @@
     /// Handles an executor's job status update. While another process of this node is alive, the update is
     /// acknowledged once the process that serves the job has received it, and otherwise at once.
     async fn news(&self, request: &mut Request) -> Answer {
-        let (acknowledge, acknowledged) = self.life.paired().then(oneshot::channel).unzip();
+        let (acknowledge, acknowledged) = self.node_state.paired().then(oneshot::channel).unzip();
         let acknowledge = Cell::new(acknowledge);
         let news =
-            |body: &Bytes| Ok(Happening::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
-        let answer = self.forward_body(request, wire::BODY_MOST, "a job status update", news).await;
+            |body: &Bytes| Ok(DriverEvent::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
+        let answer = self.forward_body(request, wire::MAX_BODY_BYTES, "a job status update", news).await;
         match (answer, acknowledged) {
             (Answer::Succeeded(body), Some(acknowledged)) => match acknowledged.await {
                 Ok(false) => Answer::Throttled { pause: 0.0 },
@@ -244,17 +260,17 @@
     /// Handles a pushed list of executors. Only discovery's host may push one, so that clients can't.
     async fn pushed_list(&self, mut request: Request) -> Answer {
         let peer = request.peer_addr().map(|peer| peer.ip());
-        if peer.is_none() || peer != self.life.lists_from() {
-            return Answer::Unfit(StatusCode::FORBIDDEN, "the list is not taken from there");
+        if peer.is_none() || peer != self.node_state.lists_from() {
+            return Answer::Invalid(StatusCode::FORBIDDEN, "the list is not taken from there");
         }
         if request.method() != Method::POST {
-            return Answer::Unfit(StatusCode::METHOD_NOT_ALLOWED, "lists come by POST");
+            return Answer::Invalid(StatusCode::METHOD_NOT_ALLOWED, "lists come by POST");
         }
         let list = |body: &Bytes| {
             let hosts = serde_json::from_slice::<Hosts>(body).map_err(|e| e.to_string())?;
-            Ok(Happening::Watch(UNASKED, Watched::Listed(hosts.into())))
+            Ok(DriverEvent::Watch(UNASKED, Watched::Listed(hosts.into())))
         };
-        self.forward_body(&mut request, discovery::LIST_MOST, "a list of executors", list).await
+        self.forward_body(&mut request, discovery::MAX_LIST_BYTES, "a list of executors", list).await
     }
 
     /// Parses a body of at most `most` bytes and sends the result to the driver. `what` names the body in the
@@ -264,42 +280,49 @@
         request: &mut Request,
         most: usize,
         what: &str,
-        parse: impl Fn(&Bytes) -> Result<Happening, String>,
+        parse: impl Fn(&Bytes) -> Result<DriverEvent, String>,
     ) -> Answer {
         let payload = request.take_payload();
-        let body = match take_in::body(payload, &request.head().headers, most).await {
+        let body = match request::read_body(payload, &request.head().headers, most).await {
             Ok(body) => body,
-            Err(unfit) => return unfit,
+            Err(invalid) => return invalid,
         };
         match parse(&body) {
-            Ok(happening) => {
-                let _ = self.happenings.send(happening);
+            Ok(event) => {
+                let _ = self.events.send(event);
                 Answer::Succeeded("".into())
             }
             Err(e) => {
                 warn!("can't parse {what}: {e}");
-                Answer::Unfit(StatusCode::BAD_REQUEST, "can't be read")
+                Answer::Invalid(StatusCode::BAD_REQUEST, "can't be read")
             }
         }
     }
 
-    async fn job(&self, job: take_in::Job, guest: Option<&Rc<Guest>>) -> (Answer, AfterResponse) {
-        let _guard = self.life.request_guard();
-        let is_waiting = |guest: &&Rc<Guest>| guest.doing() == Doing::Waiting;
-        if self.guests.borrow().values().filter(is_waiting).count() > self.life.part(self.max_waiting) {
-            let _ = self.happenings.send(Happening::Ended(job.call.class, Verdict::Throttled));
+    async fn job(
+        &self,
+        job: request::Job,
+        connection: Option<&Rc<ClientConnection>>,
+    ) -> (Answer, AfterResponse) {
+        let _guard = self.node_state.request_guard();
+        let is_waiting =
+            |connection: &&Rc<ClientConnection>| connection.state() == ConnectionState::AwaitingAnswer;
+        if self.connections.borrow().values().filter(is_waiting).count()
+            > self.node_state.share_of(self.max_waiting)
+        {
+            let _ = self.events.send(DriverEvent::Ended(job.call.class, Verdict::Throttled));
             return (
-                Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.life.max_pause()) },
+                Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.node_state.max_pause()) },
                 AfterResponse::Close,
             );
         }
-        let id = self.life.next_id();
-        guest.iter().for_each(|guest| guest.set_job(id));
+        let id = self.node_state.next_id();
+        connection.iter().for_each(|connection| connection.set_job(id));
         let (answer, answered) = oneshot::channel();
-        let client = Client { answer, guest: guest.cloned() };
-        let _ = self.happenings.send(Happening::Taken(id, Box::new(job), client));
+        let client = Client { answer, connection: connection.cloned() };
+        let _ = self.events.send(DriverEvent::Accepted(id, Box::new(job), client));
         // actix-http drops this future, and the guard with it, when the client closes the connection.
-        let mut guard = DisconnectGuard { id, happenings: &self.happenings, answered: false };
+        let mut guard = DisconnectGuard { id, events: &self.events, answered: false };
         let answer = answered.await;
         guard.answered = true;
         (answer.unwrap_or(Answer::Errored), AfterResponse::KeepOpen)
@@ -309,22 +332,26 @@
 /// Reports the client as disconnected if it is dropped before the job is answered.
 struct DisconnectGuard<'a> {
     id: InvId,
-    happenings: &'a Happenings,
+    events: &'a EventSender,
     answered: bool,
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.happenings.send(Happening::Left(self.id));
+            let _ = self.events.send(DriverEvent::Disconnected(self.id));
         }
     }
 }
 
 /// Accepts connections for as long as the process runs; also serves those that the previous process hands
 /// over.
-pub async fn accept(listener: TcpListener, door: Rc<Door>, mut handed_over: mpsc::UnboundedReceiver<Comes>) {
-    let serve = door.clone();
+pub async fn accept(
+    listener: TcpListener,
+    server: Rc<ClientServer>,
+    mut handed_over: mpsc::UnboundedReceiver<AdoptedConnection>,
+) {
+    let serve = server.clone();
     let service = HttpService::build()
         // Idle connections are closed by `sweep` and by eviction; actix-http's timeout could race with a
         // request.
@@ -335,8 +362,8 @@
         // A half-closed connection counts as a disconnected client: its request's future is dropped.
         .h1_allow_half_closed(false)
         .h1(fn_service(move |request| {
-            let door = serve.clone();
-            async move { Ok::<_, std::convert::Infallible>(door.serve(request).await) }
+            let server = serve.clone();
+            async move { Ok::<_, std::convert::Infallible>(server.serve(request).await) }
         }))
         .new_service(());
     let Ok(service) = service.await else { return };
@@ -346,26 +373,26 @@
             // Handed-over connections come first; new ones belong to the successor once it takes them.
             biased;
             Some(connection) = handed_over.recv() => {
-                connection.serve(&door, &service);
+                connection.serve(&server, &service);
                 continue;
             }
-            accepted = door.next_connection(&listener) => accepted,
+            accepted = server.next_connection(&listener) => accepted,
         };
         match accepted {
             Ok((socket, peer)) => {
-                door.update_descriptors(Descriptors::accept_succeeded);
+                server.update_descriptors(Descriptors::accept_succeeded);
                 let _ = socket.set_nodelay(true);
-                let accept_wait_since = door.accept_wait_since.get();
-                serve_connection(&door, &service, socket, peer, accept_wait_since);
+                let accept_wait_since = server.accept_wait_since.get();
+                serve_connection(&server, &service, socket, peer, accept_wait_since);
             }
             // Transient: retried at once.
             Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
             Err(e) => {
                 warn!("can't accept a connection: {e}");
-                door.note_accept_blocked();
+                server.note_accept_blocked();
                 if e.raw_os_error().is_some_and(|code| DESCRIPTORS_EXHAUSTED.contains(&Errno::from_raw(code)))
                 {
-                    door.descriptors_exhausted();
+                    server.descriptors_exhausted();
                 }
                 sleep(Duration::from_millis(10)).await;
             }
@@ -374,58 +401,62 @@
 }
 
 /// A client connection handed over by the previous process.
-pub enum Comes {
+pub enum AdoptedConnection {
     Idle(TcpStream),
     /// The client waits for the answer to this job.
-    Waiting(TcpStream, Rc<Guest>, InvId, oneshot::Receiver<Answer>),
+    Waiting(TcpStream, Rc<ClientConnection>, InvId, oneshot::Receiver<Answer>),
 }
 
-impl Comes {
-    fn serve<S>(self, door: &Rc<Door>, service: &Rc<S>)
+impl AdoptedConnection {
+    fn serve<S>(self, server: &Rc<ClientServer>, service: &Rc<S>)
     where
         S: Service<(Stream, Option<SocketAddr>), Response = ()> + 'static,
         S::Error: std::fmt::Debug,
     {
         let (socket, job) = match self {
-            Comes::Idle(socket) => (socket, None),
-            Comes::Waiting(socket, guest, id, answered) => (socket, Some((guest, id, answered))),
+            AdoptedConnection::Idle(socket) => (socket, None),
+            AdoptedConnection::Waiting(socket, connection, id, answered) => {
+                (socket, Some((connection, id, answered)))
+            }
         };
         match (socket.peer_addr(), job) {
-            (Ok(peer), None) => serve_connection(door, service, socket, peer, None),
-            (Ok(peer), Some((guest, id, answered))) => {
-                let (door, service) = (door.clone(), service.clone());
+            (Ok(peer), None) => serve_connection(server, service, socket, peer, None),
+            (Ok(peer), Some((connection, id, answered))) => {
+                let (server, service) = (server.clone(), service.clone());
                 actix_rt::spawn(async move {
-                    if let Some(socket) = door.answer_pending(socket, (peer, guest), id, answered).await {
-                        serve_connection(&door, &service, socket, peer, None);
+                    if let Some(socket) =
+                        server.answer_pending(socket, (peer, connection), id, answered).await
+                    {
+                        serve_connection(&server, &service, socket, peer, None);
                     }
                 });
             }
             // The client disconnected during the handover.
-            (Err(_), Some((guest, id, _))) => {
-                guest.closed();
-                let _ = door.happenings.send(Happening::Left(id));
+            (Err(_), Some((connection, id, _))) => {
+                connection.set_closed();
+                let _ = server.events.send(DriverEvent::Disconnected(id));
             }
             (Err(_), None) => {}
         }
     }
 }
 
-impl Door {
+impl ClientServer {
     /// Waits for the answer to a handed-over job and writes it. Returns the connection if it stays open.
     async fn answer_pending(
         &self,
         stream: TcpStream,
-        (peer, guest): (SocketAddr, Rc<Guest>),
+        (peer, connection): (SocketAddr, Rc<ClientConnection>),
         id: InvId,
         answered: oneshot::Receiver<Answer>,
     ) -> Option<TcpStream> {
-        let _guard = self.life.request_guard();
+        let _guard = self.node_state.request_guard();
         let mut socket = Socket::new(stream);
-        guest.set_waiting();
-        guest.set_job(id);
-        let own = guest.clone();
-        self.guests.borrow_mut().insert(peer, guest);
-        let mut guard = DisconnectGuard { id, happenings: &self.happenings, answered: false };
+        connection.set_waiting();
+        connection.set_job(id);
+        let own = connection.clone();
+        self.connections.borrow_mut().insert(peer, connection);
+        let mut guard = DisconnectGuard { id, events: &self.events, answered: false };
         let answer = tokio::select! {
             // The close request comes first: once the job is handed over to the next process, the answer's
             // sender is dropped here, which must not become an error response.
@@ -437,13 +468,13 @@
         let kept = match answer {
             Some(answer) => {
                 guard.answered = true;
-                let keep = self.keeps(&answer) && own.is_reusable();
+                let keep = self.keeps_open(&answer) && own.is_reusable();
                 socket.write_all(&answer.bytes(keep)).await.is_ok() && keep
             }
             None => false,
         };
-        own.closed();
-        self.guests.borrow_mut().remove(&peer);
+        own.set_closed();
+        self.connections.borrow_mut().remove(&peer);
         self.connection_ended.notify_one();
         kept.then(|| socket.into_stream())
     }
@@ -452,9 +483,9 @@
 /// Waits until the client has closed the connection, even behind unread bytes. Up to `MAX_UNREAD` such bytes
 /// stay in the kernel's buffer; more are read and discarded, as the close could not arrive behind a full
 /// buffer.
-async fn until_disconnected(socket: &TcpStream, guest: &Guest) {
+async fn until_disconnected(socket: &TcpStream, connection: &ClientConnection) {
     const MAX_UNREAD: usize = 32 * 1024; // Half of the kernel's smallest receive buffer.
-    let poll = || match (guest.has_disconnected(), guest.unread()) {
+    let poll = || match (connection.has_disconnected(), connection.unread()) {
         (true, _) => Ok(true),
         (false, MAX_UNREAD..) => Ok(false),
         (false, _) => Err(std::io::ErrorKind::WouldBlock.into()),
@@ -462,14 +493,14 @@
     let mut scratch = vec![0; MAX_UNREAD];
     // `WouldBlock` makes `async_io` wait for the kernel's next readiness event.
     while let Ok(false) = socket.async_io(Interest::READABLE, poll).await {
-        guest.set_overrun();
+        connection.set_overrun();
         while let Ok(1..) = socket.try_read(&mut scratch) {}
     }
 }
 
 /// Registers the connection and serves it in a task of its own.
 fn serve_connection<S>(
-    door: &Rc<Door>,
+    server: &Rc<ClientServer>,
     service: &Rc<S>,
     socket: TcpStream,
     peer: SocketAddr,
@@ -478,31 +509,33 @@
     S: Service<(Stream, Option<SocketAddr>), Response = ()> + 'static,
     S::Error: std::fmt::Debug,
 {
-    let guest = Rc::new(Guest::new(socket.as_raw_fd()).accept_wait_since(accept_wait_since));
-    door.guests.borrow_mut().insert(peer, guest.clone());
-    let stream = Stream::new(socket, guest.clone());
-    let (door, serving) = (door.clone(), service.call((stream, Some(peer))));
+    let connection = Rc::new(ClientConnection::new(socket.as_raw_fd()).accept_wait_since(accept_wait_since));
+    server.connections.borrow_mut().insert(peer, connection.clone());
+    let stream = Stream::new(socket, connection.clone());
+    let (server, serving) = (server.clone(), service.call((stream, Some(peer))));
     actix_rt::spawn(async move {
         tokio::select! {
             // The close request comes first, so that no request is read in the same poll in which the
             // connection closes.
             biased;
-            () = guest.close.notified() => {}
+            () = connection.close.notified() => {}
             ended = serving => if let Err(e) = ended { debug!("{peer}: {e:?}") },
         }
-        door.guests.borrow_mut().remove(&peer);
-        door.connection_ended.notify_one();
+        server.connections.borrow_mut().remove(&peer);
+        server.connection_ended.notify_one();
     });
 }
 
 /// Periodically closes connections that exceed the request timeout and idle ones: after `MAX_IDLE`, or almost
 /// at once while the node is closing.
-pub async fn sweep(door: Rc<Door>) {
+pub async fn sweep(server: Rc<ClientServer>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
-        door.update_descriptors(|descriptors| descriptors.grow(SWEEP_INTERVAL));
-        let closing = door.life.phase() == Phase::Closing;
+        server.update_descriptors(|descriptors| descriptors.grow(SWEEP_INTERVAL));
+        let closing = server.node_state.phase() == Phase::Closing;
         let idle = if closing { Duration::from_millis(100) } else { MAX_IDLE };
-        door.close_all(|guest| guest.claim() == Claim::Overdue || guest.idle_for(idle));
+        server.close_all(|connection| {
+            connection.eviction_class() == EvictionClass::TimedOut || connection.idle_for(idle)
+        });
     }
 }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -12,31 +12,35 @@
 use actix_http::{Method, Payload, StatusCode};
 use actix_rt::time::{sleep, timeout};
 use coveroute::types::{Outcome, Report, Reports, Sizes, Standing, Told};
-use coveroute_engine::{Call, Figures, ListFigures, Listing, Phase, Reply, Tally, Watched, Word, UNASKED};
+use coveroute_engine::{
+    Call, Figures, ListFigures, Listing, Memory, Phase, Reply, Tally, Watched, Word, UNASKED,
+};
 use coveroute_fleet::Plan;
 use test_case::test_case;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
+use crate::answer::Answer;
 use crate::attempt::{Attempt, AttemptFigures, Deadline};
 use crate::callbacks;
+use crate::client_connection::{Client, ClientConnection, ConnectionState, EvictionClass};
 use crate::clock::{seconds, Clock};
 use crate::config::{self, Config};
 use crate::discovery::{Discovery, ListParser, WatchItem};
 use crate::driver::{Driver, Endpoints};
-use crate::executors::{Links, Patience};
-use crate::fleet::{Carrier, Membership};
-use crate::guest::{Claim, Client, Doing, Guest};
-use crate::happening::{Happening, Happenings, NodeFigures};
+use crate::event::{DriverEvent, EventSender, NodeFigures};
+use crate::executors::{AckTimeouts, ExecutorConnections};
+use crate::fleet::{FleetMember, Membership};
+use crate::handover::HandoverState;
 use crate::hosts::Hosts;
-use crate::logger::{Pace, Turn};
-use crate::operators;
+use crate::link::Message;
+use crate::logger::{Decision, RateLimiter};
+use crate::management;
+use crate::node_state::NodeState;
 use crate::peers::Peers;
-use crate::phase::Life;
 use crate::probe::probe;
-use crate::relay::Answer;
+use crate::request::{self, Job};
 use crate::send;
-use crate::server::{self, Door};
-use crate::take_in::{self, Job};
+use crate::server::{self, ClientServer};
 use crate::validation::Keys;
 use crate::wire;
 
@@ -98,48 +102,61 @@
 }
 
 /// Discovery responds, so the list that the driver knows from before its start is current.
-pub fn followed() -> Happening {
-    Happening::Watch(UNASKED, Watched::Begun)
+pub fn discovery_connected() -> DriverEvent {
+    DriverEvent::Watch(UNASKED, Watched::Begun)
 }
 
 /// A driver that follows a list of executors `s-0`, `s-1`, ... at these addresses.
-pub fn driver(addrs: &[SocketAddr]) -> (Driver, UnboundedReceiver<Happening>, Rc<Life>) {
+pub fn driver(addrs: &[SocketAddr]) -> (Driver, UnboundedReceiver<DriverEvent>, Rc<NodeState>) {
     let entry =
         |(at, addr): (usize, &SocketAddr)| format!(r#"{{"id":"s-{at}","addr":"{addr}","state":"up"}}"#);
     let entries: Vec<String> = addrs.iter().enumerate().map(entry).collect();
-    let (mut driver, _, happens, life) = driver_by(config(&entries.join(",")));
-    driver.happened(followed());
-    (driver, happens, life)
+    let (mut driver, _, event_receiver, node_state) = driver_with_config(config(&entries.join(",")));
+    driver.handle_event(discovery_connected());
+    (driver, event_receiver, node_state)
 }
 
 /// A driver with this configuration, and both ends of its event channel.
-pub fn driver_by(config: Config) -> (Driver, Happenings, UnboundedReceiver<Happening>, Rc<Life>) {
-    let (clock, life, (happenings, happens)) = (Clock::new(), Rc::new(Life::new()), unbounded_channel());
-    let links = Links::new(64, config.dial, config.idle);
-    let driver = Driver::new(config, clock, life.clone(), links, Endpoints::default(), happenings.clone());
-    (driver.expect("a driver"), happenings, happens, life)
+pub fn driver_with_config(
+    config: Config,
+) -> (Driver, EventSender, UnboundedReceiver<DriverEvent>, Rc<NodeState>) {
+    let (clock, node_state, (events, event_receiver)) =
+        (Clock::new(), Rc::new(NodeState::new()), unbounded_channel());
+    let executor_connections = ExecutorConnections::new(64, config.dial, config.idle);
+    let driver = Driver::new(
+        config,
+        clock,
+        node_state.clone(),
+        executor_connections,
+        Endpoints::default(),
+        events.clone(),
+    );
+    (driver.expect("a driver"), events, event_receiver, node_state)
 }
 
 /// The example configuration with these replacements, parsed.
-pub fn changed(pairs: &[(&str, &str)]) -> Config {
-    Config::parse(&changed_text(pairs), config::Environment::default()).expect("valid")
+pub fn config_with(pairs: &[(&str, &str)]) -> Config {
+    Config::parse(&config_text_with(pairs), config::Environment::default()).expect("valid")
 }
 
-fn links(addr: SocketAddr) -> Links {
-    let mut links = Links::new(8, seconds(1.0), seconds(60.0));
-    links.listed(0, addr);
-    links
+fn executor_connections(addr: SocketAddr) -> ExecutorConnections {
+    let mut executor_connections = ExecutorConnections::new(8, seconds(1.0), seconds(60.0));
+    executor_connections.set_address(0, addr);
+    executor_connections
 }
 
 /// The last reply to a forward, leaving out `Unheard`.
-async fn forward(links: &mut Links, taken: Duration) -> Option<Reply> {
-    forwarded(links, Patience { heard: taken, taken }).await.into_iter().rfind(|told| *told != Reply::Unheard)
+async fn forward(executor_connections: &mut ExecutorConnections, give_up_after: Duration) -> Option<Reply> {
+    forwarded(executor_connections, AckTimeouts { report_after: give_up_after, give_up_after })
+        .await
+        .into_iter()
+        .rfind(|told| *told != Reply::Unheard)
 }
 
 /// A deadline in one second.
 pub fn soon() -> Deadline {
     let soon = Instant::now() + seconds(1.0);
-    Deadline::at(soon, soon)
+    Deadline::new(soon, soon)
 }
 
 /// An attempt without a connected client, due in one second.
@@ -147,15 +164,19 @@
     Rc::new(Attempt::new((0, 0), soon(), None, Rc::default()))
 }
 
-async fn forwarded(links: &mut Links, patience: Patience) -> Vec<Reply> {
-    attempted(links, patience, attempt()).await
+async fn forwarded(executor_connections: &mut ExecutorConnections, timeouts: AckTimeouts) -> Vec<Reply> {
+    attempted(executor_connections, timeouts, attempt()).await
 }
 
-async fn attempted(links: &mut Links, patience: Patience, attempt: Rc<Attempt>) -> Vec<Reply> {
+async fn attempted(
+    executor_connections: &mut ExecutorConnections,
+    timeouts: AckTimeouts,
+    attempt: Rc<Attempt>,
+) -> Vec<Reply> {
     let told = RefCell::new(Vec::new());
-    let lease = links.lease(0).expect("a connection");
+    let lease = executor_connections.lease(0).expect("a connection");
     let tell = |reply| told.borrow_mut().push(reply);
-    send::forward(lease, &job("c", "look", 1.0, 0.0), attempt, patience, tell).await;
+    send::forward(lease, &job("c", "look", 1.0, 0.0), attempt, timeouts, tell).await;
     told.into_inner()
 }
 
@@ -167,9 +188,9 @@
     let (addr, _executor) = executor("body", &[""]);
     let (passed, ahead) = (Instant::now(), Instant::now() + seconds(5.0));
     let of = |holds| if holds { ahead } else { passed };
-    let attempt = Rc::new(Attempt::new((0, 0), Deadline::at(of(client), of(decision)), None, Rc::default()));
-    let patience = Patience { heard: 9000 * MS, taken: 9000 * MS };
-    let told = block(async { attempted(&mut links(addr), patience, attempt).await });
+    let attempt = Rc::new(Attempt::new((0, 0), Deadline::new(of(client), of(decision)), None, Rc::default()));
+    let timeouts = AckTimeouts { report_after: 9000 * MS, give_up_after: 9000 * MS };
+    let told = block(async { attempted(&mut executor_connections(addr), timeouts, attempt).await });
     assert_eq!(told.last(), Some(&ended(expected)), "{told:?}");
     assert_eq!(told.contains(&Reply::Written), expected == Outcome::Reset);
 }
@@ -177,8 +198,8 @@
 #[test]
 fn an_unacknowledged_job_is_reported_and_then_given_up() {
     let (addr, _executor) = executor("body", &["HTTP/1.1 20"]);
-    let patience = Patience { heard: 50 * MS, taken: 100 * MS };
-    let told = block(async { forwarded(&mut links(addr), patience).await });
+    let timeouts = AckTimeouts { report_after: 50 * MS, give_up_after: 100 * MS };
+    let told = block(async { forwarded(&mut executor_connections(addr), timeouts).await });
     assert_eq!(told, [Reply::Written, Reply::Unheard, ended(Outcome::TimedOut)]);
 }
 
@@ -196,7 +217,7 @@
 #[test_case(&["HTTP/1.1 20"], Some(ended(Outcome::TimedOut)); "half an answer, so the job may have run")]
 fn replies_follow_from_the_exchange(answers: &'static [&'static str], expected: Option<Reply>) {
     let (addr, executor) = executor("body", answers);
-    let reply = block(async { forward(&mut links(addr), seconds(1.0)).await });
+    let reply = block(async { forward(&mut executor_connections(addr), seconds(1.0)).await });
     assert_eq!(reply, expected);
     assert_eq!(executor.join().expect("counts"), (1, 1));
 }
@@ -208,7 +229,7 @@
 #[test]
 fn a_refused_connection_is_unreachable() {
     let addr = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port");
-    let reply = block(async { forward(&mut links(addr), seconds(1.0)).await });
+    let reply = block(async { forward(&mut executor_connections(addr), seconds(1.0)).await });
     assert_eq!(reply, Some(ended(Outcome::Unreachable)));
 }
 
@@ -220,7 +241,7 @@
     let connect = |_| std::net::TcpStream::connect_timeout(&addr, Duration::from_millis(20)).ok();
     let _queue: Vec<_> = (0..5000).map_while(connect).collect();
     let begun = Instant::now();
-    let reply = block(async { forward(&mut links(addr), seconds(5.0)).await });
+    let reply = block(async { forward(&mut executor_connections(addr), seconds(5.0)).await });
     assert_eq!(reply, Some(ended(Outcome::Unreachable)));
     assert!(begun.elapsed() < seconds(4.0), "{:?}", begun.elapsed());
 }
@@ -231,9 +252,9 @@
 fn connections_are_reused(answers: &'static [&'static str], counts: (u32, u32)) {
     let (addr, executor) = executor("body", answers);
     let replies = block(async {
-        let (mut links, mut replies) = (links(addr), Vec::new());
+        let (mut executor_connections, mut replies) = (executor_connections(addr), Vec::new());
         for _ in answers {
-            replies.extend(forward(&mut links, seconds(1.0)).await);
+            replies.extend(forward(&mut executor_connections, seconds(1.0)).await);
             actix_rt::time::sleep(seconds(0.2)).await;
         }
         replies
@@ -244,38 +265,48 @@
 
 #[test]
 fn connections_stay_within_the_total_limit() {
-    let mut links = Links::new(2, seconds(1.0), seconds(60.0));
+    let mut executor_connections = ExecutorConnections::new(2, seconds(1.0), seconds(60.0));
     let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    (0..3).for_each(|tgt| links.listed(tgt, addr(9000 + tgt as u16)));
-    let (first, second) = (links.lease(0), links.lease(1));
-    assert!(first.is_some() && second.is_some() && links.lease(2).is_none(), "two are in use");
+    (0..3).for_each(|tgt| executor_connections.set_address(tgt, addr(9000 + tgt as u16)));
+    let (first, second) = (executor_connections.lease(0), executor_connections.lease(1));
+    assert!(first.is_some() && second.is_some() && executor_connections.lease(2).is_none(), "two are in use");
     drop(second);
-    assert!(links.lease(2).is_some(), "an idle one makes room");
-    links.gone(0);
-    assert!(links.lease(0).is_none() && links.lease(7).is_none(), "no address, no connection");
+    assert!(executor_connections.lease(2).is_some(), "an idle one makes room");
+    executor_connections.remove(0);
+    assert!(
+        executor_connections.lease(0).is_none() && executor_connections.lease(7).is_none(),
+        "no address, no connection"
+    );
 }
 
 #[test]
 fn idle_connections_are_closed_for_new_ones() {
     // Guards against counting connections of executors that are busy again as idle, and against connections of
     // removed or moved executors using up the limit.
-    let mut links = Links::new(3, seconds(1.0), seconds(60.0));
+    let mut executor_connections = ExecutorConnections::new(3, seconds(1.0), seconds(60.0));
     let addr = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
-    (0..6).for_each(|tgt| links.listed(tgt, addr(9000 + tgt)));
-    let (one, two, three) = (links.lease(0), links.lease(1), links.lease(2));
+    (0..6).for_each(|tgt| executor_connections.set_address(tgt, addr(9000 + tgt)));
+    let (one, two, three) =
+        (executor_connections.lease(0), executor_connections.lease(1), executor_connections.lease(2));
     drop((two, one));
-    let two = links.lease(1);
-    let four = links.lease(3).expect("the first is idle, the second no more");
-    assert!(links.lease(4).is_none(), "three are in use");
-    links.gone(2);
-    let five = links.lease(4).expect("one has gone");
+    let two = executor_connections.lease(1);
+    let four = executor_connections.lease(3).expect("the first is idle, the second no more");
+    assert!(executor_connections.lease(4).is_none(), "three are in use");
+    executor_connections.remove(2);
+    let five = executor_connections.lease(4).expect("one has gone");
     drop((three, five, two));
-    links.listed(4, addr(9500));
-    let (six, seven) = (links.lease(5), links.lease(4));
-    assert!(six.is_some() && seven.is_some() && links.lease(0).is_none(), "one has moved, one was idle");
+    executor_connections.set_address(4, addr(9500));
+    let (six, seven) = (executor_connections.lease(5), executor_connections.lease(4));
+    assert!(
+        six.is_some() && seven.is_some() && executor_connections.lease(0).is_none(),
+        "one has moved, one was idle"
+    );
     drop((four, six));
-    let (eight, nine) = (links.lease(0), links.lease(1));
-    assert!(eight.is_some() && nine.is_some() && links.lease(3).is_none(), "both idle ones made room");
+    let (eight, nine) = (executor_connections.lease(0), executor_connections.lease(1));
+    assert!(
+        eight.is_some() && nine.is_some() && executor_connections.lease(3).is_none(),
+        "both idle ones made room"
+    );
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":2}", Outcome::Succeeded, Some(2.0); "a report")]
@@ -284,7 +315,7 @@
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{\"x0\"", Outcome::TimedOut, None; "an incomplete answer")]
 fn probe_answers_are_classified(answer: &'static str, outcome: Outcome, free: Option<f64>) {
     let (addr, _executor) = executor("\r\n\r\n", Box::leak(Box::new([answer])));
-    let lease = links(addr).lease(0).expect("a connection");
+    let lease = executor_connections(addr).lease(0).expect("a connection");
     let told = block(probe(lease, true, seconds(1.0)));
     assert_eq!((told.0, told.1.free), (outcome, free));
 }
@@ -298,10 +329,10 @@
 fn a_probe_survives_a_reset(answers: &'static [&'static str], probes: usize, outcome: Outcome) {
     let (addr, _executor) = executor("\r\n\r\n", answers);
     let told = block(async {
-        let mut links = links(addr);
+        let mut executor_connections = executor_connections(addr);
         let mut told = Outcome::Moot;
         for _ in 0..probes {
-            told = probe(links.lease(0).expect("a connection"), true, seconds(1.0)).await.0;
+            told = probe(executor_connections.lease(0).expect("a connection"), true, seconds(1.0)).await.0;
         }
         told
     });
@@ -325,7 +356,7 @@
 #[test]
 fn a_rejection_includes_the_load_report() {
     let (addr, _executor) = executor("body", &[FULL]);
-    let reply = block(async { forward(&mut links(addr), seconds(1.0)).await });
+    let reply = block(async { forward(&mut executor_connections(addr), seconds(1.0)).await });
     assert_eq!(reply, Some(Reply::Ended(Outcome::Full, Report { free: Some(2.0), ..Report::default() })));
 }
 
@@ -356,7 +387,7 @@
 #[test]
 fn a_job_keeps_its_bytes() {
     let headers = [ID, BUDGET, ("x-call-cost", "1500"), ("x-call-info", "slots=1, memory=0.5")];
-    let job = block(take_in::job(request(&headers, b"\xff\0"), 3.0)).expect("a job");
+    let job = block(request::read_job(request(&headers, b"\xff\0"), 3.0)).expect("a job");
     assert_eq!((job.target.as_str(), &job.body[..]), ("/look/a%20b?c=%2F", &b"\xff\0"[..]));
     assert_eq!((&*job.call.class, job.call.budget, job.call.came), ("look", 0.48, 3.0));
     assert_eq!((job.call.hint, job.call.memory), (Some(0.0015), Some(0.5)));
@@ -368,7 +399,7 @@
     let mut request = request(&[ID, BUDGET], b"");
     let name = HeaderValue::from_bytes("rederi-åbo".as_bytes()).expect("a value");
     request.headers_mut().insert(HeaderName::from_static(wire::CALLER), name);
-    let job = block(take_in::job(request, 0.0)).expect("a job");
+    let job = block(request::read_job(request, 0.0)).expect("a job");
     assert_eq!(job.call.caller.as_deref(), Some("rederi-åbo"));
 }
 
@@ -384,32 +415,32 @@
 #[test_case(&[ID, ID, BUDGET], 400; "two ids")]
 #[test_case(&[ID, BUDGET, ("x-call-class", "pay")], 400; "a path for another operation")]
 fn invalid_requests_are_rejected(headers: &[(&'static str, &'static str)], status: u16) {
-    let told = block(take_in::job(request(headers, b""), 0.0)).expect_err("an answer");
-    assert!(matches!(told, Answer::Unfit(s, _) if s.as_u16() == status), "{told:?}");
+    let told = block(request::read_job(request(headers, b""), 0.0)).expect_err("an answer");
+    assert!(matches!(told, Answer::Invalid(s, _) if s.as_u16() == status), "{told:?}");
 }
 
-#[test_case(wire::BODY_MOST, true; "the maximum is accepted")]
-#[test_case(wire::BODY_MOST + 1, false; "one more byte is not")]
+#[test_case(wire::MAX_BODY_BYTES, true; "the maximum is accepted")]
+#[test_case(wire::MAX_BODY_BYTES + 1, false; "one more byte is not")]
 fn body_size_is_limited(size: usize, fits: bool) {
     let payload = TestRequest::default().set_payload(vec![0; size]).finish().into_parts().1;
     let mut headers = HeaderMap::new();
-    assert_eq!(block(take_in::body(payload, &headers, wire::BODY_MOST)).is_ok(), fits);
+    assert_eq!(block(request::read_body(payload, &headers, wire::MAX_BODY_BYTES)).is_ok(), fits);
     // A body that is too large by its declared length is rejected before it arrives.
     headers.insert(CONTENT_LENGTH, HeaderValue::from(size));
-    assert_eq!(block(take_in::body(Payload::None, &headers, wire::BODY_MOST)).is_ok(), fits);
+    assert_eq!(block(request::read_body(Payload::None, &headers, wire::MAX_BODY_BYTES)).is_ok(), fits);
 }
 
 const MS: Duration = Duration::from_millis(1);
 
-#[test_case(Doing::Silent, 100, Claim::Owed; "it has just connected")]
-#[test_case(Doing::Silent, 300, Claim::None; "it has sent nothing")]
-#[test_case(Doing::Asking, 300, Claim::None; "its request is slow")]
-#[test_case(Doing::Asking, 2500, Claim::Overdue; "its request is overdue")]
-#[test_case(Doing::Resting, 2500, Claim::Rested; "it has had its answer")]
-#[test_case(Doing::Resting, 100, Claim::Owed; "its answer may still be in transit")]
-#[test_case(Doing::Waiting, 9000, Claim::Owed; "its answer is pending")]
-fn connections_with_a_pending_answer_are_kept(doing: Doing, age: u32, expected: Claim) {
-    assert_eq!(Guest::since_long(doing, age * MS).claim(), expected);
+#[test_case(ConnectionState::Connected, 100, EvictionClass::Protected; "it has just connected")]
+#[test_case(ConnectionState::Connected, 300, EvictionClass::NoRequest; "it has sent nothing")]
+#[test_case(ConnectionState::ReadingRequest, 300, EvictionClass::NoRequest; "its request is slow")]
+#[test_case(ConnectionState::ReadingRequest, 2500, EvictionClass::TimedOut; "its request is overdue")]
+#[test_case(ConnectionState::Idle, 2500, EvictionClass::Idle; "it has had its answer")]
+#[test_case(ConnectionState::Idle, 100, EvictionClass::Protected; "its answer may still be in transit")]
+#[test_case(ConnectionState::AwaitingAnswer, 9000, EvictionClass::Protected; "its answer is pending")]
+fn connections_with_a_pending_answer_are_kept(state: ConnectionState, age: u32, expected: EvictionClass) {
+    assert_eq!(ClientConnection::with_age(state, age * MS).eviction_class(), expected);
 }
 
 const HEAD: &str = "POST /look HTTP/1.1\r\nHost: b\r\nX-Call-Id: 1\r\nX-Budget-Ms: 900\r\n";
@@ -441,11 +472,35 @@
     assert!(took < seconds(2.9) && taken == 0, "closed after {took:?}, {taken} taken");
 }
 
+// The two processes of a replacement may be of different releases, which must agree on these names.
+#[test]
+fn link_messages_keep_their_serialized_names() {
+    let clock = Clock::new().reading();
+    let state = HandoverState::of(([127, 0, 0, 1], 1).into(), Memory::default(), clock);
+    let text = |message: &Message| serde_json::to_value(message).expect("JSON");
+    assert_eq!(text(&Message::Hello(1)), serde_json::json!({"Hello": 1}));
+    assert_eq!(text(&Message::Serving), "Serves");
+    assert_eq!(text(&Message::Stopped), "Stopped");
+    assert_eq!(text(&Message::IdleConnection), "Guest");
+    assert_eq!(text(&Message::ExecutorReport(1, "b".into())), serde_json::json!({"News": [1, "b"]}));
+    assert_eq!(text(&Message::ReportReply(1, true)), serde_json::json!({"Heard": [1, true]}));
+    let state = text(&Message::State(Box::new(state), 2));
+    let keys = |value: &serde_json::Value| -> Vec<String> {
+        value.as_object().expect("an object").keys().cloned().collect()
+    };
+    assert_eq!((keys(&state), &state["Handed"][1]), (vec!["Handed".to_owned()], &2.into()));
+    assert_eq!(keys(&state["Handed"][0]), ["clock", "discovery", "memory"]);
+    assert_eq!(keys(&state["Handed"][0]["clock"]), ["shown", "steady"]);
+}
+
 #[test]
 fn log_lines_are_rate_limited() {
-    let mut pace = Pace { second: 7, lines: 0 };
-    let written = (0..500).filter(|_| pace.turn(7) == Turn::Written).count();
-    assert_eq!((written, pace.turn(8), pace.turn(8)), (100, Turn::WrittenAfter(400), Turn::Written));
+    let mut limiter = RateLimiter { second: 7, lines: 0 };
+    let written = (0..500).filter(|_| limiter.decide(7) == Decision::Written).count();
+    assert_eq!(
+        (written, limiter.decide(8), limiter.decide(8)),
+        (100, Decision::WrittenAfter(400), Decision::Written)
+    );
 }
 
 /// Runs a client against a server with two client slots and one extra slot; returns the client's result.
@@ -458,17 +513,17 @@
     client: impl FnOnce(SocketAddr) -> T + Send + 'static,
 ) -> (T, usize) {
     block(async {
-        let (clock, life, (happenings, mut happens)) =
-            (Clock::new(), Rc::new(Life::new()), unbounded_channel());
-        life.set(Phase::Serving);
-        let door = Rc::new(Door::new(clock, life, happenings, (2, 1)));
-        actix_rt::spawn(server::sweep(door.clone()));
+        let (clock, node_state, (events, mut event_receiver)) =
+            (Clock::new(), Rc::new(NodeState::new()), unbounded_channel());
+        node_state.set_phase(Phase::Serving);
+        let server = Rc::new(ClientServer::new(clock, node_state, events, (2, 1)));
+        actix_rt::spawn(server::sweep(server.clone()));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        actix_rt::spawn(server::accept(listener, door, unbounded_channel().1));
+        actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
         let made = actix_rt::task::spawn_blocking(move || client(addr)).await.expect("a client");
-        let taken = |what: &Happening| matches!(what, Happening::Taken(..));
-        (made, std::iter::from_fn(|| happens.try_recv().ok()).filter(taken).count())
+        let taken = |what: &DriverEvent| matches!(what, DriverEvent::Accepted(..));
+        (made, std::iter::from_fn(|| event_receiver.try_recv().ok()).filter(taken).count())
     })
 }
 
@@ -476,13 +531,16 @@
 #[test_case(Phase::Leaving, [true, true, false]; "from one that is stopping, except for jobs that it gives back")]
 #[test_case(Phase::Closing, [false; 3]; "not from one that is closing")]
 fn connections_can_be_used_again(phase: Phase, kept: [bool; 3]) {
-    let life = Rc::new(Life::new());
-    life.set(phase);
-    let door = Door::new(Clock::new(), life, unbounded_channel().0, (2, 1));
+    let node_state = Rc::new(NodeState::new());
+    node_state.set_phase(phase);
+    let server = ClientServer::new(Clock::new(), node_state, unbounded_channel().0, (2, 1));
     let throttled = [0.5, 0.0].map(|pause| Answer::Throttled { pause });
-    let [later, at_once] = throttled.each_ref().map(|answer| door.keeps(answer));
-    assert_eq!([door.keeps(&Answer::Succeeded("r".into())), later, at_once], kept);
-    assert!(!door.keeps(&Answer::Unfit(StatusCode::CONFLICT, "")), "closed after an invalid request");
+    let [later, at_once] = throttled.each_ref().map(|answer| server.keeps_open(answer));
+    assert_eq!([server.keeps_open(&Answer::Succeeded("r".into())), later, at_once], kept);
+    assert!(
+        !server.keeps_open(&Answer::Invalid(StatusCode::CONFLICT, "")),
+        "closed after an invalid request"
+    );
 }
 
 const ODD_NEWS: &str = "POST /_jobs/news HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\n\r\n{";
@@ -626,11 +684,11 @@
 fn a_watch_without_a_complete_item_times_out(chunks: &'static [&'static str]) {
     let (addr, told) = discovery_service(vec![(chunks.to_vec(), true)]);
     block(async move {
-        let (happenings, mut happens) = unbounded_channel();
-        Discovery::new(addr, happenings).follow(1, 0);
+        let (events, mut event_receiver) = unbounded_channel();
+        Discovery::new(addr, events).follow(1, 0);
         let lost = timeout(seconds(4.0), async {
-            while let Some(what) = happens.recv().await {
-                if matches!(what, Happening::Watch(1, coveroute_engine::Watched::Lost(_))) {
+            while let Some(what) = event_receiver.recv().await {
+                if matches!(what, DriverEvent::Watch(1, coveroute_engine::Watched::Lost(_))) {
                     return;
                 }
             }
@@ -646,16 +704,16 @@
     const DRAINING_LIST: &str = "{\n  \"version\": 2,\n  \"full\": true,\n  \"servers\": [\n    {\"id\": \"s\",\n\"addr\": \"127.0.0.1:1\", \"state\": \"draining\"}\n  ]\n}\n";
     let (addr, told) =
         discovery_service(vec![(vec![], false), (vec!["\n"], false), (vec![DRAINING_LIST], true)]);
-    let config = changed(&[PUSHED, ("127.0.0.1:8500", &addr.to_string())]);
+    let config = config_with(&[PUSHED, ("127.0.0.1:8500", &addr.to_string())]);
     let (phase, took) = block(async move {
-        let (driver, _, happens, life) = driver_by(config);
-        let driver = actix_rt::spawn(driver.run(happens));
+        let (driver, _, event_receiver, node_state) = driver_with_config(config);
+        let driver = actix_rt::spawn(driver.run(event_receiver));
         let begun = Instant::now();
-        while life.phase() != Phase::Serving && begun.elapsed() < seconds(5.0) {
+        while node_state.phase() != Phase::Serving && begun.elapsed() < seconds(5.0) {
             sleep(5 * MS).await;
         }
         driver.abort();
-        (life.phase(), begun.elapsed())
+        (node_state.phase(), begun.elapsed())
     });
     assert_eq!(phase, Phase::Serving, "the list on the third call has not come in {took:?}");
     let calls: Vec<_> = told.iter().take(3).collect();
@@ -727,14 +785,14 @@
 #[test]
 fn the_signal_to_reload_does_not_end_the_node() {
     block(async {
-        let (happenings, mut happens) = unbounded_channel();
+        let (events, mut event_receiver) = unbounded_channel();
         let files = crate::Files { config: Some("no such file".into()), fleet: None, member: None };
-        actix_rt::spawn(crate::signals(happenings, files).expect("signals"));
+        actix_rt::spawn(crate::signals(events, files).expect("signals"));
         let told =
             std::process::Command::new("kill").args(["-HUP", &std::process::id().to_string()]).status();
         assert!(told.is_ok_and(|told| told.success()));
-        let event = timeout(seconds(9.0), happens.recv()).await;
-        assert!(matches!(event, Ok(Some(Happening::Reload(Err(_), _)))));
+        let event = timeout(seconds(9.0), event_receiver.recv()).await;
+        assert!(matches!(event, Ok(Some(DriverEvent::Reload(Err(_), _)))));
     });
 }
 
@@ -747,7 +805,7 @@
 }
 
 /// The example configuration's text with these replacements.
-fn changed_text(pairs: &[(&str, &str)]) -> String {
+fn config_text_with(pairs: &[(&str, &str)]) -> String {
     pairs.iter().fold(CONFIG.to_owned(), |text, (old, new)| {
         assert!(text.contains(old), "{old}");
         text.replace(old, new)
@@ -776,8 +834,8 @@
 #[test_case(&[WITH_HINTS, ("\"seed\":", "\"peers\": [], \"seed\":")], "peers: 0 addresses for 1 nodes"; "too few addresses")]
 #[test_case(&[("\"me\": 0", "\"me\": 3")], "settings.me: 3"; "a node number out of range")]
 fn inconsistent_settings_are_rejected_by_key(pairs: &[(&str, &str)], words: &str) {
-    let told =
-        Config::parse(&changed_text(pairs), config::Environment::default()).expect_err("an inconsistency");
+    let told = Config::parse(&config_text_with(pairs), config::Environment::default())
+        .expect_err("an inconsistency");
     assert!(told.starts_with(words) && !told.contains('\n'), "{told}");
 }
 
@@ -786,7 +844,7 @@
 #[test_case(&[PUSHED, NO_REPORTS[0], NO_REPORTS[2]], (false, false, true, Sizes::Listed); "pushed, probes without reports")]
 #[test_case(&[PUSHED, WITH_HINTS, WITH_ADDRESSES], (false, true, true, Sizes::Never); "pushed, hints between nodes")]
 fn every_deployment_type_is_supported(pairs: &[(&str, &str)], expected: (bool, bool, bool, Sizes)) {
-    let config = Config::parse(&changed_text(pairs), config::Environment::default()).expect("valid");
+    let config = Config::parse(&config_text_with(pairs), config::Environment::default()).expect("valid");
     let set = &config.settings;
     assert_eq!((set.must_ask, set.peers, set.probing, set.sizes), expected);
     assert_eq!((config.pushed_by().is_some(), set.only_draining), (!set.must_ask, false));
@@ -810,18 +868,18 @@
     });
     let known = format!("\"servers\": [{{\"id\":\"s\",\"addr\":\"{addr}\",\"state\":\"up\"}}]");
     let config =
-        changed(&[pairs, &[("\"servers\": []", &known), ("127.0.0.1:8500", "127.0.0.1:1")]].concat());
+        config_with(&[pairs, &[("\"servers\": []", &known), ("127.0.0.1:8500", "127.0.0.1:1")]].concat());
     assert_eq!((config.settings.reports, config.settings.probing), expected);
     let sent = block(async move {
-        let (mut driver, happenings, happens, _) = driver_by(config);
-        driver.happened(followed());
+        let (mut driver, events, event_receiver, _) = driver_with_config(config);
+        driver.handle_event(discovery_connected());
         let (answer, _answered) = tokio::sync::oneshot::channel();
-        let _ = happenings.send(Happening::Taken(
+        let _ = events.send(DriverEvent::Accepted(
             7,
             Box::new(job("c", "look", 3.0, Clock::new().now())),
-            Client { answer, guest: None },
+            Client { answer, connection: None },
         ));
-        let driver = actix_rt::spawn(driver.run(happens));
+        let driver = actix_rt::spawn(driver.run(event_receiver));
         let sent = actix_rt::task::spawn_blocking(move || came.recv_timeout(seconds(2.0)));
         let sent = sent.await.expect("a word");
         driver.abort();
@@ -837,14 +895,14 @@
 fn the_drain_rule_is_read_in_the_simulators_format() {
     let rule = ("\"overloadFactor\"", "\"onlyDrainingBinds\": true, \"overloadFactor\"");
     assert!(
-        Config::parse(&changed_text(&[rule]), config::Environment::default())
+        Config::parse(&config_text_with(&[rule]), config::Environment::default())
             .expect("valid")
             .settings
             .only_draining
     );
     let (at, odd) = (rule.0, "\"onlyDrainingBinds\": \"perhaps\", \"overloadFactor\"");
-    let told =
-        Config::parse(&changed_text(&[(at, odd)]), config::Environment::default()).expect_err("no such rule");
+    let told = Config::parse(&config_text_with(&[(at, odd)]), config::Environment::default())
+        .expect_err("no such rule");
     assert!(!told.contains('\n') && told.contains("perhaps"), "{told}");
 }
 
@@ -861,8 +919,10 @@
     rules: &str,
     expected: Result<Option<(f64, f64, f64)>, &str>,
 ) {
-    let told =
-        Config::parse(&changed_text(&[(RULE, &format!("{rules}{RULE}"))]), config::Environment::default());
+    let told = Config::parse(
+        &config_text_with(&[(RULE, &format!("{rules}{RULE}"))]),
+        config::Environment::default(),
+    );
     match (told, expected) {
         (Ok(config), Ok(budget)) => {
             assert_eq!(config.settings.budget.map(|b| (b.floor, b.share, b.span)), budget)
@@ -875,7 +935,7 @@
 #[test]
 fn late_shedding_and_ask_within_are_read() {
     let set = |rules: &str| {
-        let text = changed_text(&[(RULE, &format!("{rules}{RULE}"))]);
+        let text = config_text_with(&[(RULE, &format!("{rules}{RULE}"))]);
         Config::parse(&text, config::Environment::default()).expect("valid").settings
     };
     let (plain, late) = (set(""), set("\"lateShedding\": true, \"askWithin\": 5000, "));
@@ -888,20 +948,20 @@
 
 /// Sends a list to a node with this registry mode and discovery address; returns its answer and whether it then serves.
 fn pushed(mode: &str, discovery: &str, method: &'static str, list: &'static str) -> (String, bool) {
-    let config = changed(&[("on_request", mode), ("127.0.0.1:8500", discovery)]);
+    let config = config_with(&[("on_request", mode), ("127.0.0.1:8500", discovery)]);
     block(async move {
-        let (mut driver, happenings, mut happens, life) = driver_by(config);
-        let door = Rc::new(Door::new(Clock::new(), life.clone(), happenings, (2, 1)));
+        let (mut driver, events, mut event_receiver, node_state) = driver_with_config(config);
+        let server = Rc::new(ClientServer::new(Clock::new(), node_state.clone(), events, (2, 1)));
         let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        actix_rt::spawn(server::accept(listener, door, unbounded_channel().1));
+        actix_rt::spawn(server::accept(listener, server, unbounded_channel().1));
         let request = format!(
             "{method} /discovery/hosts HTTP/1.1\r\nHost: n\r\nContent-Length: {}\r\n\r\n{list}",
             list.len()
         );
         let answer = actix_rt::task::spawn_blocking(move || ask(addr, &request)).await.expect("an answer");
-        std::iter::from_fn(|| happens.try_recv().ok()).for_each(|what| driver.happened(what));
-        (answer, life.phase() == Phase::Serving)
+        std::iter::from_fn(|| event_receiver.try_recv().ok()).for_each(|event| driver.handle_event(event));
+        (answer, node_state.phase() == Phase::Serving)
     })
 }
 
@@ -926,11 +986,12 @@
 #[test_case(&[], [127, 0, 0, 1]; "the registry mode only changes at a restart")]
 fn a_reload_changes_only_the_host_that_may_push(pairs: &[(&str, &str)], expected: [u8; 4]) {
     block(async {
-        let (mut driver, _, _happens, life) = driver_by(changed(&[PUSHED]));
-        driver.happened(Happening::Reload(Err("settings.weights: heavy is not one of ...".into()), None));
-        assert_eq!(life.lists_from(), Some([127, 0, 0, 1].into()), "an invalid file");
-        driver.happened(Happening::Reload(Ok(Box::new(changed(pairs))), None));
-        assert_eq!((life.lists_from(), life.phase()), (Some(expected.into()), Phase::Starting));
+        let (mut driver, _, _event_receiver, node_state) = driver_with_config(config_with(&[PUSHED]));
+        driver
+            .handle_event(DriverEvent::Reload(Err("settings.weights: heavy is not one of ...".into()), None));
+        assert_eq!(node_state.lists_from(), Some([127, 0, 0, 1].into()), "an invalid file");
+        driver.handle_event(DriverEvent::Reload(Ok(Box::new(config_with(pairs))), None));
+        assert_eq!((node_state.lists_from(), node_state.phase()), (Some(expected.into()), Phase::Starting));
     });
 }
 
@@ -940,7 +1001,7 @@
     assert_eq!(Listing::from(hosts).hosts[0].size, 3.5);
     let told = |extra: &[(&'static str, &'static str)]| {
         let headers = [&[ID, BUDGET], extra].concat();
-        let job = block(take_in::job(request(&headers, b""), 0.0)).expect("valid");
+        let job = block(request::read_job(request(&headers, b""), 0.0)).expect("valid");
         (job.call.key, job.call.again)
     };
     let [one, same, another] =
@@ -958,19 +1019,22 @@
         let addrs: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
         drop(sockets);
         let nodes = addrs[..2].to_vec();
-        let ((happenings, mut happens), other) = (unbounded_channel(), unbounded_channel().0);
+        let ((events, mut event_receiver), other) = (unbounded_channel(), unbounded_channel().0);
         let own = |at: usize| std::net::UdpSocket::bind(addrs[at]).expect("a port");
-        let mut first = Peers::new(0, nodes.clone(), own(0), happenings, None).expect("a port");
+        let mut first = Peers::new(0, nodes.clone(), own(0), events, None).expect("a port");
         let second = Peers::new(1, nodes, own(1), other, None).expect("a port");
         first.set_receiving(true);
         let stranger = std::net::UdpSocket::bind(addrs[2]).expect("a port");
         stranger.send_to(b"h00000109", addrs[0]).expect("sent");
         second.send(0, Told::Held, 0xab, 4);
         second.send(1, Told::Held, 0xab, 5);
-        let heard = timeout(seconds(9.0), happens.recv()).await.expect("in time");
-        assert!(matches!(heard, Some(Happening::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })));
+        let heard = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
+        assert!(matches!(
+            heard,
+            Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
+        ));
         assert!(
-            timeout(seconds(0.1), happens.recv()).await.is_err(),
+            timeout(seconds(0.1), event_receiver.recv()).await.is_err(),
             "neither from a stranger nor to itself"
         );
         drop(first);
@@ -987,26 +1051,29 @@
             addrs[0], addrs[1]
         );
         let plan = Plan::parse(&text).expect("valid");
-        let (happenings, mut happens) = unbounded_channel();
+        let (events, mut event_receiver) = unbounded_channel();
         let mut peers = Vec::new();
         for (at, name) in ["a", "b"].into_iter().enumerate() {
             let socket = std::net::UdpSocket::bind(addrs[at]).expect("a port");
             let membership = Membership { path: "f".into(), name: name.into() };
-            let own = (socket.try_clone().expect("a socket"), Rc::new(Life::new()), happenings.clone());
-            let carrier =
-                Rc::new(Carrier::new(&membership, plan.clone(), Vec::new(), own).expect("a member"));
-            actix_rt::spawn(carrier.clone().run());
-            let mut one = Peers::new(at, addrs.clone(), socket, happenings.clone(), Some(carrier.clone()))
+            let own = (socket.try_clone().expect("a socket"), Rc::new(NodeState::new()), events.clone());
+            let fleet_member =
+                Rc::new(FleetMember::new(&membership, plan.clone(), Vec::new(), own).expect("a member"));
+            actix_rt::spawn(fleet_member.clone().run());
+            let mut one = Peers::new(at, addrs.clone(), socket, events.clone(), Some(fleet_member.clone()))
                 .expect("a port");
             one.set_receiving(true);
-            peers.push((one, carrier));
+            peers.push((one, fleet_member));
         }
         sleep(seconds(1.0)).await;
         peers[1].0.send(0, Told::Held, 0xab, 4);
-        let heard = timeout(seconds(9.0), happens.recv()).await.expect("in time");
-        assert!(matches!(heard, Some(Happening::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })));
-        let shown = serde_json::to_value(peers[0].1.shown()).expect("figures");
-        assert_eq!((&shown["states"]["b"], &shown["dropped"]), (&"alive".into(), &serde_json::json!({})));
+        let heard = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
+        assert!(matches!(
+            heard,
+            Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
+        ));
+        let figures = serde_json::to_value(peers[0].1.figures()).expect("figures");
+        assert_eq!((&figures["states"]["b"], &figures["dropped"]), (&"alive".into(), &serde_json::json!({})));
     });
 }
 
@@ -1016,12 +1083,15 @@
 }
 
 /// A node's operator endpoint, and the events for the driver.
-async fn operator_endpoint(life: &Rc<Life>) -> (SocketAddr, UnboundedReceiver<Happening>) {
-    let (happenings, happens) = unbounded_channel();
+async fn operator_endpoint(node_state: &Rc<NodeState>) -> (SocketAddr, UnboundedReceiver<DriverEvent>) {
+    let (events, event_receiver) = unbounded_channel();
     let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    actix_rt::spawn(operators::accept(listener, operators::Desk::new(life.clone(), happenings, None)));
-    (addr, happens)
+    actix_rt::spawn(management::accept(
+        listener,
+        management::ManagementServer::new(node_state.clone(), events, None),
+    ));
+    (addr, event_receiver)
 }
 
 async fn request_operator_endpoint(addr: SocketAddr, request: String) -> String {
@@ -1044,9 +1114,9 @@
 #[test_case("GET", Phase::Serving, "400"; "an invalid request")]
 fn operators_are_answered(line: &str, phase: Phase, status: &str) {
     let answer = block(async {
-        let life = Rc::new(Life::new());
-        life.set(phase);
-        let addr = operator_endpoint(&life).await.0;
+        let node_state = Rc::new(NodeState::new());
+        node_state.set_phase(phase);
+        let addr = operator_endpoint(&node_state).await.0;
         request_operator_endpoint(addr, format!("{line} HTTP/1.1\r\nHost: n\r\n\r\n")).await
     });
     let closes = status == "400" || answer.to_lowercase().contains("connection: close");
@@ -1058,8 +1128,8 @@
 #[test]
 fn metrics_are_served_despite_idle_connections() {
     let answer = block(async {
-        let life = Rc::new(Life::new());
-        let (addr, mut happens) = operator_endpoint(&life).await;
+        let node_state = Rc::new(NodeState::new());
+        let (addr, mut event_receiver) = operator_endpoint(&node_state).await;
         let stay = |at: usize| {
             let mut caller = std::net::TcpStream::connect(addr).expect("a connection");
             if at.is_multiple_of(2) {
@@ -1083,9 +1153,9 @@
             let attempts =
                 AttemptFigures { written: 4, overstated: 1, longest_excess: 0.25, ..Default::default() };
             let figures = NodeFigures { engine, attempts };
-            while let Some(happening) = happens.recv().await {
-                if let Happening::Asked(tell) = happening {
-                    let _ = tell.send(figures.clone());
+            while let Some(event) = event_receiver.recv().await {
+                if let DriverEvent::FiguresRequested(reply) = event {
+                    let _ = reply.send(figures.clone());
                 }
             }
         });
@@ -1111,8 +1181,13 @@
     if !answers.is_empty() {
         addr = executor("body", answers).0;
     }
-    let told =
-        block(async { forwarded(&mut links(addr), Patience { heard: 9000 * MS, taken: 9000 * MS }).await });
+    let told = block(async {
+        forwarded(
+            &mut executor_connections(addr),
+            AckTimeouts { report_after: 9000 * MS, give_up_after: 9000 * MS },
+        )
+        .await
+    });
     assert_eq!(told.iter().filter(|reply| **reply == Reply::Written).count(), expected, "{told:?}");
 }
 
@@ -1131,7 +1206,7 @@
     let text = if words.starts_with("settings: expected") {
         CONFIG.replace("5000.0", "NaN")
     } else {
-        changed_text(pairs)
+        config_text_with(pairs)
     };
     let told = Config::parse(&text, config::Environment::default()).expect_err("an error");
     let words = words.replace("settings: expected value", "expected value");
@@ -1146,14 +1221,14 @@
 #[test_case("\"seed\": \"8c1f30d27a5be964\",", ""; "a seed may be removed")]
 #[test_case("\"known\": { \"version\": 0, \"full\": true, \"servers\": [] },", ""; "the known list may be removed")]
 fn a_removed_key_is_detected(cut: &str, key: &str) {
-    let (whole, less) = (Keys::of(CONFIG), Keys::of(&changed_text(&[(cut, "")])));
+    let (whole, less) = (Keys::of(CONFIG), Keys::of(&config_text_with(&[(cut, "")])));
     assert_eq!(less.first_missing(&whole).unwrap_or(""), key);
     assert_eq!(whole.first_missing(&less), None, "additional keys are allowed");
 }
 
 #[test]
 fn a_key_removed_from_one_operation_is_detected() {
-    let both = changed_text(&[("\"effect\": \"free\",", "\"effect\": \"free\", \"window\": 1,")]);
+    let both = config_text_with(&[("\"effect\": \"free\",", "\"effect\": \"free\", \"window\": 1,")]);
     let both = both.replace("\"single_shot\",", "\"single_shot\", \"window\": 1,");
     let one = both.replacen(" \"window\": 1,", "", 1);
     assert_eq!(Keys::of(&one).first_missing(&Keys::of(&both)), Some("settings.categories.window"));
@@ -1163,40 +1238,44 @@
 #[test]
 fn a_rejected_file_changes_nothing() {
     block(async {
-        let (mut driver, _happens, life) = driver(&[]);
-        let before = format!("{:?} {:?}", driver.settings(), life.max_pause());
+        let (mut driver, _event_receiver, node_state) = driver(&[]);
+        let before = format!("{:?} {:?}", driver.settings(), node_state.max_pause());
         let again = |text: &str| Config::parse_reload(text, config::Environment::default()).map(Box::new);
         let cut = |len: usize| CONFIG[..len].to_owned();
         let bad = ["".to_owned(), cut(CONFIG.len() / 2), cut(CONFIG.len() - 3)];
-        let lost = changed_text(&[("\"maxRetryAfter\": 2000.0", "\"other\": 1"), ("5000.0", "4000.0")]);
-        let me = changed_text(&[("\"me\": 0", "\"me\": 1"), ("\"replicasOfMe\": 1", "\"replicasOfMe\": 2")]);
+        let lost = config_text_with(&[("\"maxRetryAfter\": 2000.0", "\"other\": 1"), ("5000.0", "4000.0")]);
+        let me =
+            config_text_with(&[("\"me\": 0", "\"me\": 1"), ("\"replicasOfMe\": 1", "\"replicasOfMe\": 2")]);
         let rejected = bad.len() as u64 + 2;
-        bad.iter().chain([&lost, &me]).for_each(|text| driver.happened(Happening::Reload(again(text), None)));
-        assert_eq!(format!("{:?} {:?}", driver.settings(), life.max_pause()), before);
-        let new = changed_text(&[
+        bad.iter()
+            .chain([&lost, &me])
+            .for_each(|text| driver.handle_event(DriverEvent::Reload(again(text), None)));
+        assert_eq!(format!("{:?} {:?}", driver.settings(), node_state.max_pause()), before);
+        let new = config_text_with(&[
             ("\"maxRetryAfter\": 2000.0", "\"maxRetryAfter\": 1500.0"),
             ("\"me\": 0", "\"me\":0"),
         ]);
-        driver.happened(Happening::Reload(again(&new), None));
-        let (tell, mut told) = tokio::sync::oneshot::channel();
-        driver.happened(Happening::Asked(tell));
+        driver.handle_event(DriverEvent::Reload(again(&new), None));
+        let (reply, mut told) = tokio::sync::oneshot::channel();
+        driver.handle_event(DriverEvent::FiguresRequested(reply));
         let figures = told.try_recv().expect("figures");
         assert_eq!((figures.engine.applied, figures.engine.rejected), (1, rejected));
-        assert_eq!((life.max_pause(), driver.settings().max_pause), (1.5, 1.5));
+        assert_eq!((node_state.max_pause(), driver.settings().max_pause), (1.5, 1.5));
     });
 }
 
 // Two processes of one node must not together use twice the node's limits.
 #[test]
 fn two_processes_share_the_nodes_limits() {
-    let (mut links, life) = (links(([127, 0, 0, 1], 1).into()), Life::new());
-    let lent = |links: &mut Links| {
-        let leases: Vec<_> = std::iter::from_fn(|| links.lease(0)).take(20).collect();
+    let (mut executor_connections, node_state) =
+        (executor_connections(([127, 0, 0, 1], 1).into()), NodeState::new());
+    let lent = |executor_connections: &mut ExecutorConnections| {
+        let leases: Vec<_> = std::iter::from_fn(|| executor_connections.lease(0)).take(20).collect();
         leases.len()
     };
     for (paired, most) in [(true, 4), (false, 8)] {
-        links.share(paired);
-        life.pair(paired);
-        assert_eq!((lent(&mut links), life.part(8)), (most, most));
+        executor_connections.set_paired(paired);
+        node_state.set_paired(paired);
+        assert_eq!((lent(&mut executor_connections), node_state.share_of(8)), (most, most));
     }
 }
