--- a/crates/coveroute-drill/src/main.rs
+++ b/crates/coveroute-drill/src/main.rs
@@ -9,9 +9,10 @@
 
 use coveroute::node::Node;
 use coveroute::types::{
-    Entry, Input, KeptAge, List, Loss, Outcome, Output, Settled, Standing, Submission, Tgt, Told,
+    Entry, ExecutorIndex, Input, KeptAge, List, Loss, Outcome, Output, PeerMessageKind, Settled, Standing,
+    Submission,
 };
-use coveroute_shared::{decode, mark, message, position, words, Listed, Names, Roster};
+use coveroute_shared::{decode, format_message, mark, parse_message, position, Listed, Names, Roster};
 use wire::{Event, Line, Record};
 
 /// A message for standard error that ends the process.
@@ -69,7 +70,7 @@
                 ended: line.terminal,
                 report: line.gauge.unwrap_or_default().into(),
             }),
-            Event::StatusNote | Event::First => Input::Alive { id: id()?, forward: line.copy.unwrap_or(0) },
+            Event::StatusNote | Event::First => Input::Started { id: id()?, forward: line.copy.unwrap_or(0) },
             Event::Expired => Input::Expired(id()?),
             Event::Timer => Input::Timer(line.cookie.unwrap_or(0)),
             Event::Health => Input::Probed {
@@ -80,10 +81,11 @@
             Event::Heard => {
                 let from = line.by.ok_or("no by")?;
                 // A message that cannot be parsed refers to no executor: it is passed on and has no effect.
-                let unparsed = (Told::Held, u32::MAX, 0);
-                let (told, mark, count) = message(line.contents.as_deref().unwrap_or("")).unwrap_or(unparsed);
-                let tgt = self.roster.by_mark(mark).unwrap_or(Tgt::MAX);
-                Input::Heard { from, told, tgt, count }
+                let unparsed = (PeerMessageKind::Held, u32::MAX, 0);
+                let (kind, mark, count) =
+                    parse_message(line.contents.as_deref().unwrap_or("")).unwrap_or(unparsed);
+                let tgt = self.roster.by_mark(mark).unwrap_or(ExecutorIndex::MAX);
+                Input::PeerMessage { from, kind, tgt, count }
             }
             Event::Members => {
                 let scope = line.scope.as_deref().ok_or("no scope")?;
@@ -119,7 +121,7 @@
                 writeln!(reply, r#"{{"what":"DECLINE","nodeId":{me},"job":{id},"pause":{pause:.3}}}"#)
             }
             Output::Error { id } => writeln!(reply, r#"{{"what":"END_FAILED","nodeId":{me},"job":{id}}}"#),
-            Output::Wake { after, timer } => {
+            Output::SetTimer { after, timer } => {
                 let after = after * 1e3;
                 writeln!(reply, r#"{{"what":"WAKE_ME","nodeId":{me},"after":{after:.3},"cookie":{timer}}}"#)
             }
@@ -131,12 +133,12 @@
                 let executor = self.roster.id(*tgt);
                 writeln!(reply, r#"{{"what":"RELEASE","nodeId":{me},"executor":"{executor}"}}"#)
             }
-            Output::Tell { to, told, tgt, count } => {
+            Output::SendToPeer { to, kind, tgt, count } => {
                 let mark = mark(self.roster.id(*tgt));
-                let words = words(*told, mark, *count);
+                let words = format_message(*kind, mark, *count);
                 writeln!(reply, r#"{{"what":"TELL","nodeId":{me},"dest":{to},"contents":"{words}"}}"#)
             }
-            Output::Follow => writeln!(reply, r#"{{"what":"LISTEN","nodeId":{me},"on":true}}"#),
+            Output::WatchList => writeln!(reply, r#"{{"what":"LISTEN","nodeId":{me},"on":true}}"#),
             Output::Log(words) => {
                 let words = serde_json::Value::from(words.as_str());
                 writeln!(reply, r#"{{"what":"LOG","nodeId":{me},"words":{words}}}"#)
--- a/crates/coveroute-emu/src/baseline.rs
+++ b/crates/coveroute-emu/src/baseline.rs
@@ -7,7 +7,8 @@
 
 use coveroute::adopt::Moved;
 use coveroute::types::{
-    Budget, Effect, Entry, Group, Input, InvId, List, Output, Settings, Settled, Standing, Submission, Tgt,
+    Budget, Effect, Entry, ExecutorIndex, Group, Input, InvocationId, List, Output, Settings, Settled,
+    Standing, Submission,
 };
 use coveroute_engine::Decide;
 use rand::{Rng, SeedableRng};
@@ -63,10 +64,10 @@
     op: usize,
     end: f64,
     hint: f64,
-    out: Option<Tgt>,
+    out: Option<ExecutorIndex>,
     forwards: usize,
     /// The first forward that may have run, and when it was sent.
-    first_uncertain: Option<(Tgt, f64)>,
+    first_uncertain: Option<(ExecutorIndex, f64)>,
     sent: f64,
 }
 
@@ -83,8 +84,8 @@
     choice: Choice,
     draw: Pcg64Mcg,
     workers: Vec<Worker>,
-    jobs: BTreeMap<InvId, Job>,
-    waiting: Vec<InvId>,
+    jobs: BTreeMap<InvocationId, Job>,
+    waiting: Vec<InvocationId>,
     next: usize,
     failed_follows: u32,
     oracle: Option<OracleView>,
@@ -126,10 +127,10 @@
         let (List::Changes(entries) | List::Whole(entries) | List::Kept(entries, _)) = list else {
             self.failed_follows += 1;
             let after = 0.5 * f64::from(1 << self.failed_follows.min(3)) * (0.5 + self.draw.random::<f64>());
-            return out.push(Output::Wake { after, timer: TIMER_FOLLOW });
+            return out.push(Output::SetTimer { after, timer: TIMER_FOLLOW });
         };
         self.failed_follows = 0;
-        out.extend(first.then_some(Output::Follow));
+        out.extend(first.then_some(Output::WatchList));
         if whole {
             self.workers.iter_mut().for_each(|worker| worker.entry.standing = Standing::Gone);
         }
@@ -159,7 +160,7 @@
             (_, None) | (Effect::Idempotent, _) => true,
             (Effect::NonIdempotent, Some(_)) => false,
             (Effect::Deduplicated { group, window }, Some((tgt, sent))) => {
-                now - sent < window && self.workers[tgt].entry.same(group, &worker.entry)
+                now - sent < window && self.workers[tgt].entry.shares_dedup_group(group, &worker.entry)
             }
         };
         let ready =
@@ -180,13 +181,13 @@
             || ((now - started) as usize % self.settings.nodes.max(1) == self.settings.me && worker.held == 0)
     }
 
-    fn choose(&mut self, now: f64, id: InvId) -> Option<Tgt> {
+    fn choose(&mut self, now: f64, id: InvocationId) -> Option<ExecutorIndex> {
         let job = &self.jobs[&id];
-        let fits = |tgt: &Tgt| {
+        let fits = |tgt: &ExecutorIndex| {
             let worker = &self.workers[*tgt];
             self.is_allowed(now, job, worker) && now >= worker.avoid_until && self.admits_cold(now, worker)
         };
-        let open: Vec<Tgt> = (0..self.workers.len()).filter(fits).collect();
+        let open: Vec<ExecutorIndex> = (0..self.workers.len()).filter(fits).collect();
         let draw =
             |draw: &mut Pcg64Mcg| open.get((draw.random::<f64>() * open.len() as f64) as usize).copied();
         match self.choice {
@@ -203,11 +204,12 @@
             }
             Choice::Oracle => {
                 let oracle = self.oracle.as_ref()?.borrow();
-                let ends = |tgt: &Tgt| {
-                    let known = oracle.get(&self.workers[*tgt].entry.mark).copied().flatten();
+                let ends = |tgt: &ExecutorIndex| {
+                    let known = oracle.get(&self.workers[*tgt].entry.stable_id).copied().flatten();
                     known.map(|(starts, pace)| starts + job.hint / pace)
                 };
-                let timed: Vec<(f64, Tgt)> = open.iter().filter_map(|tgt| Some((ends(tgt)?, *tgt))).collect();
+                let timed: Vec<(f64, ExecutorIndex)> =
+                    open.iter().filter_map(|tgt| Some((ends(tgt)?, *tgt))).collect();
                 timed.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|best| best.1)
             }
         }
@@ -232,7 +234,7 @@
                 // The next decision sees the job just sent.
                 let mut oracle = oracle.borrow_mut();
                 let hint = self.jobs[&id].hint;
-                let known = oracle.get_mut(&self.workers[tgt].entry.mark).and_then(Option::as_mut);
+                let known = oracle.get_mut(&self.workers[tgt].entry.stable_id).and_then(Option::as_mut);
                 known.into_iter().for_each(|(starts, pace)| *starts += hint / *pace);
             }
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -242,11 +244,11 @@
         }
         if !self.waiting.is_empty() && !self.retry_scheduled {
             self.retry_scheduled = true;
-            out.push(Output::Wake { after: RETRY_INTERVAL, timer: TIMER_RETRY });
+            out.push(Output::SetTimer { after: RETRY_INTERVAL, timer: TIMER_RETRY });
         }
     }
 
-    fn give_up(&mut self, id: InvId, out: &mut Vec<Output>) {
+    fn give_up(&mut self, id: InvocationId, out: &mut Vec<Output>) {
         let Some(job) = self.jobs.remove(&id) else { return };
         if self.violation == Some(Violation::NeverAnswers) {
             return;
@@ -282,7 +284,7 @@
         }
     }
 
-    fn expired(&mut self, id: InvId) {
+    fn expired(&mut self, id: InvocationId) {
         if let Some(tgt) = self.jobs.remove(&id).and_then(|job| job.out) {
             self.workers[tgt].held = self.workers[tgt].held.saturating_sub(1);
         }
@@ -298,8 +300,8 @@
             Input::Settled(settled) => self.settled(now, settled, out),
             Input::Expired(id) => self.expired(id),
             Input::Timer(TIMER_RETRY) => self.retry_scheduled = false,
-            Input::Timer(TIMER_FOLLOW) if self.failed_follows > 0 => out.push(Output::Follow),
-            Input::Leaving(end) => self.jobs.values_mut().for_each(|job| job.end = job.end.min(end)),
+            Input::Timer(TIMER_FOLLOW) if self.failed_follows > 0 => out.push(Output::WatchList),
+            Input::Stopping(end) => self.jobs.values_mut().for_each(|job| job.end = job.end.min(end)),
             _ => {}
         }
         self.dispatch(now, out);
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -7,7 +7,9 @@
 use bytes::Bytes;
 use coveroute::adopt::Moved;
 use coveroute::node::Node;
-use coveroute::types::{Budget, InvId, Outcome as Ended, Report, Settings, Tgt, Told};
+use coveroute::types::{
+    Budget, ExecutorIndex, InvocationId, Outcome as Ended, PeerMessageKind, Report, Settings,
+};
 use coveroute_engine::{
     Action, Answer, Call, Decide, Engine, Event, Listing, News, Phase, Reply, Watched, Word as Heard,
 };
@@ -136,11 +138,11 @@
     },
     Probe {
         worker: WorkerId,
-        tgt: Tgt,
+        tgt: ExecutorIndex,
         asked: u64,
     },
     Probed {
-        tgt: Tgt,
+        tgt: ExecutorIndex,
         asked: u64,
         outcome: Ended,
         report: Report,
@@ -155,7 +157,7 @@
     },
     Heard {
         from: NodeId,
-        told: Told,
+        told: PeerMessageKind,
         mark: u32,
         count: u8,
     },
@@ -191,7 +193,7 @@
 /// A forward that waits for its worker's first answer.
 #[derive(Clone, Copy, Debug)]
 struct PendingForward {
-    id: InvId,
+    id: InvocationId,
     forward: usize,
 }
 
@@ -207,8 +209,8 @@
     /// Number of the process: events for an earlier process are dropped.
     process: u64,
     wake: f64,
-    invocations: BTreeMap<InvId, TryId>,
-    next_id: InvId,
+    invocations: BTreeMap<InvocationId, TryId>,
+    next_id: InvocationId,
     pending: BTreeMap<(TryId, WorkerId), PendingForward>,
     connections: BTreeMap<WorkerId, Connections>,
     /// Outstanding probes, by number.
@@ -636,7 +638,7 @@
                 self.notify(now, node, Event::Watch(watch, watched));
             }
             HostEvent::Heard { from, told, mark, count } => {
-                self.notify(now, node, Event::Heard { from, told, mark, count });
+                self.notify(now, node, Event::PeerMessage { from, kind: told, mark, count });
             }
             HostEvent::Wake => self.wake(now, node),
             HostEvent::Probe { .. } => {}
@@ -752,7 +754,7 @@
         self.notify(now, node, Event::News(news));
     }
 
-    fn probe(&mut self, now: f64, node: NodeId, worker: WorkerId, tgt: Tgt, asked: u64) {
+    fn probe(&mut self, now: f64, node: NodeId, worker: WorkerId, tgt: ExecutorIndex, asked: u64) {
         let Some((up, report)) = self.world.probe(now, worker) else { return };
         let outcome = if up { Ended::Succeeded } else { Ended::Full };
         if let Delivery::Arrives(takes) = self.world.delivery(node, worker, asked as TryId, 301) {
@@ -852,7 +854,7 @@
             Action::Follow { watch, version } => {
                 self.schedule(now + latency, node, HostEvent::Follow { watch, version })
             }
-            Action::Tell { to, told, mark, count } => {
+            Action::SendToPeer { to, kind: told, mark, count } => {
                 if to != node && to < self.hosts.len() {
                     self.schedule(now + latency, to, HostEvent::Heard { from: node, told, mark, count });
                 }
@@ -860,7 +862,7 @@
         }
     }
 
-    fn worker(&self, node: NodeId, tgt: Tgt) -> Option<WorkerId> {
+    fn worker(&self, node: NodeId, tgt: ExecutorIndex) -> Option<WorkerId> {
         let id = self.hosts[node].as_ref()?.engine.fleet().id(tgt);
         id.strip_prefix("w-")?.parse().ok()
     }
@@ -897,7 +899,7 @@
             .for_each(|connections| connections.in_use = connections.in_use.saturating_sub(1));
     }
 
-    fn send(&mut self, now: f64, node: NodeId, id: InvId, forward: usize, tgt: Tgt) {
+    fn send(&mut self, now: f64, node: NodeId, id: InvocationId, forward: usize, tgt: ExecutorIndex) {
         let worker = self.worker(node, tgt);
         let tri = self.hosts[node].as_ref().and_then(|host| host.invocations.get(&id)).copied();
         let lease = worker.and_then(|worker| self.lease(node, worker));
@@ -953,7 +955,7 @@
         }
     }
 
-    fn abort(&mut self, now: f64, node: NodeId, id: InvId, forward: usize) {
+    fn abort(&mut self, now: f64, node: NodeId, id: InvocationId, forward: usize) {
         let Some(host) = self.hosts[node].as_mut() else { return };
         let of = |w: &(&(TryId, WorkerId), &PendingForward)| w.1.id == id && w.1.forward == forward;
         let key = host.pending.iter().find(of).map(|(key, _)| *key);
@@ -969,7 +971,7 @@
         }
     }
 
-    fn answer(&mut self, now: f64, node: NodeId, id: InvId, answer: Answer) {
+    fn answer(&mut self, now: f64, node: NodeId, id: InvocationId, answer: Answer) {
         let Some(host) = self.hosts[node].as_mut() else { return };
         let Some(tri) = host.invocations.remove(&id) else { return };
         let (final_answer, pause) = match answer {
@@ -989,7 +991,7 @@
         );
     }
 
-    fn send_probe(&mut self, now: f64, node: NodeId, tgt: Tgt) {
+    fn send_probe(&mut self, now: f64, node: NodeId, tgt: ExecutorIndex) {
         let worker = self.worker(node, tgt);
         let lease = worker.and_then(|worker| self.lease(node, worker));
         let (Some(worker), Some(dials)) = (worker, lease) else {
--- a/crates/coveroute-engine/src/admit.rs
+++ b/crates/coveroute-engine/src/admit.rs
@@ -1,7 +1,7 @@
 //! Admission: checks a call and converts it into a submission for the decisions.
 use std::sync::Arc;
 
-use coveroute::types::{InvId, Submission};
+use coveroute::types::{InvocationId, Submission};
 use coveroute_shared::Names;
 
 use crate::answer::Unfit;
@@ -39,7 +39,7 @@
 /// Resolves names to indices and subtracts the time already spent from the client's budget. The budget and the hint are
 /// limited by the operation's timeout, so that implausible values from one client do not distort what is learned.
 pub fn admit(
-    id: InvId,
+    id: InvocationId,
     call: &Call,
     operations: &Operations,
     names: &Names,
--- a/crates/coveroute-engine/src/decide.rs
+++ b/crates/coveroute-engine/src/decide.rs
@@ -3,7 +3,7 @@
 use coveroute::learnt::Learnt;
 use coveroute::list_state::ListState;
 use coveroute::node::Node;
-use coveroute::types::{Budget, Input, Inv, InvId, Operation, Output, Settings};
+use coveroute::types::{Budget, Input, Invocation, InvocationId, Operation, Output, Settings};
 
 /// The routing decisions. Nodes use `coveroute::node::Node`; other implementations exist only for comparison with it.
 pub trait Decide {
@@ -29,7 +29,7 @@
     }
 
     /// The latest time at which the newest forward of an invocation may be written.
-    fn write_until(&self, _: InvId) -> f64 {
+    fn write_until(&self, _: InvocationId) -> f64 {
         f64::INFINITY
     }
 
@@ -42,12 +42,12 @@
     fn recall(&mut self, _: &Learnt) {}
 
     /// Removes an invocation so that another process can continue it; `None` where that is not supported.
-    fn part_with(&mut self, _: InvId) -> Option<Inv> {
+    fn part_with(&mut self, _: InvocationId) -> Option<Invocation> {
         None
     }
 
     /// Adds an invocation that another process has handed over.
-    fn take_in(&mut self, _: InvId, _: Inv) {}
+    fn take_in(&mut self, _: InvocationId, _: Invocation) {}
 
     /// Sets this node's part of these tenants' quotas, in invocations per second.
     fn quotas(&mut self, _: &[(usize, f64)]) {}
@@ -84,7 +84,7 @@
         Node::refused_without_list(self)
     }
 
-    fn write_until(&self, id: InvId) -> f64 {
+    fn write_until(&self, id: InvocationId) -> f64 {
         Node::write_until(self, id)
     }
 
@@ -96,12 +96,12 @@
         Node::recall(self, learnt);
     }
 
-    fn part_with(&mut self, id: InvId) -> Option<Inv> {
+    fn part_with(&mut self, id: InvocationId) -> Option<Invocation> {
         Node::part_with(self, id)
     }
 
-    fn take_in(&mut self, id: InvId, inv: Inv) {
-        Node::take_in(self, id, inv);
+    fn take_in(&mut self, id: InvocationId, invocation: Invocation) {
+        Node::take_in(self, id, invocation);
     }
 
     fn quotas(&mut self, quotas: &[(usize, f64)]) {
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -8,8 +8,8 @@
 use coveroute::node::Node;
 use coveroute::policy::LOOK;
 use coveroute::types::{
-    Budget, Input, InvId, KeptAge, List, Loss, Operation, Outcome, Output, Report, Settings, Settled,
-    Standing, Submission, Tgt, Told,
+    Budget, ExecutorIndex, Input, InvocationId, KeptAge, List, Loss, Operation, Outcome, Output,
+    PeerMessageKind, Report, Settings, Settled, Standing, Submission,
 };
 use coveroute_shared::Names;
 use log::{debug, error, info, warn};
@@ -53,20 +53,20 @@
 #[derive(Debug)]
 pub enum Event<'a> {
     /// A front has read a call.
-    Taken(InvId, &'a Call),
+    Taken(InvocationId, &'a Call),
     /// The client has disconnected.
-    Left(InvId),
+    Left(InvocationId),
     /// The executor's first response to a forward, or its absence.
-    Replied(InvId, usize, Reply),
+    Replied(InvocationId, usize, Reply),
     /// An executor reports on a job that it has taken.
     News(News),
-    Probed(Tgt, Outcome, Report),
+    Probed(ExecutorIndex, Outcome, Report),
     /// An event of the watch with this number on the list of executors.
     Watch(u64, Watched),
     /// Another node, given by its number, sent a message about the executor with this mark.
-    Heard {
+    PeerMessage {
         from: usize,
-        told: Told,
+        kind: PeerMessageKind,
         mark: u32,
         count: u8,
     },
@@ -141,47 +141,47 @@
     /// Send the job to the executor. Its last byte must be written by `write_until`, or it must not be sent at all.
     /// The node answers by `end`; the host computes the remaining time from the clock when it writes the request.
     Send {
-        id: InvId,
+        id: InvocationId,
         forward: usize,
-        tgt: Tgt,
+        tgt: ExecutorIndex,
         end: f64,
         write_until: f64,
     },
     /// Close the connection of a forward that the executor has not acknowledged.
     Abort {
-        id: InvId,
+        id: InvocationId,
         forward: usize,
     },
     /// Cancel the send if no byte of the job has been written yet, and report that: the executor is draining or gone.
     Recall {
-        id: InvId,
+        id: InvocationId,
         forward: usize,
     },
     /// Tell the executor to cancel a job that it has accepted.
     GiveUp {
-        tgt: Tgt,
+        tgt: ExecutorIndex,
         call: Arc<str>,
     },
     Answer {
-        id: InvId,
+        id: InvocationId,
         answer: Answer,
     },
-    Probe(Tgt),
+    Probe(ExecutorIndex),
     /// Close the idle connections to the executor.
-    Release(Tgt),
+    Release(ExecutorIndex),
     /// The executor listens at this address. If the address is new, connections to the old one are dropped.
-    At(Tgt, SocketAddr),
+    At(ExecutorIndex, SocketAddr),
     /// The executor has left the list.
-    Gone(Tgt),
+    Gone(ExecutorIndex),
     /// Start a watch with this number on the list, from after this version; any earlier watch is dropped.
     Follow {
         watch: u64,
         version: u64,
     },
     /// Send another node a message about the executor with this mark.
-    Tell {
+    SendToPeer {
         to: usize,
-        told: Told,
+        kind: PeerMessageKind,
         mark: u32,
         count: u8,
     },
@@ -192,7 +192,7 @@
     /// A timer that the decisions have set.
     Decisions(u64),
     /// The deadline of an invocation.
-    Deadline(InvId),
+    Deadline(InvocationId),
     PhaseStep(Step),
     /// Start a new watch on the list, unless another one has been started since this one.
     Follow(u64),
@@ -382,7 +382,7 @@
 
     /// Removes a job so that another process can continue it, without answering the client or notifying executors.
     /// Returns `None` while a forward is unacknowledged, because its connection belongs to this process.
-    pub fn part_with(&mut self, id: InvId) -> Option<Parcel> {
+    pub fn part_with(&mut self, id: InvocationId) -> Option<Parcel> {
         let record = self.records.get(id).filter(|record| record.unanswered)?;
         if record.forwards.iter().any(|forward| forward.stage == Stage::Sending) {
             return None;
@@ -390,15 +390,15 @@
         let (call, operation, end) = (record.call.to_string(), record.operation.to_string(), record.due);
         let ids = record.forwards.iter().map(|f| (self.fleet.id(f.tgt).to_owned(), f.sent, f.stage));
         let forwards: Vec<_> = ids.collect();
-        let mut inv = self.queue.decide_mut().part_with(id)?;
-        inv.end = end; // The other process is not stopping, so the full deadline applies.
-        let entry = self.entries[inv.op].clone();
+        let mut invocation = self.queue.decide_mut().part_with(id)?;
+        invocation.deadline = end; // The other process is not stopping, so the full deadline applies.
+        let entry = self.entries[invocation.op].clone();
         let (timeout, kind) =
-            (self.operations.timeout(inv.op), entry.kind.and_then(|kind| self.fleet.kind(kind)));
+            (self.operations.timeout(invocation.op), entry.kind.and_then(|kind| self.fleet.kind(kind)));
         let kind = kind.cloned();
-        let parcel = Parcel { call, operation, entry, timeout, kind, end, inv, forwards };
+        let parcel = Parcel { call, operation, entry, timeout, kind, end, invocation, forwards };
         if !parcel.is_sound() || !parcel.survives_round_trip() {
-            self.queue.decide_mut().take_in(id, parcel.inv);
+            self.queue.decide_mut().take_in(id, parcel.invocation);
             return None;
         }
         self.records.remove(id);
@@ -406,11 +406,11 @@
     }
 
     /// Continues a job of another process, under an id of this one.
-    pub fn take_in(&mut self, now: f64, id: InvId, parcel: Parcel, out: &mut Vec<Action>) {
-        let Parcel { call, operation, mut entry, timeout, kind, end, mut inv, forwards } = parcel;
+    pub fn take_in(&mut self, now: f64, id: InvocationId, parcel: Parcel, out: &mut Vec<Action>) {
+        let Parcel { call, operation, mut entry, timeout, kind, end, mut invocation, forwards } = parcel;
         entry.kind = kind.map(|kind| self.fleet.kind_number(&kind));
         let known = self.entries.len();
-        inv.op = self.operations.entry(&operation, timeout, &entry, &mut self.entries);
+        invocation.op = self.operations.entry(&operation, timeout, &entry, &mut self.entries);
         if self.entries.len() > known {
             self.queue.decide_mut().extend(self.entries.clone());
         }
@@ -418,14 +418,14 @@
             .into_iter()
             .map(|(executor, sent, stage)| Forward { tgt: self.fleet.number(&executor), sent, stage })
             .collect();
-        inv.forwards.iter_mut().zip(&forwards).for_each(|(fwd, forward)| fwd.tgt = forward.tgt);
+        invocation.forwards.iter_mut().zip(&forwards).for_each(|(fwd, forward)| fwd.tgt = forward.tgt);
         self.served_by_predecessor.remove(&call);
-        let (call, operation) = (Arc::from(call), self.operations.name(inv.op).clone());
+        let (call, operation) = (Arc::from(call), self.operations.name(invocation.op).clone());
         self.counts.register(&operation);
         let (due, end) = (end, end.min(self.answer_by));
         self.timers.schedule(end, Timer::Deadline(id));
         self.records.open(id, Record { call, operation, unanswered: true, end, due, forwards });
-        self.queue.decide_mut().take_in(id, inv);
+        self.queue.decide_mut().take_in(id, invocation);
         self.queue.push(Input::Timer(LOOK));
         self.run_decisions(now, out);
     }
@@ -448,10 +448,10 @@
             Event::News(news) => self.handle_report(now, news, out),
             Event::Probed(tgt, outcome, report) => self.queue.push(Input::Probed { tgt, outcome, report }),
             Event::Watch(number, watched) => self.handle_watch(now, number, watched, out),
-            Event::Heard { from, told, mark, count } => {
+            Event::PeerMessage { from, kind, mark, count } => {
                 let tgt = self.fleet.by_mark(mark);
-                let heard = tgt.map(|tgt| Input::Heard { from, told, tgt, count });
-                heard.into_iter().for_each(|heard| self.queue.push(heard));
+                let input = tgt.map(|tgt| Input::PeerMessage { from, kind, tgt, count });
+                input.into_iter().for_each(|input| self.queue.push(input));
             }
             Event::Reread { tuning, moved } => self.reload(now, tuning, moved, out),
             Event::Part(part) => {
@@ -520,13 +520,13 @@
                 self.answer(id, Answer::Throttled { pause }, out);
             }
             Output::Error { id } => self.answer(id, Answer::Errored, out),
-            Output::Wake { after, timer } => self.timers.schedule(now + after, Timer::Decisions(timer)),
+            Output::SetTimer { after, timer } => self.timers.schedule(now + after, Timer::Decisions(timer)),
             Output::Probe(tgt) => out.push(Action::Probe(tgt)),
             Output::Release(tgt) => out.push(Action::Release(tgt)),
-            Output::Tell { to, told, tgt, count } => {
-                out.push(Action::Tell { to, told, mark: self.fleet.mark(tgt), count });
+            Output::SendToPeer { to, kind, tgt, count } => {
+                out.push(Action::SendToPeer { to, kind, mark: self.fleet.mark(tgt), count });
             }
-            Output::Follow => self.follow(out),
+            Output::WatchList => self.follow(out),
             Output::Log(words) => info!("{words}"),
         }
     }
@@ -605,7 +605,7 @@
         out.push(Action::Follow { watch: self.watch, version: self.version });
     }
 
-    pub(crate) fn accept_call(&mut self, now: f64, id: InvId, call: &Call, out: &mut Vec<Action>) {
+    pub(crate) fn accept_call(&mut self, now: f64, id: InvocationId, call: &Call, out: &mut Vec<Action>) {
         let unfit = |why| Action::Answer { id, answer: Answer::Unfit(why) };
         // Prevents a second effect of the same call, and clients from reusing the id of another one's call.
         if self.records.knows(&call.call) || self.served_by_predecessor.contains(&*call.call) {
@@ -637,7 +637,7 @@
     }
 
     /// Sends the final answer unless one was sent before; returns whether it was sent.
-    fn send_final_answer(&mut self, id: InvId, answer: Answer, out: &mut Vec<Action>) -> bool {
+    fn send_final_answer(&mut self, id: InvocationId, answer: Answer, out: &mut Vec<Action>) -> bool {
         let operation = self.records.mark_answered(id);
         if let Some(operation) = operation {
             debug!("{id} answered: {answer:?}");
@@ -647,12 +647,12 @@
         operation.is_some()
     }
 
-    pub(crate) fn answer(&mut self, id: InvId, answer: Answer, out: &mut Vec<Action>) {
+    pub(crate) fn answer(&mut self, id: InvocationId, answer: Answer, out: &mut Vec<Action>) {
         self.send_final_answer(id, answer, out);
         self.records.remove_if_finished(id);
     }
 
-    fn client_left(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+    fn client_left(&mut self, now: f64, id: InvocationId, out: &mut Vec<Action>) {
         if self.records.mark_answered(id).is_some() {
             self.close_invocation(now, id, out);
         }
@@ -661,7 +661,7 @@
 
     /// Closes an invocation that ended without the decisions. Forwards that still wait for a connection are withdrawn:
     /// nothing may be sent any more, even where executors do not support cancelling.
-    fn close_invocation(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+    fn close_invocation(&mut self, now: f64, id: InvocationId, out: &mut Vec<Action>) {
         let forwards = self.records.get(id).map(|record| record.open_forwards()).unwrap_or_default();
         for forward in forwards {
             if self.records.get(id).is_some_and(|record| record.forwards[forward].stage == Stage::Sending) {
@@ -672,7 +672,7 @@
     }
 
     /// Handles the deadline of an invocation: open forwards end as timed out, and the decisions answer.
-    pub(crate) fn time_out(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+    pub(crate) fn time_out(&mut self, now: f64, id: InvocationId, out: &mut Vec<Action>) {
         let Some(record) = self.records.get(id) else { return };
         for forward in record.open_forwards() {
             self.drop_forward(id, forward, out);
@@ -687,7 +687,7 @@
         self.records.remove_if_finished(id);
     }
 
-    fn forward(&mut self, now: f64, id: InvId, tgt: Tgt, out: &mut Vec<Action>) {
+    fn forward(&mut self, now: f64, id: InvocationId, tgt: ExecutorIndex, out: &mut Vec<Action>) {
         let Some(record) = self.records.get(id) else { return };
         let forward = record.forwards.len();
         debug!(
@@ -702,12 +702,19 @@
         out.push(Action::Send { id, forward, tgt, end: record.end, write_until });
     }
 
-    fn handle_reply(&mut self, now: f64, id: InvId, forward: usize, reply: Reply, out: &mut Vec<Action>) {
+    fn handle_reply(
+        &mut self,
+        now: f64,
+        id: InvocationId,
+        forward: usize,
+        reply: Reply,
+        out: &mut Vec<Action>,
+    ) {
         match reply {
             Reply::Ended(outcome, report) => self.settle_forward(now, id, forward, outcome, report),
             Reply::Unheard => {
                 debug!("forward {forward} of {id} is not acknowledged");
-                self.queue.push(Input::Unheard { id, forward });
+                self.queue.push(Input::Unacknowledged { id, forward });
             }
             Reply::Unfit(status, report) => {
                 // Every other executor would reject it too, and each rejection would count against that executor.
@@ -731,7 +738,7 @@
     pub(crate) fn settle_forward(
         &mut self,
         now: f64,
-        id: InvId,
+        id: InvocationId,
         forward: usize,
         outcome: Outcome,
         report: Report,
@@ -761,7 +768,7 @@
             Word::Alive => {
                 // The report may arrive before the executor's acknowledgement.
                 self.handle_reply(now, id, forward, Reply::Taken, out);
-                self.queue.push(Input::Alive { id, forward });
+                self.queue.push(Input::Started { id, forward });
             }
             Word::Ended(outcome) => {
                 self.settle_forward(now, id, forward, outcome, news.report);
@@ -776,7 +783,7 @@
     fn handle_success(
         &mut self,
         now: f64,
-        id: InvId,
+        id: InvocationId,
         forward: usize,
         result: Bytes,
         report: Report,
@@ -793,7 +800,7 @@
     }
 
     /// Abandons a forward: closes its connection, or cancels it at the executor that has accepted it.
-    fn drop_forward(&mut self, id: InvId, forward: usize, out: &mut Vec<Action>) {
+    fn drop_forward(&mut self, id: InvocationId, forward: usize, out: &mut Vec<Action>) {
         let Some(record) = self.records.get(id) else { return };
         let Forward { tgt, stage, .. } = record.forwards[forward];
         match stage {
@@ -806,7 +813,7 @@
         }
     }
 
-    pub(crate) fn withdraw(&mut self, now: f64, id: InvId, forward: usize, out: &mut Vec<Action>) {
+    pub(crate) fn withdraw(&mut self, now: f64, id: InvocationId, forward: usize, out: &mut Vec<Action>) {
         self.drop_forward(id, forward, out);
         self.settle_forward(now, id, forward, Outcome::Cancelled, Report::default());
     }
@@ -832,7 +839,7 @@
             entries.iter().filter(|entry| entry.standing == Standing::Draining).map(|entry| entry.tgt);
         let gone =
             changes.iter().filter_map(|to| if let AddressChange::Gone(tgt) = to { Some(*tgt) } else { None });
-        let closed: Vec<Tgt> = drains.chain(gone).collect();
+        let closed: Vec<ExecutorIndex> = drains.chain(gone).collect();
         let recalls = self
             .records
             .unacknowledged(&closed)
@@ -895,6 +902,6 @@
         for (id, end) in self.records.shorten_deadlines(self.answer_by) {
             self.timers.schedule(end, Timer::Deadline(id));
         }
-        self.queue.push(Input::Leaving(self.answer_by));
+        self.queue.push(Input::Stopping(self.answer_by));
     }
 }
--- a/crates/coveroute-engine/src/list.rs
+++ b/crates/coveroute-engine/src/list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use coveroute::types::{Entry, List, Settings, Standing, Tgt};
+use coveroute::types::{Entry, ExecutorIndex, List, Settings, Standing};
 use coveroute_shared::{position, Listed, Names, Roster};
 use serde::{Deserialize, Serialize};
 
@@ -46,8 +46,8 @@
 /// A change to the address of an executor.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AddressChange {
-    At(Tgt, SocketAddr),
-    Gone(Tgt),
+    At(ExecutorIndex, SocketAddr),
+    Gone(ExecutorIndex),
 }
 
 /// The executors that the node knows.
@@ -58,9 +58,9 @@
     /// By number; `None` for executors that have no address or were removed.
     addrs: Vec<Option<SocketAddr>>,
     /// The listed executors with their latest entries.
-    listed: BTreeMap<Tgt, Host>,
+    listed: BTreeMap<ExecutorIndex, Host>,
     /// Executors that were removed from the list, and when.
-    gone: BTreeMap<Tgt, f64>,
+    gone: BTreeMap<ExecutorIndex, f64>,
     /// Whether executors keep their address when they are removed from the list. They do where only draining forbids
     /// sending (`Settings::only_draining`).
     keeps_addresses: bool,
@@ -117,7 +117,7 @@
     }
 
     /// The executor's number. Executors that were never listed get one too.
-    pub fn number(&mut self, id: &str) -> Tgt {
+    pub fn number(&mut self, id: &str) -> ExecutorIndex {
         self.roster.number(id)
     }
 
@@ -129,23 +129,23 @@
         position(&mut self.names.kinds, kind)
     }
 
-    pub fn known(&self, id: &str) -> Option<Tgt> {
+    pub fn known(&self, id: &str) -> Option<ExecutorIndex> {
         self.roster.known(id)
     }
 
-    pub fn id(&self, tgt: Tgt) -> &str {
+    pub fn id(&self, tgt: ExecutorIndex) -> &str {
         self.roster.id(tgt)
     }
 
-    pub fn mark(&self, tgt: Tgt) -> u32 {
+    pub fn mark(&self, tgt: ExecutorIndex) -> u32 {
         coveroute_shared::mark(self.roster.id(tgt))
     }
 
-    pub fn by_mark(&self, mark: u32) -> Option<Tgt> {
+    pub fn by_mark(&self, mark: u32) -> Option<ExecutorIndex> {
         self.roster.by_mark(mark)
     }
 
-    pub fn addr(&self, tgt: Tgt) -> Option<SocketAddr> {
+    pub fn addr(&self, tgt: ExecutorIndex) -> Option<SocketAddr> {
         self.addrs.get(tgt).copied().flatten()
     }
 
@@ -165,8 +165,8 @@
             // Executors that a whole list lacks are removed.
             let mut present = vec![false; self.addrs.len()];
             entries.iter().for_each(|(e, _)| present.iter_mut().skip(e.tgt).take(1).for_each(|n| *n = true));
-            let lacking = |&tgt: &Tgt| self.addrs[tgt].is_some() && !present[tgt];
-            let lacking: Vec<Tgt> = (0..self.addrs.len()).filter(lacking).collect();
+            let lacking = |&tgt: &ExecutorIndex| self.addrs[tgt].is_some() && !present[tgt];
+            let lacking: Vec<ExecutorIndex> = (0..self.addrs.len()).filter(lacking).collect();
             lacking.into_iter().for_each(|tgt| self.remove(now, tgt, &mut changes));
         }
         for (entry, addr) in entries {
@@ -189,7 +189,7 @@
         self.roster.entry(&mut self.names, &listed)
     }
 
-    fn set_address(&mut self, tgt: Tgt, addr: SocketAddr, changes: &mut Vec<AddressChange>) {
+    fn set_address(&mut self, tgt: ExecutorIndex, addr: SocketAddr, changes: &mut Vec<AddressChange>) {
         if self.addrs.len() <= tgt {
             self.addrs.resize(tgt + 1, None);
         }
@@ -198,7 +198,7 @@
         }
     }
 
-    fn remove(&mut self, now: f64, tgt: Tgt, changes: &mut Vec<AddressChange>) {
+    fn remove(&mut self, now: f64, tgt: ExecutorIndex, changes: &mut Vec<AddressChange>) {
         self.listed.remove(&tgt);
         if self.keeps_addresses {
             self.gone.entry(tgt).or_insert(now);
@@ -214,8 +214,9 @@
     /// discard what they have learned of them.
     fn release_numbers(&mut self, now: f64) -> Vec<Entry> {
         let long = |since: &f64| now - since > NUMBER_KEPT_FOR;
-        let old: Vec<Tgt> = self.gone.iter().filter(|gone| long(gone.1)).map(|gone| *gone.0).collect();
-        let blank = |&tgt: &Tgt| {
+        let old: Vec<ExecutorIndex> =
+            self.gone.iter().filter(|gone| long(gone.1)).map(|gone| *gone.0).collect();
+        let blank = |&tgt: &ExecutorIndex| {
             self.gone.remove(&tgt);
             self.addrs.iter_mut().skip(tgt).take(1).for_each(|addr| *addr = None);
             self.roster.release(tgt);
--- a/crates/coveroute-engine/src/parcel.rs
+++ b/crates/coveroute-engine/src/parcel.rs
@@ -1,6 +1,6 @@
 //! A running job in the form in which one process of a node hands it to another. It uses names, because each process
 //! assigns its own numbers. The client's connection and the job's body are transferred separately.
-use coveroute::types::{Inv, Operation};
+use coveroute::types::{Invocation, Operation};
 use serde::{Deserialize, Serialize};
 
 use crate::records::Stage;
@@ -15,7 +15,8 @@
     pub kind: Option<String>,
     /// Deadline of the client.
     pub end: f64,
-    pub inv: Inv,
+    #[serde(rename = "inv")]
+    pub invocation: Invocation,
     /// Executor, time of sending and stage of each forward.
     pub forwards: Vec<(String, f64, Stage)>,
 }
@@ -23,7 +24,7 @@
 impl Parcel {
     /// Whether the parts are consistent. A parcel received over a link may not come from an engine.
     pub fn is_sound(&self) -> bool {
-        self.inv.forwards.len() == self.forwards.len() && self.timeout > 0.0
+        self.invocation.forwards.len() == self.forwards.len() && self.timeout > 0.0
     }
 
     /// Whether the parcel can be read back from its JSON form. A job with a number that JSON cannot represent stays here.
--- a/crates/coveroute-engine/src/records.rs
+++ b/crates/coveroute-engine/src/records.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-use coveroute::types::{InvId, Tgt};
+use coveroute::types::{ExecutorIndex, InvocationId};
 use serde::{Deserialize, Serialize};
 
 /// Progress of a forward.
@@ -26,7 +26,7 @@
 
 #[derive(Debug)]
 pub struct Forward {
-    pub tgt: Tgt,
+    pub tgt: ExecutorIndex,
     pub sent: f64,
     pub stage: Stage,
 }
@@ -59,15 +59,15 @@
 
 #[derive(Debug, Default)]
 pub struct Records {
-    by_id: BTreeMap<InvId, Record>,
+    by_id: BTreeMap<InvocationId, Record>,
     /// By call id; `None` for calls that have ended.
-    calls: HashMap<Arc<str>, Option<InvId>>,
+    calls: HashMap<Arc<str>, Option<InvocationId>>,
     /// Call ids of ended calls, oldest first.
     ended: VecDeque<Arc<str>>,
 }
 
 impl Records {
-    pub fn open(&mut self, id: InvId, record: Record) {
+    pub fn open(&mut self, id: InvocationId, record: Record) {
         self.calls.insert(record.call.clone(), Some(id));
         self.by_id.insert(id, record);
     }
@@ -77,12 +77,12 @@
         self.calls.contains_key(call)
     }
 
-    pub fn get(&mut self, id: InvId) -> Option<&mut Record> {
+    pub fn get(&mut self, id: InvocationId) -> Option<&mut Record> {
         self.by_id.get_mut(&id)
     }
 
     /// Marks the invocation as answered and returns its operation; `None` if it was answered before.
-    pub fn mark_answered(&mut self, id: InvId) -> Option<&Arc<str>> {
+    pub fn mark_answered(&mut self, id: InvocationId) -> Option<&Arc<str>> {
         let record = self.by_id.get_mut(&id).filter(|record| record.unanswered)?;
         record.unanswered = false;
         Some(&record.operation)
@@ -94,7 +94,7 @@
     }
 
     /// Removes the record without remembering its call id.
-    pub fn remove(&mut self, id: InvId) -> Option<Record> {
+    pub fn remove(&mut self, id: InvocationId) -> Option<Record> {
         let record = self.by_id.remove(&id)?;
         self.calls.remove(&record.call);
         Some(record)
@@ -111,7 +111,7 @@
     }
 
     /// Forwards to these executors that have not been acknowledged yet.
-    pub fn unacknowledged(&self, tgts: &[Tgt]) -> Vec<(InvId, usize)> {
+    pub fn unacknowledged(&self, tgts: &[ExecutorIndex]) -> Vec<(InvocationId, usize)> {
         let all = self.by_id.iter().flat_map(|(id, record)| {
             record.forwards.iter().enumerate().map(|(at, forward)| (*id, at, forward))
         });
@@ -120,34 +120,34 @@
     }
 
     /// Ends a forward and returns it; `None` if it had ended before.
-    pub fn end_forward(&mut self, id: InvId, forward: usize) -> Option<&mut Forward> {
+    pub fn end_forward(&mut self, id: InvocationId, forward: usize) -> Option<&mut Forward> {
         let forward = self.by_id.get_mut(&id)?.forwards.get_mut(forward)?;
         let open = forward.stage.is_open();
         forward.stage = if open { Stage::Ended } else { forward.stage };
         open.then_some(forward)
     }
 
-    pub fn is_open(&self, id: InvId, forward: usize) -> bool {
+    pub fn is_open(&self, id: InvocationId, forward: usize) -> bool {
         self.by_id.get(&id).is_some_and(|record| record.forwards[forward].stage.is_open())
     }
 
     /// The forward that an executor's report on a call refers to: the latest one at that executor. Reports on calls of
     /// an earlier process match none.
-    pub fn find(&self, call: &str, tgt: Tgt) -> Option<(InvId, usize)> {
+    pub fn find(&self, call: &str, tgt: ExecutorIndex) -> Option<(InvocationId, usize)> {
         let id = (*self.calls.get(call)?)?;
         let forwards = &self.by_id.get(&id)?.forwards;
         Some((id, forwards.iter().rposition(|forward| forward.tgt == tgt)?))
     }
 
     /// Records that the executor has returned the forward without starting it.
-    pub fn mark_returned(&mut self, id: InvId, forward: usize) {
+    pub fn mark_returned(&mut self, id: InvocationId, forward: usize) {
         if let Some(record) = self.by_id.get_mut(&id) {
             record.forwards[forward].stage = Stage::Returned;
         }
     }
 
     /// Whether the same executor has returned an earlier forward of the invocation.
-    pub fn has_earlier_return(&self, id: InvId, forward: usize) -> bool {
+    pub fn has_earlier_return(&self, id: InvocationId, forward: usize) -> bool {
         let forwards = self.by_id.get(&id).map_or(&[][..], |record| &record.forwards);
         let same_executor = |earlier: &Forward| earlier.tgt == forwards[forward].tgt;
         forwards
@@ -157,7 +157,7 @@
     }
 
     /// Removes the record if the client has its answer and no forward is open.
-    pub fn remove_if_finished(&mut self, id: InvId) {
+    pub fn remove_if_finished(&mut self, id: InvocationId) {
         let done = |record: &Record| !record.unanswered && record.open_forwards().is_empty();
         if self.by_id.get(&id).is_some_and(done) {
             if let Some(record) = self.by_id.remove(&id) {
@@ -175,7 +175,7 @@
     }
 
     /// Moves all later deadlines to `end`; returns the changed invocations with their new deadlines.
-    pub fn shorten_deadlines(&mut self, end: f64) -> Vec<(InvId, f64)> {
+    pub fn shorten_deadlines(&mut self, end: f64) -> Vec<(InvocationId, f64)> {
         let later = self.by_id.iter_mut().filter(|record| record.1.end > end);
         later.map(|(id, record)| (*id, std::mem::replace(&mut record.end, end).min(end))).collect()
     }
--- a/crates/coveroute-engine/src/tests.rs
+++ b/crates/coveroute-engine/src/tests.rs
@@ -11,7 +11,7 @@
 use crate::timers::Timers;
 use crate::*;
 
-const ID: InvId = 7;
+const ID: InvocationId = 7;
 const CALL: &str = "c";
 const NOW: f64 = 1e9;
 
@@ -82,11 +82,11 @@
 }
 
 /// An engine with one invocation whose forwards have these executors and stages; the decisions do not know them.
-fn with_forwards(class: &str, forwards: &[(Tgt, Stage)]) -> Engine {
+fn with_forwards(class: &str, forwards: &[(ExecutorIndex, Stage)]) -> Engine {
     let mut engine = engine().0;
     engine.accept_call(NOW, ID, &call(CALL, class, 5.0), &mut Vec::new());
     let record = engine.records.get(ID).expect("a record");
-    let forward = |&(tgt, stage): &(Tgt, Stage)| Forward { tgt, sent: NOW, stage };
+    let forward = |&(tgt, stage): &(ExecutorIndex, Stage)| Forward { tgt, sent: NOW, stage };
     record.forwards = forwards.iter().map(forward).collect();
     engine.queue.drain();
     engine
@@ -110,7 +110,7 @@
     engine.records.get(ID).map(|record| record.forwards.iter().map(|forward| forward.stage).collect())
 }
 
-fn report(from: Tgt, word: Word) -> Event<'static> {
+fn report(from: ExecutorIndex, word: Word) -> Event<'static> {
     Event::News(News { call: CALL.into(), from: format!("s-{from}"), word, report: Report::default() })
 }
 
@@ -118,10 +118,10 @@
     Word::Succeeded("r".into())
 }
 
-const SENDING: (Tgt, Stage) = (0, Stage::Sending);
-const TAKEN: (Tgt, Stage) = (0, Stage::Taken);
-const ENDED: (Tgt, Stage) = (0, Stage::Ended);
-const RETURNED: (Tgt, Stage) = (0, Stage::Returned);
+const SENDING: (ExecutorIndex, Stage) = (0, Stage::Sending);
+const TAKEN: (ExecutorIndex, Stage) = (0, Stage::Taken);
+const ENDED: (ExecutorIndex, Stage) = (0, Stage::Ended);
+const RETURNED: (ExecutorIndex, Stage) = (0, Stage::Returned);
 const FULL: Word = Word::Ended(Outcome::Full);
 const FAILED: Word = Word::Ended(Outcome::Errored);
 
@@ -138,8 +138,8 @@
 #[test_case(&[RETURNED, TAKEN], 0, FULL, false, Some(&[RETURNED.1, TAKEN.1]); "returned, reported again later")]
 #[test_case(&[ENDED, TAKEN], 0, FULL, false, Some(&[ENDED.1, RETURNED.1]); "returned, rejected before")]
 fn reports_are_applied_once(
-    forwards: &[(Tgt, Stage)],
-    from: Tgt,
+    forwards: &[(ExecutorIndex, Stage)],
+    from: ExecutorIndex,
     word: Word,
     answered: bool,
     left: Option<&[Stage]>,
@@ -181,7 +181,7 @@
 
 #[test_case(&[TAKEN], false; "served")]
 #[test_case(&[TAKEN], true; "ended")]
-fn a_call_is_not_taken_again(forwards: &[(Tgt, Stage)], ended: bool) {
+fn a_call_is_not_taken_again(forwards: &[(ExecutorIndex, Stage)], ended: bool) {
     let mut engine = with_forwards("look", forwards);
     if ended {
         handle(&mut engine, NOW, report(0, done()));
@@ -258,7 +258,7 @@
 // Executor 0 is removed, and another one is listed some time later.
 #[test_case(10.0, 2; "the number is kept while messages may still arrive")]
 #[test_case(700.0, 0; "the number is reused after that")]
-fn numbers_of_removed_executors_are_reused(since: f64, number: Tgt) {
+fn numbers_of_removed_executors_are_reused(since: f64, number: ExecutorIndex) {
     let mut engine = engine().0;
     let gone = listing(2, false, vec![host(0, Standing::Gone)]);
     let out = handle(&mut engine, NOW, Event::Watch(1, Watched::Listed(gone)));
@@ -749,5 +749,10 @@
     handle(&mut old, NOW, Event::Stop);
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Taken));
     let parcel = old.part_with(1).expect("a parcel");
-    assert!(parcel.end > NOW + 8.0 && parcel.inv.end == parcel.end, "{} {}", parcel.end, parcel.inv.end);
+    assert!(
+        parcel.end > NOW + 8.0 && parcel.invocation.deadline == parcel.end,
+        "{} {}",
+        parcel.end,
+        parcel.invocation.deadline
+    );
 }
--- a/crates/coveroute-node/src/attempt.rs
+++ b/crates/coveroute-node/src/attempt.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coveroute::types::InvId;
+use coveroute::types::InvocationId;
 use coveroute_engine::ANSWER_TAKES;
 use log::{debug, warn};
 
@@ -95,7 +95,7 @@
 
 /// One attempt of an invocation at an executor.
 pub struct Attempt {
-    id: InvId,
+    id: InvocationId,
     number: usize,
     /// When the attempt was decided on.
     decided: Instant,
@@ -123,7 +123,7 @@
 
 impl Attempt {
     pub fn new(
-        (id, number): (InvId, usize),
+        (id, number): (InvocationId, usize),
         deadline: Deadline,
         client: Option<Rc<ClientConnection>>,
         counts: Rc<AttemptCounts>,
--- a/crates/coveroute-node/src/client_connection.rs
+++ b/crates/coveroute-node/src/client_connection.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use actix_rt::net::TcpStream;
-use coveroute::types::InvId;
+use coveroute::types::InvocationId;
 use nix::libc;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::{oneshot, Notify};
@@ -86,7 +86,7 @@
     /// The connection's socket; `None` once it is closed.
     socket: Cell<Option<RawFd>>,
     /// The pending job.
-    job: Cell<Option<InvId>>,
+    job: Cell<Option<InvocationId>>,
     /// More bytes arrived while a request was pending; they are in actix-http's buffer.
     has_pipelined: Cell<bool>,
     /// Bytes received since the last response, and the value of that count at the last yield to the parser.
@@ -115,7 +115,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Handover {
     Idle,
-    Waiting(InvId),
+    Waiting(InvocationId),
 }
 
 impl ClientConnection {
@@ -248,7 +248,7 @@
     }
 
     /// Sets the id of the pending job.
-    pub fn set_job(&self, id: InvId) {
+    pub fn set_job(&self, id: InvocationId) {
         self.job.set(Some(id));
     }
 
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -9,7 +9,7 @@
 use actix_rt::net::TcpStream;
 use actix_rt::task::JoinHandle;
 use bytes::Bytes;
-use coveroute::types::{InvId, Outcome, Report, Reports, Tgt};
+use coveroute::types::{ExecutorIndex, InvocationId, Outcome, Report, Reports};
 use coveroute_engine::{Action, Engine, Event, News, Phase, Reply, Setup};
 use coveroute_fleet::Plan;
 use log::{debug, error, info, warn};
@@ -114,9 +114,9 @@
     node_state: Rc<NodeState>,
     executor_connections: ExecutorConnections,
     discovery: Discovery,
-    jobs: HashMap<InvId, PendingJob>,
+    jobs: HashMap<InvocationId, PendingJob>,
     /// The task of each forward. Aborting one before its answer closes the connection.
-    forwards: HashMap<(InvId, usize), ForwardTask>,
+    forwards: HashMap<(InvocationId, usize), ForwardTask>,
     attempts: Rc<AttemptCounts>,
     reports: bool,
     applied: AppliedConfig,
@@ -273,8 +273,8 @@
             DriverEvent::LinkMessage(side, number, event) => self.handle_link_message(side, number, event),
             DriverEvent::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
             DriverEvent::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
-            DriverEvent::Heard { from, told, mark, count } => {
-                self.dispatch(Event::Heard { from, told, mark, count });
+            DriverEvent::PeerMessage { from, kind, mark, count } => {
+                self.dispatch(Event::PeerMessage { from, kind, mark, count });
             }
             DriverEvent::Reload(Ok(config), plan) => self.reload(&config, plan),
             DriverEvent::Reload(Err(reason), _) => self.reject_reload(&reason),
@@ -563,14 +563,20 @@
             Action::At(tgt, addr) => self.executor_connections.set_address(tgt, addr),
             Action::Gone(tgt) => self.executor_connections.remove(tgt),
             Action::Follow { watch, version } => self.discovery.follow(watch, version),
-            Action::Tell { to, told, mark, count } => {
-                self.peers.iter().for_each(|peers| peers.send(to, told, mark, count));
+            Action::SendToPeer { to, kind, mark, count } => {
+                self.peers.iter().for_each(|peers| peers.send(to, kind, mark, count));
             }
         }
         None
     }
 
-    fn send(&mut self, id: InvId, forward: usize, tgt: Tgt, deadline: Deadline) -> Option<Event<'static>> {
+    fn send(
+        &mut self,
+        id: InvocationId,
+        forward: usize,
+        tgt: ExecutorIndex,
+        deadline: Deadline,
+    ) -> Option<Event<'static>> {
         let Some((job, client)) =
             self.jobs.get(&id).map(|pending| (pending.job.clone(), pending.client.connection.clone()))
         else {
@@ -595,7 +601,7 @@
     }
 
     /// Withdraws a forward whose executor was reported as draining while the connection was still being established.
-    fn recall(&mut self, id: InvId, forward: usize) -> Option<Event<'static>> {
+    fn recall(&mut self, id: InvocationId, forward: usize) -> Option<Event<'static>> {
         self.forwards
             .get(&(id, forward))
             .filter(|forward| forward.attempt.progress() == Progress::Waiting)?;
@@ -604,7 +610,7 @@
         Some(not_started(id, forward))
     }
 
-    fn probe(&mut self, tgt: Tgt) -> Option<Event<'static>> {
+    fn probe(&mut self, tgt: ExecutorIndex) -> Option<Event<'static>> {
         let Some(lease) = self.executor_connections.lease(tgt) else {
             // Without a free connection the executor has no capacity that could be used now.
             return Some(Event::Probed(tgt, Outcome::Full, Report::default()));
@@ -621,7 +627,7 @@
 
 /// The reply for a forward that was never sent. It says nothing of the executor, which must not be suspected because
 /// this node ran out of descriptors or because the client disconnected.
-fn not_started(id: InvId, forward: usize) -> Event<'static> {
+fn not_started(id: InvocationId, forward: usize) -> Event<'static> {
     Event::Replied(id, forward, Reply::Ended(Outcome::Moot, Report::default()))
 }
 
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -9,7 +9,7 @@
 use crate::answer::Answer;
 use crate::tests::{attempt, block, config, driver, executor, job, soon};
 
-const ID: InvId = 7;
+const ID: InvocationId = 7;
 const CALL: &str = "c";
 /// An address where nothing listens.
 const CLOSED: ([u8; 4], u16) = ([127, 0, 0, 1], 1);
@@ -259,7 +259,7 @@
 // what is sent meanwhile.
 #[test]
 fn a_burst_delays_the_event_of_a_disconnected_client() {
-    const CLIENTS: InvId = 340;
+    const CLIENTS: InvocationId = 340;
     let executors: Vec<SocketAddr> = (0..300).map(|at| ([127, 0, 1, 1], 1 + at).into()).collect();
     block(async move {
         let (mut driver, event_receiver, _) = driver(&executors);
--- a/crates/coveroute-node/src/event.rs
+++ b/crates/coveroute-node/src/event.rs
@@ -2,7 +2,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use coveroute::types::{InvId, Outcome, Report, Tgt, Told};
+use coveroute::types::{ExecutorIndex, InvocationId, Outcome, PeerMessageKind, Report};
 use coveroute_engine::{Figures, News, Reply, Verdict, Watched};
 use coveroute_fleet::Plan;
 use tokio::sync::{mpsc, oneshot};
@@ -26,11 +26,11 @@
 /// An event for the driver.
 pub enum DriverEvent {
     /// A client's request was read completely.
-    Accepted(InvId, Box<Job>, Client),
+    Accepted(InvocationId, Box<Job>, Client),
     /// The client has closed its connection.
-    Disconnected(InvId),
+    Disconnected(InvocationId),
     /// An executor's reply to a forward, by the forward's number.
-    Replied(InvId, usize, Reply),
+    Replied(InvocationId, usize, Reply),
     /// An executor's job status update, parsed and as received, and where to report whether a process of this
     /// node accepted it.
     News(News, Bytes, Option<oneshot::Sender<bool>>),
@@ -44,11 +44,11 @@
     /// A message from another process of this node, on the link with this number.
     LinkMessage(Side, u64, LinkEvent),
     /// The result of a probe of an executor.
-    Probed(Tgt, Outcome, Report),
+    Probed(ExecutorIndex, Outcome, Report),
     /// An update of the list of executors, for the watch with this number.
     Watch(u64, Watched),
     /// A message from another node.
-    Heard { from: usize, told: Told, mark: u32, count: u8 },
+    PeerMessage { from: usize, kind: PeerMessageKind, mark: u32, count: u8 },
     /// The operators requested a reload: the new configuration or why it is invalid, and the fleet file, if
     /// there is one.
     Reload(Result<Box<Config>, String>, Option<Plan>),
--- a/crates/coveroute-node/src/executors.rs
+++ b/crates/coveroute-node/src/executors.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use awc::{Client, Connector};
-use coveroute::types::Tgt;
+use coveroute::types::ExecutorIndex;
 use log::debug;
 
 use crate::connection::Dialer;
@@ -33,19 +33,19 @@
 /// date: some executors have connections in use again.
 #[derive(Default)]
 struct IdleQueue {
-    queue: VecDeque<Tgt>,
+    queue: VecDeque<ExecutorIndex>,
     queued: Vec<bool>,
 }
 
 impl IdleQueue {
-    fn push(&mut self, tgt: Tgt) {
+    fn push(&mut self, tgt: ExecutorIndex) {
         self.queued.resize(self.queued.len().max(tgt + 1), false);
         if !std::mem::replace(&mut self.queued[tgt], true) {
             self.queue.push_back(tgt);
         }
     }
 
-    fn pop(&mut self) -> Option<Tgt> {
+    fn pop(&mut self) -> Option<ExecutorIndex> {
         let tgt = self.queue.pop_front()?;
         self.queued[tgt] = false;
         Some(tgt)
@@ -54,7 +54,7 @@
 
 /// The right to use one connection to an executor; returned when dropped.
 pub struct Lease {
-    tgt: Tgt,
+    tgt: ExecutorIndex,
     client: Client,
     addr: SocketAddr,
     leased: Rc<Cell<usize>>,
@@ -127,7 +127,7 @@
     }
 
     /// Sets the executor's address. If it changed, the old connections are dropped.
-    pub fn set_address(&mut self, tgt: Tgt, addr: SocketAddr) {
+    pub fn set_address(&mut self, tgt: ExecutorIndex, addr: SocketAddr) {
         if self.pools.len() <= tgt {
             self.pools.resize_with(tgt + 1, || None);
         }
@@ -139,13 +139,13 @@
     }
 
     /// Forgets an executor that is not listed any more.
-    pub fn remove(&mut self, tgt: Tgt) {
+    pub fn remove(&mut self, tgt: ExecutorIndex) {
         let pool = self.pools.get_mut(tgt).and_then(Option::take);
         self.open -= pool.map_or(0, |pool| pool.peak);
     }
 
     /// Leases a connection to the executor, if its address is known and the limit allows it.
-    pub fn lease(&mut self, tgt: Tgt) -> Option<Lease> {
+    pub fn lease(&mut self, tgt: ExecutorIndex) -> Option<Lease> {
         let pool = self.pools.get(tgt)?.as_ref()?;
         if pool.leased.get() >= pool.peak {
             if !self.make_room() {
@@ -173,7 +173,7 @@
     }
 
     /// Closes the connections to the executor if none of them is in use.
-    pub fn close_idle(&mut self, tgt: Tgt) {
+    pub fn close_idle(&mut self, tgt: ExecutorIndex) {
         let unused = |pool: &&mut ExecutorPool| pool.leased.get() == 0 && pool.peak > 0;
         let Some(pool) = self.pools.get_mut(tgt).and_then(Option::as_mut).filter(unused) else { return };
         self.open -= std::mem::take(&mut pool.peak);
--- a/crates/coveroute-node/src/node_state.rs
+++ b/crates/coveroute-node/src/node_state.rs
@@ -4,7 +4,7 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-use coveroute::types::InvId;
+use coveroute::types::InvocationId;
 use coveroute_engine::Phase;
 use tokio::sync::watch;
 
@@ -24,7 +24,7 @@
     paired: Cell<bool>,
     /// The previous process of this node still accepts connections.
     predecessor_accepting: Cell<bool>,
-    next_id: Cell<InvId>,
+    next_id: Cell<InvocationId>,
 }
 
 /// Counts a request as in progress until it is dropped.
@@ -63,7 +63,7 @@
     }
 
     /// A new id for an invocation in this process.
-    pub fn next_id(&self) -> InvId {
+    pub fn next_id(&self) -> InvocationId {
         let id = self.next_id.get();
         self.next_id.set(id.wrapping_add(1));
         id
--- a/crates/coveroute-node/src/peers.rs
+++ b/crates/coveroute-node/src/peers.rs
@@ -7,9 +7,9 @@
 
 use actix_rt::task::JoinHandle;
 use actix_rt::time::sleep;
-use coveroute::types::Told;
+use coveroute::types::PeerMessageKind;
 use coveroute_fleet::message::MARK;
-use coveroute_shared::{message, words};
+use coveroute_shared::{format_message, parse_message};
 use log::debug;
 use tokio::net::UdpSocket;
 
@@ -67,9 +67,9 @@
         self.recipients.fleet_member.iter().for_each(|fleet_member| fleet_member.take_part(enabled));
     }
 
-    pub fn send(&self, to: usize, told: Told, mark: u32, count: u8) {
+    pub fn send(&self, to: usize, kind: PeerMessageKind, mark: u32, count: u8) {
         let Some(addr) = self.addrs.get(to).filter(|_| to != self.me) else { return };
-        if let Err(e) = self.socket.send_to(words(told, mark, count).as_bytes(), addr) {
+        if let Err(e) = self.socket.send_to(format_message(kind, mark, count).as_bytes(), addr) {
             debug!("hint to node {to} not sent: {e}");
         }
     }
@@ -93,11 +93,13 @@
             continue;
         }
         let from = addrs.iter().position(|addr| *addr == sender);
-        let read =
-            std::str::from_utf8(bytes).ok().filter(|text| text.len() <= MAX_HINT_BYTES).and_then(message);
+        let read = std::str::from_utf8(bytes)
+            .ok()
+            .filter(|text| text.len() <= MAX_HINT_BYTES)
+            .and_then(parse_message);
         match from.zip(read) {
-            Some((from, (told, mark, count))) => {
-                if events.send(DriverEvent::Heard { from, told, mark, count }).is_err() {
+            Some((from, (kind, mark, count))) => {
+                if events.send(DriverEvent::PeerMessage { from, kind, mark, count }).is_err() {
                     return;
                 }
             }
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -14,7 +14,7 @@
 use actix_rt::time::{sleep, timeout};
 use actix_service::{fn_service, Service, ServiceFactory};
 use bytes::Bytes;
-use coveroute::types::InvId;
+use coveroute::types::InvocationId;
 use coveroute_engine::{Phase, Verdict, Watched, UNASKED};
 use log::{debug, warn};
 use nix::errno::Errno;
@@ -331,7 +331,7 @@
 
 /// Reports the client as disconnected if it is dropped before the job is answered.
 struct DisconnectGuard<'a> {
-    id: InvId,
+    id: InvocationId,
     events: &'a EventSender,
     answered: bool,
 }
@@ -404,7 +404,7 @@
 pub enum AdoptedConnection {
     Idle(TcpStream),
     /// The client waits for the answer to this job.
-    Waiting(TcpStream, Rc<ClientConnection>, InvId, oneshot::Receiver<Answer>),
+    Waiting(TcpStream, Rc<ClientConnection>, InvocationId, oneshot::Receiver<Answer>),
 }
 
 impl AdoptedConnection {
@@ -447,7 +447,7 @@
         &self,
         stream: TcpStream,
         (peer, connection): (SocketAddr, Rc<ClientConnection>),
-        id: InvId,
+        id: InvocationId,
         answered: oneshot::Receiver<Answer>,
     ) -> Option<TcpStream> {
         let _guard = self.node_state.request_guard();
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -11,7 +11,7 @@
 use actix_http::test::TestRequest;
 use actix_http::{Method, Payload, StatusCode};
 use actix_rt::time::{sleep, timeout};
-use coveroute::types::{Outcome, Report, Reports, Sizes, Standing, Told};
+use coveroute::types::{Outcome, PeerMessageKind, Report, Reports, Sizes, Standing};
 use coveroute_engine::{
     Call, Figures, ListFigures, Listing, Memory, Phase, Reply, Tally, Watched, Word, UNASKED,
 };
@@ -1026,12 +1026,12 @@
         first.set_receiving(true);
         let stranger = std::net::UdpSocket::bind(addrs[2]).expect("a port");
         stranger.send_to(b"h00000109", addrs[0]).expect("sent");
-        second.send(0, Told::Held, 0xab, 4);
-        second.send(1, Told::Held, 0xab, 5);
+        second.send(0, PeerMessageKind::Held, 0xab, 4);
+        second.send(1, PeerMessageKind::Held, 0xab, 5);
         let heard = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
         assert!(matches!(
             heard,
-            Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
+            Some(DriverEvent::PeerMessage { from: 1, kind: PeerMessageKind::Held, mark: 0xab, count: 4 })
         ));
         assert!(
             timeout(seconds(0.1), event_receiver.recv()).await.is_err(),
@@ -1066,11 +1066,11 @@
             peers.push((one, fleet_member));
         }
         sleep(seconds(1.0)).await;
-        peers[1].0.send(0, Told::Held, 0xab, 4);
+        peers[1].0.send(0, PeerMessageKind::Held, 0xab, 4);
         let heard = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
         assert!(matches!(
             heard,
-            Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
+            Some(DriverEvent::PeerMessage { from: 1, kind: PeerMessageKind::Held, mark: 0xab, count: 4 })
         ));
         let figures = serde_json::to_value(peers[0].1.figures()).expect("figures");
         assert_eq!((&figures["states"]["b"], &figures["dropped"]), (&"alive".into(), &serde_json::json!({})));
--- a/crates/coveroute-shared/src/lib.rs
+++ b/crates/coveroute-shared/src/lib.rs
@@ -4,7 +4,7 @@
 mod roster;
 mod settings;
 
-pub use message::{message, words};
+pub use message::{format_message, parse_message};
 pub use roster::{mark, Listed, Roster};
 pub use settings::{decode, Names};
 
--- a/crates/coveroute-shared/src/roster.rs
+++ b/crates/coveroute-shared/src/roster.rs
@@ -1,7 +1,7 @@
 //! Assigns numbers to the executors that an adapter has encountered, in the order of their first appearance.
 use std::collections::HashMap;
 
-use coveroute::types::{Entry, Standing, Tgt};
+use coveroute::types::{Entry, ExecutorIndex, Standing};
 
 use crate::{position, Names};
 
@@ -23,16 +23,16 @@
 pub struct Roster {
     /// By number; empty for released numbers.
     ids: Vec<String>,
-    numbers: HashMap<String, Tgt>,
+    numbers: HashMap<String, ExecutorIndex>,
     /// By mark, the short hash that identifies executors in messages.
-    marks: HashMap<u32, Tgt>,
+    marks: HashMap<u32, ExecutorIndex>,
     /// Released numbers, available for reuse.
-    free: Vec<Tgt>,
+    free: Vec<ExecutorIndex>,
 }
 
 impl Roster {
     /// The number of the executor; a new id gets a free one.
-    pub fn number(&mut self, id: &str) -> Tgt {
+    pub fn number(&mut self, id: &str) -> ExecutorIndex {
         if let Some(&tgt) = self.numbers.get(id) {
             return tgt;
         }
@@ -47,7 +47,7 @@
     }
 
     /// Releases the number of an executor from which no more messages can arrive.
-    pub fn release(&mut self, tgt: Tgt) {
+    pub fn release(&mut self, tgt: ExecutorIndex) {
         let id = std::mem::take(&mut self.ids[tgt]);
         if self.numbers.remove(&id).is_some() {
             self.marks.remove(&mark(&id));
@@ -55,17 +55,17 @@
         }
     }
 
-    pub fn id(&self, tgt: Tgt) -> &str {
+    pub fn id(&self, tgt: ExecutorIndex) -> &str {
         &self.ids[tgt]
     }
 
     /// The number of the executor with this id, if it has one.
-    pub fn known(&self, id: &str) -> Option<Tgt> {
+    pub fn known(&self, id: &str) -> Option<ExecutorIndex> {
         self.numbers.get(id).copied()
     }
 
     /// The number of the executor with this mark, if there is one.
-    pub fn by_mark(&self, mark: u32) -> Option<Tgt> {
+    pub fn by_mark(&self, mark: u32) -> Option<ExecutorIndex> {
         self.marks.get(&mark).copied()
     }
 
@@ -73,7 +73,7 @@
     pub fn entry(&mut self, names: &mut Names, listed: &Listed) -> Entry {
         Entry {
             tgt: self.number(listed.id),
-            mark: mark(listed.id),
+            stable_id: mark(listed.id),
             zone: position(&mut names.zones, listed.zone),
             cell: listed.cell,
             kind: position(&mut names.kinds, listed.kind),
--- a/src/adopt.rs
+++ b/src/adopt.rs
@@ -47,7 +47,7 @@
 
     /// Whether a job, or a forward in flight, uses this entry of the operations.
     pub fn has(&self, operation: usize) -> bool {
-        self.invocations.values().any(|inv| inv.op == operation)
+        self.invocations.values().any(|invocation| invocation.op == operation)
     }
 
     /// The number of ready executors that draws exclude now because they are not trusted.
--- a/src/learnt.rs
+++ b/src/learnt.rs
@@ -1,7 +1,7 @@
 //! Export of a node's measurements as rows of numbers, from which another process of the node can start. This
 //! module makes no decisions.
 use crate::node::Node;
-use crate::types::{Budget, Executor, MachineKindStats, Tgt, TrafficStats};
+use crate::types::{Budget, Executor, ExecutorIndex, MachineKindStats, TrafficStats};
 
 /// Numbers in the order in which `restore_row` reads them; a row of another length is ignored.
 pub type Row = Vec<f64>;
@@ -9,7 +9,7 @@
 /// The measurements of a node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Learnt {
-    pub executors: Vec<(Tgt, Row)>,
+    pub executors: Vec<(ExecutorIndex, Row)>,
     pub operations: Vec<(usize, Row)>,
     pub tenants: Vec<(usize, Row)>,
     pub kinds: Vec<(usize, Row)>,
--- a/src/node.rs
+++ b/src/node.rs
@@ -15,14 +15,14 @@
     pub(crate) executors: Vec<Executor>,
     /// Ready executors by share, the largest first. If zone crossings have a price, those of the own zone
     /// come first.
-    pub(crate) ranked: Vec<Tgt>,
+    pub(crate) ranked: Vec<ExecutorIndex>,
     /// The number of executors of the own zone at the front of `ranked`.
     pub(crate) own_zone_count: usize,
     /// The sampling index of a large fleet.
     pub(crate) index: Index,
     /// Waiting invocations, the highest priority first.
-    pub(crate) waiting: Vec<InvId>,
-    pub(crate) invocations: BTreeMap<InvId, Inv>,
+    pub(crate) waiting: Vec<InvocationId>,
+    pub(crate) invocations: BTreeMap<InvocationId, Invocation>,
     pub(crate) operation_stats: Vec<TrafficStats>,
     pub(crate) tenant_stats: Vec<TrafficStats>,
     pub(crate) kind_stats: Vec<MachineKindStats>,
@@ -66,7 +66,7 @@
     pub(crate) accepted: EventTimes,
     pub(crate) further_sent: EventTimes,
     /// Invocations whose last forward should have started at once and had not when last checked.
-    pub(crate) awaiting_start: BTreeSet<InvId>,
+    pub(crate) awaiting_start: BTreeSet<InvocationId>,
     /// When all invocations must be answered, once the node has to stop.
     pub(crate) stop_deadline: Option<f64>,
     /// The schedule of calls to discovery while the list is not followed.
@@ -88,18 +88,19 @@
     /// The entries of a list, preceded by the executors that a whole list omits, as gone.
     pub(crate) fn with_absent(&self, whole: bool, entries: Vec<Entry>) -> Vec<Entry> {
         let absent = |t: &Executor| Entry { standing: Standing::Gone, ..t.entry.clone() };
-        let named: BTreeSet<Tgt> = entries.iter().map(|entry| entry.tgt).collect();
+        let named: BTreeSet<ExecutorIndex> = entries.iter().map(|entry| entry.tgt).collect();
         let omitted = self.executors.iter().filter(|t| whole && !named.contains(&t.entry.tgt));
         let mut all: Vec<Entry> = omitted.map(absent).collect();
         all.extend(entries);
         all
     }
 
-    /// The current share of each ready executor, by its mark; for monitoring only.
+    /// The current share of each ready executor, by its stable id; for monitoring only.
     pub fn shares(&self) -> impl Iterator<Item = (u32, f64)> + '_ {
         let sum: f64 = self.ranked.iter().map(|&tgt| self.executors[tgt].beta).sum();
-        let share =
-            move |&tgt: &Tgt| (self.executors[tgt].entry.mark, self.executors[tgt].beta / sum.max(1e-12));
+        let share = move |&tgt: &ExecutorIndex| {
+            (self.executors[tgt].entry.stable_id, self.executors[tgt].beta / sum.max(1e-12))
+        };
         self.ranked.iter().map(share)
     }
 }
@@ -112,9 +113,9 @@
 
     /// The subset of ready executors that the invocation is restricted to: by an earlier forward that may
     /// have run, by machine kind, or to the own zone if `own_zone_only`.
-    pub(crate) fn subset(&self, inv: &Inv, own_zone_only: bool) -> Option<&Sampler> {
-        let op = &self.settings.operations[inv.op];
-        let group = match (inv.first_possible_run(), op.effect) {
+    pub(crate) fn subset(&self, invocation: &Invocation, own_zone_only: bool) -> Option<&Sampler> {
+        let op = &self.settings.operations[invocation.op];
+        let group = match (invocation.first_possible_run(), op.effect) {
             (Some(first), Effect::Deduplicated { group, .. }) => {
                 let entry = &self.executors[first.tgt].entry;
                 match group {
@@ -130,8 +131,11 @@
     }
 
     /// A superset of the executors that may take the invocation: the subset it is restricted to, or all.
-    pub(crate) fn permitted_executors<'a>(&'a self, inv: &Inv) -> impl Iterator<Item = &'a Executor> {
-        let subset = self.subset(inv, false);
+    pub(crate) fn permitted_executors<'a>(
+        &'a self,
+        invocation: &Invocation,
+    ) -> impl Iterator<Item = &'a Executor> {
+        let subset = self.subset(invocation, false);
         let all = if subset.is_none() { &self.executors[..] } else { &[] };
         subset.into_iter().flat_map(|subset| &subset.members).map(|&i| &self.executors[i]).chain(all)
     }
@@ -147,15 +151,16 @@
 
     /// The executors in the key's order, the same at every node (weighted rendezvous hashing). In a large
     /// fleet only the first ones.
-    pub(crate) fn rendezvous_order(&mut self, key: u64) -> Vec<Tgt> {
+    pub(crate) fn rendezvous_order(&mut self, key: u64) -> Vec<ExecutorIndex> {
         if !self.is_small_fleet() {
             let (ranked, executors) = (&self.ranked, &self.executors);
-            let mark = |i: Tgt| mix(u64::from(executors[i].entry.mark));
-            let build = || RendezvousTree::new(ranked.clone(), mark, |i| executors[i].share);
+            let stable_id = |i: ExecutorIndex| mix(u64::from(executors[i].entry.stable_id));
+            let build = || RendezvousTree::new(ranked.clone(), stable_id, |i| executors[i].share);
             return self.index.rendezvous.get_or_insert_with(build).order(key);
         }
-        let score =
-            |i: &Tgt| -self.executors[*i].share / unit(key ^ u64::from(self.executors[*i].entry.mark)).ln();
+        let score = |i: &ExecutorIndex| {
+            -self.executors[*i].share / unit(key ^ u64::from(self.executors[*i].entry.stable_id)).ln()
+        };
         let mut order = self.ranked.clone();
         order.sort_by_cached_key(|i| std::cmp::Reverse(score(i).to_bits()));
         order
--- a/src/notes.rs
+++ b/src/notes.rs
@@ -94,7 +94,7 @@
     }
 
     /// Applies a load report of an executor.
-    pub(crate) fn apply_report(&mut self, now: f64, tgt: Tgt, report: Report) {
+    pub(crate) fn apply_report(&mut self, now: f64, tgt: ExecutorIndex, report: Report) {
         // Seconds: a report may not include forwards this recent; some round trips.
         const TOO_YOUNG: f64 = 0.03;
         // Smoothing weight of one report: some seconds' worth of reports.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -17,21 +17,61 @@
 const LIST_CALL_TIMER: u64 = 2;
 
 /// State, event, next state, action. Late, duplicate and unknown events have no row and change nothing.
-const TRANSITIONS: [(InvState, InvEvent, InvState, TransitionAction); 14] = [
-    (InvState::Waiting, InvEvent::Sent, InvState::InFlight, TransitionAction::Keep),
-    (InvState::Uncertain, InvEvent::Sent, InvState::InFlightUncertain, TransitionAction::Keep),
-    (InvState::InFlight, InvEvent::Sent, InvState::InFlightUncertain, TransitionAction::Keep),
-    (InvState::InFlightUncertain, InvEvent::Sent, InvState::InFlightUncertain, TransitionAction::Keep),
-    (InvState::InFlight, InvEvent::NotRun, InvState::Waiting, TransitionAction::Queue),
-    (InvState::InFlight, InvEvent::MayHaveRun, InvState::Uncertain, TransitionAction::Queue),
-    (InvState::InFlightUncertain, InvEvent::NotRun, InvState::Waiting, TransitionAction::Queue),
-    (InvState::InFlightUncertain, InvEvent::MayHaveRun, InvState::Uncertain, TransitionAction::Queue),
-    (InvState::Waiting, InvEvent::GaveUp, InvState::Ended, TransitionAction::Throttle),
-    (InvState::Uncertain, InvEvent::GaveUp, InvState::Ended, TransitionAction::ThrottleOrError),
-    (InvState::Waiting, InvEvent::Finished, InvState::Ended, TransitionAction::Close),
-    (InvState::InFlight, InvEvent::Finished, InvState::Ended, TransitionAction::Close),
-    (InvState::Uncertain, InvEvent::Finished, InvState::Ended, TransitionAction::Close),
-    (InvState::InFlightUncertain, InvEvent::Finished, InvState::Ended, TransitionAction::Close),
+const TRANSITIONS: [(InvocationState, InvocationEvent, InvocationState, TransitionAction); 14] = [
+    (InvocationState::Waiting, InvocationEvent::Sent, InvocationState::InFlight, TransitionAction::Keep),
+    (
+        InvocationState::Uncertain,
+        InvocationEvent::Sent,
+        InvocationState::InFlightUncertain,
+        TransitionAction::Keep,
+    ),
+    (
+        InvocationState::InFlight,
+        InvocationEvent::Sent,
+        InvocationState::InFlightUncertain,
+        TransitionAction::Keep,
+    ),
+    (
+        InvocationState::InFlightUncertain,
+        InvocationEvent::Sent,
+        InvocationState::InFlightUncertain,
+        TransitionAction::Keep,
+    ),
+    (InvocationState::InFlight, InvocationEvent::NotRun, InvocationState::Waiting, TransitionAction::Queue),
+    (
+        InvocationState::InFlight,
+        InvocationEvent::MayHaveRun,
+        InvocationState::Uncertain,
+        TransitionAction::Queue,
+    ),
+    (
+        InvocationState::InFlightUncertain,
+        InvocationEvent::NotRun,
+        InvocationState::Waiting,
+        TransitionAction::Queue,
+    ),
+    (
+        InvocationState::InFlightUncertain,
+        InvocationEvent::MayHaveRun,
+        InvocationState::Uncertain,
+        TransitionAction::Queue,
+    ),
+    (InvocationState::Waiting, InvocationEvent::GaveUp, InvocationState::Ended, TransitionAction::Throttle),
+    (
+        InvocationState::Uncertain,
+        InvocationEvent::GaveUp,
+        InvocationState::Ended,
+        TransitionAction::ThrottleOrError,
+    ),
+    (InvocationState::Waiting, InvocationEvent::Finished, InvocationState::Ended, TransitionAction::Close),
+    (InvocationState::InFlight, InvocationEvent::Finished, InvocationState::Ended, TransitionAction::Close),
+    (InvocationState::Uncertain, InvocationEvent::Finished, InvocationState::Ended, TransitionAction::Close),
+    (
+        InvocationState::InFlightUncertain,
+        InvocationEvent::Finished,
+        InvocationState::Ended,
+        TransitionAction::Close,
+    ),
 ];
 
 /// An executor becomes doubtful below the first fraction of the reference level and is trusted again above
@@ -74,7 +114,7 @@
         let doubtful = self.overall.mean() < level * DOUBT_THRESHOLDS[usize::from(self.doubtful)];
         let verdict = if doubtful { "is doubtful" } else { "is trusted again" };
         let changed = doubtful != std::mem::replace(&mut self.doubtful, doubtful);
-        out.extend(changed.then(|| Output::Log(format!("executor {:06x} {verdict}", self.entry.mark))));
+        out.extend(changed.then(|| Output::Log(format!("executor {:06x} {verdict}", self.entry.stable_id))));
     }
 
     fn record_failure(&mut self, weight: f64, level: f64, out: &mut Vec<Output>) {
@@ -118,15 +158,17 @@
             Input::List(list) => self.on_list(now, list, out),
             Input::Submitted(sub) => self.on_submitted(now, sub, out),
             Input::Settled(settled) => self.on_settled(now, settled, out),
-            Input::Alive { id, forward } => return self.on_alive(now, id, forward),
-            Input::Unheard { id, forward } => self.on_unacknowledged(now, id, forward, out),
-            Input::Expired(id) => self.transition(now, id, InvEvent::Finished, out),
-            Input::Leaving(end) => self.begin_stop(end),
+            Input::Started { id, forward } => return self.on_alive(now, id, forward),
+            Input::Unacknowledged { id, forward } => self.on_unacknowledged(now, id, forward, out),
+            Input::Expired(id) => self.transition(now, id, InvocationEvent::Finished, out),
+            Input::Stopping(deadline) => self.begin_stop(deadline),
             Input::Timer(SOLVE_TIMER) => self.on_solve_timer(now, out),
             Input::Timer(LOOK) => self.expire_waiting(now, out),
-            Input::Timer(_) => out.extend(self.list_calls.is_scheduled().then_some(Output::Follow)),
+            Input::Timer(_) => out.extend(self.list_calls.is_scheduled().then_some(Output::WatchList)),
             Input::Probed { tgt, outcome, report } => self.on_probed(now, tgt, outcome, report, out),
-            Input::Heard { from, told, tgt, count } => self.on_peer_message(now, from, told, tgt, count, out),
+            Input::PeerMessage { from, kind, tgt, count } => {
+                self.on_peer_message(now, from, kind, tgt, count, out)
+            }
         }
         self.dispatch_waiting(now, out);
     }
@@ -141,7 +183,7 @@
         };
         out.extend(self.list_state.transition(now, state).map(Output::Log));
         self.list_state = state;
-        let call = |after| Output::Wake { after, timer: LIST_CALL_TIMER };
+        let call = |after| Output::SetTimer { after, timer: LIST_CALL_TIMER };
         let whole = list.is_whole();
         let entries = match list {
             List::Lost(loss) => {
@@ -156,7 +198,7 @@
                     .then(|| self.list_calls.first(now, state, knows_some, &self.settings));
                 out.extend(after.map(call));
                 self.last_solve = now;
-                out.push(Output::Wake { after: SOLVE_INTERVAL, timer: SOLVE_TIMER });
+                out.push(Output::SetTimer { after: SOLVE_INTERVAL, timer: SOLVE_TIMER });
                 entries
             }
             List::Changes(entries) | List::Whole(entries) => {
@@ -250,24 +292,24 @@
         let crosses_now = !self.can_query_load() && self.rng.draw() < self.spill_probability;
         let (op, cross_zone_from) =
             (sub.operation, if crosses_now { now } else { now + crossing_cost * slack });
-        let end = self.stop_deadline.unwrap_or(f64::INFINITY).min(now + sub.timeout);
+        let deadline = self.stop_deadline.unwrap_or(f64::INFINITY).min(now + sub.timeout);
         let (give_up_at, key) =
-            (if impatient { now } else { latest_start.max(now) }.min(end - ANSWER_MARGIN), sub.key);
-        let inv = Inv {
+            (if impatient { now } else { latest_start.max(now) }.min(deadline - ANSWER_MARGIN), sub.key);
+        let invocation = Invocation {
             op,
             weight,
             latest_start,
             slack,
             give_up_at,
-            end,
+            deadline,
             hint,
             load,
             tenant,
             impatient,
-            ..Inv::default()
+            ..Invocation::default()
         };
-        let inv = Inv { memory, cross_zone_from, key, ..inv };
-        self.invocations.insert(sub.id, inv);
+        let invocation = Invocation { memory, cross_zone_from, key, ..invocation };
+        self.invocations.insert(sub.id, invocation);
         self.enqueue(sub.id);
         // The threshold is randomised, so that no operation is excluded entirely.
         let min_priority =
@@ -280,25 +322,26 @@
             || no_list_by_then
             || self.invocations[&sub.id].priority < min_priority && !self.executors.iter().any(starts_at_once)
         {
-            self.transition(now, sub.id, InvEvent::GaveUp, out);
+            self.transition(now, sub.id, InvocationEvent::GaveUp, out);
         }
     }
 
     /// The gain in the operators' goal per slot second: in the overall value and in that of the worst
     /// operation.
-    fn priority(&self, inv: &Inv) -> f64 {
+    fn priority(&self, invocation: &Invocation) -> f64 {
         // An operation this far behind the best one counts fully as the worst.
         const FULLY_BEHIND: f64 = 0.25;
         let best = self.operation_stats.iter().map(|c| c.in_time_fraction).fold(0.0, f64::max);
-        let stats = &self.operation_stats[inv.op];
+        let stats = &self.operation_stats[invocation.op];
         let mut goal_weight = self.settings.goal_whole / (self.mean_value * self.phi).max(1e-6);
         if stats.rate > 0.0 {
             let behind = ((best - stats.in_time_fraction) / FULLY_BEHIND).clamp(0.0, 1.0);
-            let typical_value = self.billed_value(inv.op, stats.log_latency.map_or(1.0, f64::exp));
+            let typical_value = self.billed_value(invocation.op, stats.log_latency.map_or(1.0, f64::exp));
             goal_weight +=
                 behind * self.settings.goal_worst_operation / (stats.rate * typical_value).max(1e-6);
         }
-        goal_weight * self.billed_value(inv.op, inv.load) * inv.weight / inv.load.max(1e-3)
+        goal_weight * self.billed_value(invocation.op, invocation.load) * invocation.weight
+            / invocation.load.max(1e-3)
     }
 
     /// The billed value of an invocation of the operation with this load.
@@ -307,32 +350,35 @@
     }
 
     /// Inserts the invocation into the waiting queue by priority.
-    fn enqueue(&mut self, id: InvId) {
+    fn enqueue(&mut self, id: InvocationId) {
         let priority = self.priority(&self.invocations[&id]);
         let at = self
             .waiting
             .partition_point(|other| self.invocations.get(other).is_some_and(|o| o.priority >= priority));
         self.waiting.insert(at, id);
-        self.invocations.entry(id).and_modify(|inv| inv.priority = priority);
+        self.invocations.entry(id).and_modify(|invocation| invocation.priority = priority);
     }
 
     /// Applies an event to an invocation as `TRANSITIONS` says.
-    fn transition(&mut self, now: f64, id: InvId, event: InvEvent, out: &mut Vec<Output>) {
+    fn transition(&mut self, now: f64, id: InvocationId, event: InvocationEvent, out: &mut Vec<Output>) {
         const IN_TIME_WEIGHT: f64 = 0.02; // Smoothing over some fifty invocations.
-        let Some(inv) = self.invocations.get_mut(&id) else { return };
-        let Some(row) = TRANSITIONS.iter().find(|row| row.0 == inv.state && row.1 == event) else { return };
-        inv.state = row.2;
-        let (op, end) = (&self.settings.operations[inv.op], inv.end);
+        let Some(invocation) = self.invocations.get_mut(&id) else { return };
+        let Some(row) = TRANSITIONS.iter().find(|row| row.0 == invocation.state && row.1 == event) else {
+            return;
+        };
+        invocation.state = row.2;
+        let (op, deadline) = (&self.settings.operations[invocation.op], invocation.deadline);
         // The pause is randomised to spread retries. It stays within the slack while a retry can still earn
         // something; after that it is as long as clients honour. It is zero at a stop or without a list, as
         // another node may still have time for the invocation.
         let try_elsewhere = self.stop_deadline.is_some() || !self.list_state.permits(now);
-        let retry_now = try_elsewhere && now < inv.give_up_at;
-        let longest_pause = if inv.no_more_forwards || now >= inv.latest_start && op.late_value <= 0.0 {
-            f64::MAX
-        } else {
-            inv.slack
-        };
+        let retry_now = try_elsewhere && now < invocation.give_up_at;
+        let longest_pause =
+            if invocation.no_more_forwards || now >= invocation.latest_start && op.late_value <= 0.0 {
+                f64::MAX
+            } else {
+                invocation.slack
+            };
         let pause = if retry_now {
             0.0
         } else {
@@ -345,7 +391,11 @@
             (TransitionAction::Queue, _) => {
                 self.enqueue(id);
                 // Close to the client's deadline there is only time to answer.
-                let event = if now >= end - ANSWER_MARGIN { InvEvent::GaveUp } else { InvEvent::NotRun };
+                let event = if now >= deadline - ANSWER_MARGIN {
+                    InvocationEvent::GaveUp
+                } else {
+                    InvocationEvent::NotRun
+                };
                 return self.transition(now, id, event, out);
             }
             (TransitionAction::Close, _) => {}
@@ -354,17 +404,19 @@
                 out.push(Output::Throttle { id, pause })
             }
         }
-        let without_list = event == InvEvent::GaveUp && !self.list_state.permits(now);
+        let without_list = event == InvocationEvent::GaveUp && !self.list_state.permits(now);
         self.refused_without_list += u64::from(without_list);
         self.waiting.retain(|&other| other != id);
-        let in_time =
-            inv.forwards.last().is_some_and(|f| event == InvEvent::Finished && f.sent <= inv.latest_start);
-        self.operation_stats[inv.op].observe_outcome(in_time, IN_TIME_WEIGHT);
-        let tenant = inv.tenant.filter(|_| !inv.forwards.is_empty());
+        let in_time = invocation
+            .forwards
+            .last()
+            .is_some_and(|f| event == InvocationEvent::Finished && f.sent <= invocation.latest_start);
+        self.operation_stats[invocation.op].observe_outcome(in_time, IN_TIME_WEIGHT);
+        let tenant = invocation.tenant.filter(|_| !invocation.forwards.is_empty());
         tenant.into_iter().for_each(|t| self.tenant_stats[t].observe_outcome(in_time, IN_TIME_WEIGHT));
-        let in_flight = inv.in_flight().filter(|_| self.settings.cancelling);
+        let in_flight = invocation.in_flight().filter(|_| self.settings.cancelling);
         out.extend(in_flight.map(|forward| Output::Withdraw { id, forward }));
-        if inv.in_flight().count() == 0 {
+        if invocation.in_flight().count() == 0 {
             self.invocations.remove(&id);
         }
     }
@@ -378,8 +430,9 @@
         // Smoothing over some twenty outcomes.
         const MISLEADING_WEIGHT: f64 = 0.05;
         let Settled { id, forward, outcome, took, ended, report } = settled;
-        let Some(inv) = self.invocations.get_mut(&id) else { return };
-        let Some(fwd) = inv.forwards.get_mut(forward).filter(|f| f.state == ForwardState::InFlight) else {
+        let Some(invocation) = self.invocations.get_mut(&id) else { return };
+        let Some(fwd) = invocation.forwards.get_mut(forward).filter(|f| f.state == ForwardState::InFlight)
+        else {
             return;
         };
         fwd.state =
@@ -388,8 +441,8 @@
         // invocation that merely ran beside such a job is stopped too; its client retries.
         let run_time = fwd.wait.map_or(f64::INFINITY, |wait| now - fwd.sent - wait);
         let ran = (FATAL_WITHIN..f64::INFINITY).contains(&run_time);
-        inv.no_more_forwards |= self.settings.tells_start && outcome == Outcome::Reset && !ran;
-        let (tgt, op, took) = (fwd.tgt, inv.op, (took - fwd.wait.unwrap_or(0.0)) / inv.hint);
+        invocation.no_more_forwards |= self.settings.tells_start && outcome == Outcome::Reset && !ran;
+        let (tgt, op, took) = (fwd.tgt, invocation.op, (took - fwd.wait.unwrap_or(0.0)) / invocation.hint);
         fwd.errored = outcome == Outcome::Errored;
         // A second copy of a job that crashes executors does the most harm, so resets make copies less
         // likely.
@@ -399,18 +452,22 @@
             0.0
         };
         let (connection, late) = (fwd.connection_kind(), std::mem::take(&mut fwd.start_overdue));
-        inv.candidates.clear();
-        let failed_before = inv.forwards[..forward].iter().rfind(|f| f.errored).map(|f| f.tgt);
+        invocation.candidates.clear();
+        let failed_before = invocation.forwards[..forward].iter().rfind(|f| f.errored).map(|f| f.tgt);
         if let Some(other) =
             failed_before.filter(|_| matches!(outcome, Outcome::Errored | Outcome::Succeeded))
         {
-            inv.no_more_forwards |= outcome == Outcome::Errored;
-            let fault = f64::from(u8::from(inv.no_more_forwards));
+            invocation.no_more_forwards |= outcome == Outcome::Errored;
+            let fault = f64::from(u8::from(invocation.no_more_forwards));
             self.job_fault_rate += JOB_FAULT_WEIGHT * (fault - self.job_fault_rate);
-            self.executors[other].overall.retract_failure(inv.no_more_forwards);
+            self.executors[other].overall.retract_failure(invocation.no_more_forwards);
         }
-        let (in_flight, ran, state, memory) =
-            (inv.in_flight().count(), inv.first_possible_run().is_some(), inv.state, inv.memory);
+        let (in_flight, ran, state, memory) = (
+            invocation.in_flight().count(),
+            invocation.first_possible_run().is_some(),
+            invocation.state,
+            invocation.memory,
+        );
         let (t, connection) = (&mut self.executors[tgt], &mut self.connection_records[connection]);
         let answered =
             matches!(outcome, Outcome::Succeeded | Outcome::Errored | Outcome::Unfit | Outcome::Full);
@@ -467,17 +524,20 @@
         self.apply_report(now, tgt, report);
         self.update_price(now, (outcome == Outcome::Full).then_some(true), now);
         match (ended || outcome == Outcome::Succeeded, in_flight) {
-            (_, 0) if state == InvState::Ended => drop(self.invocations.remove(&id)),
-            (true, _) => self.transition(now, id, InvEvent::Finished, out),
+            (_, 0) if state == InvocationState::Ended => drop(self.invocations.remove(&id)),
+            (true, _) => self.transition(now, id, InvocationEvent::Finished, out),
             (false, 1..) => {}
-            (false, 0) => {
-                self.transition(now, id, if ran { InvEvent::MayHaveRun } else { InvEvent::NotRun }, out)
-            }
+            (false, 0) => self.transition(
+                now,
+                id,
+                if ran { InvocationEvent::MayHaveRun } else { InvocationEvent::NotRun },
+                out,
+            ),
         }
     }
 
     /// Closes the connections to the executor that are not in use.
-    fn close_idle_connections(&mut self, tgt: Tgt, out: &mut Vec<Output>) {
+    fn close_idle_connections(&mut self, tgt: ExecutorIndex, out: &mut Vec<Output>) {
         self.executors[tgt].connections = self.executors[tgt].held;
         out.push(Output::Release(tgt));
     }
@@ -494,20 +554,21 @@
     }
 
     /// Handles a sign that a forward has started or makes progress.
-    fn on_alive(&mut self, now: f64, id: InvId, forward: usize) {
+    fn on_alive(&mut self, now: f64, id: InvocationId, forward: usize) {
         // Smoothing weight of one start in the spill probability; steps are smaller for cheap crossings.
         const SPILL_WEIGHT: f64 = 0.05;
         // Smoothing weight of one start where a free slot was reported.
         const MISSING_SLOT_WEIGHT: f64 = 0.1;
         // Smoothing over some twenty starts, where utilisation is not reported.
         const WAITED_WEIGHT: f64 = 0.05;
-        let Some(inv) = self.invocations.get_mut(&id) else { return };
-        let Some(fwd) = inv.forwards.get_mut(forward).filter(|f| f.state == ForwardState::InFlight) else {
+        let Some(invocation) = self.invocations.get_mut(&id) else { return };
+        let Some(fwd) = invocation.forwards.get_mut(forward).filter(|f| f.state == ForwardState::InFlight)
+        else {
             return;
         };
         let (t, sent, wait, first) =
             (&mut self.executors[fwd.tgt], fwd.sent, now - fwd.sent, fwd.wait.is_none());
-        let late = (first && self.settings.tells_start).then_some(wait > LATE_START * inv.slack);
+        let late = (first && self.settings.tells_start).then_some(wait > LATE_START * invocation.slack);
         let was_overdue = std::mem::take(&mut fwd.start_overdue);
         // An overdue forward that starts after all was only queued.
         self.never_started_rate *= if was_overdue { 1.0 - 2.0 * NEVER_STARTED_WEIGHT } else { 1.0 };
@@ -518,7 +579,7 @@
         t.on_sign_of_life(now);
         if late.is_some() {
             self.connection_records[fwd.connection_kind()].add_success(now, MAX_SUCCESSES, was_overdue);
-            t.operation_record(inv.op).retract_failure(was_overdue);
+            t.operation_record(invocation.op).retract_failure(was_overdue);
         }
         if late.is_some() && fwd.had_reported_slot {
             self.missing_slot_rate +=
@@ -536,14 +597,18 @@
 
     /// Handles a forward that its executor has not acknowledged: the job may be lost while others run there.
     /// It is withdrawn if it can be sent again.
-    fn on_unacknowledged(&mut self, now: f64, id: InvId, forward: usize, out: &mut Vec<Output>) {
-        let Some(inv) = self.invocations.get(&id) else { return };
-        let fwd = inv.forwards.get(forward).filter(|f| f.state == ForwardState::InFlight && f.wait.is_none());
+    fn on_unacknowledged(&mut self, now: f64, id: InvocationId, forward: usize, out: &mut Vec<Output>) {
+        let Some(invocation) = self.invocations.get(&id) else { return };
+        let fwd = invocation
+            .forwards
+            .get(forward)
+            .filter(|f| f.state == ForwardState::InFlight && f.wait.is_none());
         let Some(tgt) = fwd.map(|f| f.tgt) else { return };
         let allowed = self.settings.cancelling
             && now >= self.degraded_until
             && self.remaining_further_forwards(now) >= 1.0;
-        let withdraw = allowed && self.permitted_executors(inv).any(|t| self.is_eligible(now, inv, t));
+        let withdraw =
+            allowed && self.permitted_executors(invocation).any(|t| self.is_eligible(now, invocation, t));
         out.extend(withdraw.then_some(Output::Withdraw { id, forward }));
         self.executors[tgt].record_failure(1.0, self.trust_reference, out);
     }
@@ -562,7 +627,14 @@
     }
 
     /// Handles the result of a probe.
-    fn on_probed(&mut self, now: f64, tgt: Tgt, outcome: Outcome, report: Report, out: &mut Vec<Output>) {
+    fn on_probed(
+        &mut self,
+        now: f64,
+        tgt: ExecutorIndex,
+        outcome: Outcome,
+        report: Report,
+        out: &mut Vec<Output>,
+    ) {
         let Some(t) = self.executors.get_mut(tgt) else { return };
         if outcome == Outcome::Succeeded {
             t.seen_alive = true;
@@ -627,7 +699,7 @@
     /// The node that counts what all nodes hold at the executor, where nodes exchange messages.
     fn counting_node(&self, t: &Executor) -> Option<usize> {
         (self.settings.peers && self.settings.probing)
-            .then_some(t.entry.mark as usize % self.peer_last_heard.len())
+            .then_some(t.entry.stable_id as usize % self.peer_last_heard.len())
     }
 
     /// Whether executors' load can be queried. If not, only the outcomes of own forwards tell of it.
@@ -657,7 +729,7 @@
             true => self
                 .available_slots(now, t)
                 .is_none_or(|room| room >= slots - cold_slots + ONE_SLOT && t.reported_just_now(now)),
-            false => (turn + t.entry.mark as usize) % self.settings.nodes.max(1) == self.settings.me,
+            false => (turn + t.entry.stable_id as usize) % self.settings.nodes.max(1) == self.settings.me,
         };
         open && work + load <= 0.4 * cold.factor * warm_fraction * slots * cold.fall
             && (t.held as f64) < cold_slots
@@ -665,17 +737,17 @@
 
     /// Whether a forward of the invocation to the executor is allowed, given its earlier forwards and their
     /// effect.
-    pub(crate) fn is_eligible(&self, now: f64, inv: &Inv, t: &Executor) -> bool {
-        let op = &self.settings.operations[inv.op];
+    pub(crate) fn is_eligible(&self, now: f64, invocation: &Invocation, t: &Executor) -> bool {
+        let op = &self.settings.operations[invocation.op];
         t.is_ready()
-            && inv.forwards.len() < self.settings.max_forwards
+            && invocation.forwards.len() < self.settings.max_forwards
             && op.kind.is_none_or(|kind| kind == t.entry.kind)
-            && !inv.forwards.iter().any(|f| f.tgt == t.entry.tgt && f.state != ForwardState::NotRun)
-            && inv.first_possible_run().is_none_or(|first| match op.effect {
+            && !invocation.forwards.iter().any(|f| f.tgt == t.entry.tgt && f.state != ForwardState::NotRun)
+            && invocation.first_possible_run().is_none_or(|first| match op.effect {
                 Effect::Idempotent => true,
                 Effect::NonIdempotent => false,
                 Effect::Deduplicated { group, window } => {
-                    let same = self.executors[first.tgt].entry.same(group, &t.entry);
+                    let same = self.executors[first.tgt].entry.shares_dedup_group(group, &t.entry);
                     same && now < first.sent + window - write_limit::WINDOW_MARGIN
                 }
             })
@@ -683,47 +755,52 @@
 
     /// Eligible and trusted. An untrusted executor gets trials, chosen by a draw from its posterior, with
     /// invocations that can be sent again.
-    fn can_send(&self, now: f64, inv: &Inv, t: &Executor) -> bool {
-        let repeatable = self.settings.operations[inv.op].effect != Effect::NonIdempotent;
+    fn can_send(&self, now: f64, invocation: &Invocation, t: &Executor) -> bool {
+        let repeatable = self.settings.operations[invocation.op].effect != Effect::NonIdempotent;
         let avoided = now >= self.degraded_until
-            && t.operation_records.get(inv.op).is_some_and(|record| record.avoided);
+            && t.operation_records.get(invocation.op).is_some_and(|record| record.avoided);
         let usable = !avoided && self.list_state.permits(now);
         usable
             && (t.is_trusted(now, self.degraded_until) || (t.trial && repeatable))
-            && self.is_eligible(now, inv, t)
+            && self.is_eligible(now, invocation, t)
     }
 
     /// Whether a draw may return the executor. In a large fleet, where draws are expensive, it must not be
     /// known to be full or unable to take this much work while cold.
-    fn is_candidate(&self, now: f64, inv: &Inv, t: &Executor) -> bool {
+    fn is_candidate(&self, now: f64, invocation: &Invocation, t: &Executor) -> bool {
         let full = || self.available_slots(now, t).is_some_and(|room| room < ONE_SLOT);
-        self.can_send(now, inv, t)
-            && (self.scans_whole_fleet() || self.admits_while_cold(now, t, inv.load) && !full())
+        self.can_send(now, invocation, t)
+            && (self.scans_whole_fleet() || self.admits_while_cold(now, t, invocation.load) && !full())
     }
 
     /// Draws executors by share, or evenly while all betas are zero; in a large fleet only from the own zone
     /// until `cross_zone_from`.
-    pub(crate) fn draw_executors(&mut self, now: f64, id: InvId, times: usize) -> Vec<Tgt> {
+    pub(crate) fn draw_executors(&mut self, now: f64, id: InvocationId, times: usize) -> Vec<ExecutorIndex> {
         let own_zone_only = now < self.invocations[&id].cross_zone_from
             && self.own_zone_count > 0
             && !self.scans_whole_fleet();
         let mut rng = std::mem::take(&mut self.rng);
-        let (count, inv) =
+        let (count, invocation) =
             (if own_zone_only { self.own_zone_count } else { self.ranked.len() }, &self.invocations[&id]);
         let (small_fleet, no_reports, reuse_only) =
             (self.is_small_fleet(), !self.can_query_load(), self.connection_records[NEW].avoided);
         let in_zone = |t: &Executor| small_fleet || !own_zone_only || t.entry.zone == self.settings.zone;
-        let is_open =
-            |i: &Tgt| in_zone(&self.executors[*i]) && self.is_candidate(now, inv, &self.executors[*i]);
+        let is_open = |i: &ExecutorIndex| {
+            in_zone(&self.executors[*i]) && self.is_candidate(now, invocation, &self.executors[*i])
+        };
         // A node whose turn it is prefers cold executors, which would else stand idle, for work that will be
         // in time.
-        let warm_fraction = |i: &Tgt| self.executors[*i].warm_fraction(now, &self.settings.cold);
-        let cold_in_time =
-            |i: &Tgt| warm_fraction(i) < 1.0 && inv.load * (1.0 / warm_fraction(i) - 1.0) <= 2.0 * inv.slack;
-        let idle_connection = |i: &Tgt| self.executors[*i].has_fresh_connection(now, self.settings.idle);
+        let warm_fraction = |i: &ExecutorIndex| self.executors[*i].warm_fraction(now, &self.settings.cold);
+        let cold_in_time = |i: &ExecutorIndex| {
+            warm_fraction(i) < 1.0
+                && invocation.load * (1.0 / warm_fraction(i) - 1.0) <= 2.0 * invocation.slack
+        };
+        let idle_connection =
+            |i: &ExecutorIndex| self.executors[*i].has_fresh_connection(now, self.settings.idle);
         // Without reports, an executor that started the last forward at once is preferred: it has no queue.
-        let free_at_once = |i: &Tgt| self.executors[*i].started_at_once && self.executors[*i].held == 0;
-        let preferred = |i: &Tgt| {
+        let free_at_once =
+            |i: &ExecutorIndex| self.executors[*i].started_at_once && self.executors[*i].held == 0;
+        let preferred = |i: &ExecutorIndex| {
             small_fleet
                 || no_reports && (cold_in_time(i) || free_at_once(i))
                 || reuse_only && idle_connection(i)
@@ -733,19 +810,21 @@
         } else {
             self.index.preferred_executors(&mut rng, no_reports, reuse_only)
         };
-        let mut pool: Vec<Tgt> = members.into_iter().filter(|i| preferred(i) && is_open(i)).collect();
+        let mut pool: Vec<ExecutorIndex> =
+            members.into_iter().filter(|i| preferred(i) && is_open(i)).collect();
         prefer(&mut pool, no_reports, cold_in_time);
         prefer(&mut pool, reuse_only, idle_connection);
         prefer(&mut pool, no_reports, free_at_once);
-        pool.retain(|i| !(inv.impatient && no_reports) || free_at_once(i));
-        let subset =
-            self.subset(inv, own_zone_only).filter(|_| pool.is_empty() && !(inv.impatient && no_reports));
+        pool.retain(|i| !(invocation.impatient && no_reports) || free_at_once(i));
+        let subset = self
+            .subset(invocation, own_zone_only)
+            .filter(|_| pool.is_empty() && !(invocation.impatient && no_reports));
         let all = Sampler::new(pool, |i| self.executors[i].share);
         let (count, from) = (if small_fleet { times } else { 2 * times }, self.index.window_start);
         let mut drawn = subset.unwrap_or(&all).draw(count, &mut rng, from, &is_open);
         // Of the drawn ones, those that are due longest by their share come first; this evens out random
         // clusters.
-        let overdue_share = |i: &Tgt| {
+        let overdue_share = |i: &ExecutorIndex| {
             if small_fleet {
                 0.0
             } else {
@@ -767,80 +846,87 @@
     /// The executors to try, in order: the drawn one, then the others by share, own zone first; in a large
     /// fleet two drawn ones. An invocation with a key uses the key's order, the same at every node (weighted
     /// rendezvous hashing), as executors cache data by key.
-    fn candidates(&mut self, now: f64, id: InvId) -> Vec<Tgt> {
+    fn candidates(&mut self, now: f64, id: InvocationId) -> Vec<ExecutorIndex> {
         // One more executor of the key's order per fifth of the slack; with a tenth, too much data is fetched
         // anew.
         const KEY_SPILL: f64 = 0.2;
         const DRAW_INTERVAL_MIN: f64 = 0.005; // About a round trip at first, doubled each time,
         const DRAW_INTERVAL_MAX: f64 = 0.16; // up to this: some six draws in half a second.
-        let (scan_all, inv) = (self.scans_whole_fleet(), &self.invocations[&id]);
-        if let Some(key) = inv.key {
-            if inv.candidates.is_empty() {
+        let (scan_all, invocation) = (self.scans_whole_fleet(), &self.invocations[&id]);
+        if let Some(key) = invocation.key {
+            if invocation.candidates.is_empty() {
                 let order = self.rendezvous_order(key);
-                self.invocations.entry(id).and_modify(|inv| inv.candidates = order);
+                self.invocations.entry(id).and_modify(|invocation| invocation.candidates = order);
             }
-            let inv = &self.invocations[&id];
-            let count =
-                1 + ((now - inv.latest_start + inv.slack) / (KEY_SPILL * inv.slack)).max(0.0) as usize;
-            let can_send = |i: &Tgt| self.can_send(now, inv, &self.executors[*i]);
-            let order: Vec<Tgt> = inv.candidates.iter().copied().filter(can_send).take(count).collect();
+            let invocation = &self.invocations[&id];
+            let count = 1
+                + ((now - invocation.latest_start + invocation.slack) / (KEY_SPILL * invocation.slack))
+                    .max(0.0) as usize;
+            let can_send = |i: &ExecutorIndex| self.can_send(now, invocation, &self.executors[*i]);
+            let order: Vec<ExecutorIndex> =
+                invocation.candidates.iter().copied().filter(can_send).take(count).collect();
             return if order.is_empty() && !self.is_small_fleet() {
                 self.draw_executors(now, id, 1)
             } else {
                 order
             };
         }
-        let is_open = |i: &&Tgt| self.is_candidate(now, inv, &self.executors[**i]);
-        let mut drawn: Vec<Tgt> = inv.candidates.iter().filter(is_open).copied().collect();
-        if drawn.is_empty() && (scan_all || now >= inv.next_draw) {
+        let is_open = |i: &&ExecutorIndex| self.is_candidate(now, invocation, &self.executors[**i]);
+        let mut drawn: Vec<ExecutorIndex> = invocation.candidates.iter().filter(is_open).copied().collect();
+        if drawn.is_empty() && (scan_all || now >= invocation.next_draw) {
             drawn = self.draw_executors(now, id, if scan_all { 1 } else { 2 });
             drawn.dedup();
-            let inv = self.invocations.entry(id).or_default();
-            inv.draw_interval = (2.0 * inv.draw_interval).clamp(DRAW_INTERVAL_MIN, DRAW_INTERVAL_MAX);
-            (inv.next_draw, inv.candidates) = (now + inv.draw_interval, drawn.clone());
+            let invocation = self.invocations.entry(id).or_default();
+            invocation.draw_interval =
+                (2.0 * invocation.draw_interval).clamp(DRAW_INTERVAL_MIN, DRAW_INTERVAL_MAX);
+            (invocation.next_draw, invocation.candidates) = (now + invocation.draw_interval, drawn.clone());
         }
         let Some(first) = drawn.first().copied().filter(|_| scan_all) else { return drawn };
         drawn.extend(self.ranked.iter().copied().filter(|&i| i != first && self.executors[i].beta > 0.0));
-        let other_zone =
-            |i: &Tgt| self.own_zone_count > 0 && self.executors[*i].entry.zone != self.settings.zone;
+        let other_zone = |i: &ExecutorIndex| {
+            self.own_zone_count > 0 && self.executors[*i].entry.zone != self.settings.zone
+        };
         drawn.retain(|i| now >= self.invocations[&id].cross_zone_from || !other_zone(i));
         drawn.sort_by_key(other_zone);
         drawn
     }
 
     /// Finds an executor for the invocation, or queries those whose load is unknown.
-    fn find_placement(&mut self, now: f64, id: InvId, out: &mut Vec<Output>) -> Placement {
+    fn find_placement(&mut self, now: f64, id: InvocationId, out: &mut Vec<Output>) -> Placement {
         // Seconds (some running times) after which the memory taken by other nodes' jobs is unknown.
         const MEMORY_REPORT_LIFETIME: f64 = 1.0;
         const RESERVED_SHARE: f64 = 0.5; // Of the budget's floor, reserved for invocations of high priority.
         const MAX_QUERIES: usize = 2; // Executors queried at a time.
-        let inv = &self.invocations[&id];
-        let max_forwards = if inv.no_more_forwards { 0 } else { self.settings.max_forwards };
+        let invocation = &self.invocations[&id];
+        let max_forwards = if invocation.no_more_forwards { 0 } else { self.settings.max_forwards };
         // The last further forwards are reserved for high priority and for invocations proven not to have
         // run.
         let reserved = self.settings.budget.map_or(0.0, |budget| RESERVED_SHARE * budget.floor);
-        let has_precedence = inv.forwards.is_empty()
-            || inv.first_possible_run().is_none()
-            || inv.priority >= self.typical_priority;
-        let budget_spent = !inv.forwards.is_empty()
+        let has_precedence = invocation.forwards.is_empty()
+            || invocation.first_possible_run().is_none()
+            || invocation.priority >= self.typical_priority;
+        let budget_spent = !invocation.forwards.is_empty()
             && self.remaining_further_forwards(now) < if has_precedence { 1.0 } else { 1.0 + reserved };
         let no_more = budget_spent
-            || inv.forwards.len() >= max_forwards
-            || self.stop_deadline.is_some() && now + inv.load > inv.end;
+            || invocation.forwards.len() >= max_forwards
+            || self.stop_deadline.is_some() && now + invocation.load > invocation.deadline;
         if no_more
-            || (inv.first_possible_run().is_some()
-                && !self.permitted_executors(inv).any(|t| self.is_eligible(now, inv, t)))
+            || (invocation.first_possible_run().is_some()
+                && !self.permitted_executors(invocation).any(|t| self.is_eligible(now, invocation, t)))
         {
             return Placement::Never;
         }
-        let (order, inv, mut unknown) = (self.candidates(now, id), &self.invocations[&id], Vec::new());
-        let admits = |t: &Executor| self.can_send(now, inv, t) && self.admits_while_cold(now, t, inv.load);
+        let (order, invocation, mut unknown) = (self.candidates(now, id), &self.invocations[&id], Vec::new());
+        let admits = |t: &Executor| {
+            self.can_send(now, invocation, t) && self.admits_while_cold(now, t, invocation.load)
+        };
         for i in order.into_iter().filter(|&i| admits(&self.executors[i])) {
             let t = &self.executors[i];
             let foreign_memory =
                 if now - t.own_report_at < MEMORY_REPORT_LIFETIME { t.foreign_memory } else { 0.0 };
-            let fits = t.slots <= 0.0 || t.memory + foreign_memory + inv.memory <= t.slots;
-            let may_skip_unknown = unknown.is_empty() || inv.key.is_none() && !self.scans_whole_fleet();
+            let fits = t.slots <= 0.0 || t.memory + foreign_memory + invocation.memory <= t.slots;
+            let may_skip_unknown =
+                unknown.is_empty() || invocation.key.is_none() && !self.scans_whole_fleet();
             match self.available_slots(now, t) {
                 None => unknown.push(i),
                 Some(room) if room >= ONE_SLOT && fits && may_skip_unknown => return Placement::Here(i),
@@ -855,17 +941,17 @@
 
     /// Queries the executor's counting node; or the executor itself, if this node counts or the last query
     /// had no answer.
-    fn query_load(&mut self, now: f64, tgt: Tgt, out: &mut Vec<Output>) {
+    fn query_load(&mut self, now: f64, tgt: ExecutorIndex, out: &mut Vec<Output>) {
         let t = &self.executors[tgt];
         let counting_node =
             self.counting_node(t).filter(|&k| k != self.settings.me && t.queried_at <= t.reported_at);
-        let question = |to| Output::Tell { to, told: Told::Asks, tgt, count: 0 };
+        let question = |to| Output::SendToPeer { to, kind: PeerMessageKind::Query, tgt, count: 0 };
         out.push(counting_node.map_or(Output::Probe(tgt), question));
         self.executors[tgt].queried_at = now;
     }
 
     /// Sends the invocation to the executor and updates what is held there.
-    fn send_forward(&mut self, now: f64, id: InvId, tgt: Tgt, out: &mut Vec<Output>) {
+    fn send_forward(&mut self, now: f64, id: InvocationId, tgt: ExecutorIndex, out: &mut Vec<Output>) {
         let turn = self.executors[tgt].turn_number(now, self.settings.cold.fall);
         let t = &self.executors[tgt];
         let had_reported_slot = self.reports_are_reliable(now) && t.free - t.sent_since_report >= ONE_SLOT;
@@ -876,29 +962,29 @@
         {
             self.close_idle_connections(tgt, out);
         }
-        let Some(inv) = self.invocations.get_mut(&id) else { return };
-        self.further_sent.record_if(!inv.forwards.is_empty(), now, self.settings.budget_retention());
+        let Some(invocation) = self.invocations.get_mut(&id) else { return };
+        self.further_sent.record_if(!invocation.forwards.is_empty(), now, self.settings.budget_retention());
         let t = &mut self.executors[tgt];
         self.awaiting_start.remove(&id);
         self.awaiting_start.extend(expected_at_once.then_some(id));
-        inv.forwards.push(Forward {
+        invocation.forwards.push(Forward {
             had_reported_slot,
             reused_connection: t.has_idle_connection(),
             expected_at_once,
             ..Forward::new(tgt, now)
         });
         // Ends the trial: it is one invocation.
-        t.operation_record(inv.op).fail_and_compare(0.0, self.trust_reference);
+        t.operation_record(invocation.op).fail_and_compare(0.0, self.trust_reference);
         t.connections = t.connections.max(t.held + 1);
-        t.memory += inv.memory;
-        t.cold_work = inv.load + if t.cold_turn == turn { t.cold_work } else { 0.0 };
+        t.memory += invocation.memory;
+        t.cold_work = invocation.load + if t.cold_turn == turn { t.cold_work } else { 0.0 };
         t.last_sign_of_life = if t.held == 0 { now } else { t.last_sign_of_life };
         (t.cold_turn, t.held, t.sent_since_report, t.last_sent, t.trial) =
             (turn, t.held + 1, t.sent_since_report + 1.0, now, false);
         self.waiting.retain(|&other| other != id);
         out.push(Output::Forward { id, tgt });
         self.announce_held(tgt, out);
-        self.transition(now, id, InvEvent::Sent, out);
+        self.transition(now, id, InvocationEvent::Sent, out);
     }
 
     /// Sends waiting invocations in order of priority while executors have free slots or can be queried.
@@ -912,7 +998,7 @@
             match self.find_placement(now, id, out) {
                 Placement::Here(tgt) => self.send_forward(now, id, tgt, out),
                 Placement::Later => at += 1,
-                Placement::Never => self.transition(now, id, InvEvent::GaveUp, out),
+                Placement::Never => self.transition(now, id, InvocationEvent::GaveUp, out),
             }
         }
         for id in self.check_overdue_starts(now) {
@@ -922,36 +1008,39 @@
         }
         if (!self.awaiting_start.is_empty() || !self.waiting.is_empty()) && !self.dispatch_timer_set {
             self.dispatch_timer_set = true;
-            out.push(Output::Wake { after: DISPATCH_INTERVAL, timer: LOOK });
+            out.push(Output::SetTimer { after: DISPATCH_INTERVAL, timer: LOOK });
         }
     }
 
     /// Detects forwards that should have started, as on lost connections or operations that an executor drops
     /// silently. Returns the invocations to send a second copy of.
-    fn check_overdue_starts(&mut self, now: f64) -> Vec<InvId> {
+    fn check_overdue_starts(&mut self, now: f64) -> Vec<InvocationId> {
         // Times the slack, which is half of what it could wait: it will not be in time.
         const GIVEN_UP_AFTER: f64 = 2.0;
         let mut copies = Vec::new();
         for id in std::mem::take(&mut self.awaiting_start) {
-            let Some(inv) = self.invocations.get_mut(&id).filter(|inv| inv.state != InvState::Ended) else {
+            let Some(invocation) =
+                self.invocations.get_mut(&id).filter(|invocation| invocation.state != InvocationState::Ended)
+            else {
                 continue;
             };
-            let Some(fwd) = inv.forwards.last_mut().filter(|f| f.is_start_missing() && !f.start_given_up)
+            let Some(fwd) =
+                invocation.forwards.last_mut().filter(|f| f.is_start_missing() && !f.start_given_up)
             else {
                 continue;
             };
             let (age, t) = (now - fwd.sent, &mut self.executors[fwd.tgt]);
-            if !fwd.start_overdue && age > LATE_START * inv.slack {
+            if !fwd.start_overdue && age > LATE_START * invocation.slack {
                 (fwd.start_overdue, t.started_at_once) = (true, false);
                 self.connection_records[fwd.connection_kind()].add_failure(1.0);
-                t.operation_record(inv.op).fail_and_compare(1.0, self.trust_reference);
+                t.operation_record(invocation.op).fail_and_compare(1.0, self.trust_reference);
             }
-            if fwd.start_overdue && age > GIVEN_UP_AFTER * inv.slack {
+            if fwd.start_overdue && age > GIVEN_UP_AFTER * invocation.slack {
                 fwd.start_given_up = true;
                 self.never_started_rate += NEVER_STARTED_WEIGHT * (1.0 - self.never_started_rate);
             } else if fwd.start_overdue
                 && (self.never_started_rate > 0.5 || fwd.had_reported_slot && fwd.reused_connection)
-                && now < inv.end - ANSWER_MARGIN
+                && now < invocation.deadline - ANSWER_MARGIN
             {
                 copies.extend(self.settings.second_copies.then_some(id));
             }
@@ -962,20 +1051,23 @@
 
     /// Limits all deadlines to the stop, so that no answer is cut off. Invocations that usually take longer
     /// are given back (see `find_placement`).
-    fn begin_stop(&mut self, end: f64) {
-        self.stop_deadline = Some(end);
-        self.invocations.values_mut().for_each(|inv| inv.end = inv.end.min(end));
+    fn begin_stop(&mut self, deadline: f64) {
+        self.stop_deadline = Some(deadline);
+        self.invocations
+            .values_mut()
+            .for_each(|invocation| invocation.deadline = invocation.deadline.min(deadline));
     }
 
     /// Gives up the invocations whose waiting no longer pays.
     fn expire_waiting(&mut self, now: f64, out: &mut Vec<Output>) {
         self.dispatch_timer_set = false;
-        let expired =
-            |id: &InvId| now >= self.invocations[id].give_up_at.min(self.invocations[id].end - ANSWER_MARGIN);
-        let (expired, waiting): (Vec<InvId>, _) =
+        let expired = |id: &InvocationId| {
+            now >= self.invocations[id].give_up_at.min(self.invocations[id].deadline - ANSWER_MARGIN)
+        };
+        let (expired, waiting): (Vec<InvocationId>, _) =
             std::mem::take(&mut self.waiting).into_iter().partition(expired);
         self.waiting = waiting;
-        expired.into_iter().for_each(|id| self.transition(now, id, InvEvent::GaveUp, out));
+        expired.into_iter().for_each(|id| self.transition(now, id, InvocationEvent::GaveUp, out));
     }
 
     /// Periodic update: decays records, detects silent executors, then solves the split anew.
@@ -1014,11 +1106,13 @@
         self.typical_priority = self.settings.goal_whole / work.max(1e-6);
         self.price *= (-elapsed / FAILURE_DECAY).exp();
         self.missing_slot_rate *= (-elapsed / MISSING_SLOT_DECAY).exp();
-        let is_late = |f: &&Forward, i: &Inv| {
+        let is_late = |f: &&Forward, i: &Invocation| {
             f.state == ForwardState::InFlight && f.wait.is_none() && now - f.sent > LATE_START * i.slack
         };
-        let late_starts =
-            self.invocations.values().filter_map(|inv| inv.forwards.last().filter(|f| is_late(f, inv)));
+        let late_starts = self
+            .invocations
+            .values()
+            .filter_map(|invocation| invocation.forwards.last().filter(|f| is_late(f, invocation)));
         let last_sent = late_starts.map(|f| f.sent).fold(0.0, f64::max);
         self.update_price(now, (self.settings.tells_start && last_sent > 0.0).then_some(true), last_sent);
         // Silent means no sign of life for 1.5 progress intervals; longer if none of its forwards is known to
@@ -1057,7 +1151,7 @@
         // A node with few invocations solves a large fleet less often, as CPU is measured per invocation.
         let cost = SOLVE_COST * self.ranked.len() as f64;
         let after = (cost / self.phi.max(0.5)).clamp(SOLVE_INTERVAL, SOLVE_INTERVAL_MAX);
-        out.push(Output::Wake { after, timer: SOLVE_TIMER });
+        out.push(Output::SetTimer { after, timer: SOLVE_TIMER });
     }
 
     /// Compares reused with new connections, as one kind may fail while the other works. The worse kind is
@@ -1074,12 +1168,12 @@
             record.avoided =
                 worse && record.draw_from_posterior(&mut self.rng) < other.draw_from_posterior(&mut self.rng);
         }
-        let is_suspect = |i: &Tgt| {
+        let is_suspect = |i: &ExecutorIndex| {
             self.connection_records[REUSED].avoided
                 && !was_avoided
                 && self.executors[*i].has_idle_connection()
         };
-        let suspects: Vec<Tgt> = (0..self.executors.len()).filter(is_suspect).collect();
+        let suspects: Vec<ExecutorIndex> = (0..self.executors.len()).filter(is_suspect).collect();
         suspects.into_iter().for_each(|tgt| self.close_idle_connections(tgt, out));
     }
 
@@ -1088,7 +1182,7 @@
         const MAX_PROBES: usize = 3; // At a time: finds dozens in some seconds, more than one node needs.
         let none_ready = !self.executors.iter().any(Executor::is_ready);
         let is_missing = |t: &Executor| t.entry.standing == Standing::Missing && !t.seen_alive;
-        let missing: Vec<Tgt> =
+        let missing: Vec<ExecutorIndex> =
             (0..self.executors.len()).filter(|&i| is_missing(&self.executors[i])).collect();
         if none_ready {
             missing.iter().for_each(|&i| self.executors[i].seen_alive = true);
@@ -1135,8 +1229,8 @@
                 0.0,
             );
         }
-        let ready = |i: &Tgt| self.executors[*i].is_ready();
-        let mut ranked: Vec<Tgt> = (0..self.executors.len()).filter(ready).collect();
+        let ready = |i: &ExecutorIndex| self.executors[*i].is_ready();
+        let mut ranked: Vec<ExecutorIndex> = (0..self.executors.len()).filter(ready).collect();
         // Scaled so that this node's arrivals load the executors to the utilisation they report.
         let sum: f64 = ranked.iter().map(|&i| self.executors[i].mu).sum();
         let scale = self.phi.max(1e-3) / self.util.clamp(0.05, 1.0) / sum.max(1e-9);
@@ -1144,14 +1238,15 @@
         // If an operation needs a machine kind, kinds are solved separately, each with its part of phi.
         let by_kind = self.settings.operations.iter().any(|op| op.kind.is_some());
         for kind in 0..if by_kind { self.kind_stats.len() } else { 1 } {
-            let is_member = |i: &Tgt| !by_kind || self.executors[*i].entry.kind == kind;
-            let members: Vec<Tgt> = ranked.iter().copied().filter(is_member).collect();
+            let is_member = |i: &ExecutorIndex| !by_kind || self.executors[*i].entry.kind == kind;
+            let members: Vec<ExecutorIndex> = ranked.iter().copied().filter(is_member).collect();
             let mu: Vec<f64> = members.iter().map(|&i| self.executors[i].mu).collect();
             let phi = self.phi * mu.iter().sum::<f64>() / (sum * scale).max(1e-9);
             members.iter().zip(coop(&mu, phi)).for_each(|(&i, beta)| self.executors[i].beta = beta);
         }
-        let in_own_zone = |i: Tgt| prefer_own_zone && self.executors[i].entry.zone == self.settings.zone;
-        let share = |i: Tgt| self.executors[i].beta;
+        let in_own_zone =
+            |i: ExecutorIndex| prefer_own_zone && self.executors[i].entry.zone == self.settings.zone;
+        let share = |i: ExecutorIndex| self.executors[i].beta;
         ranked.sort_by(|&a, &b| {
             in_own_zone(b).cmp(&in_own_zone(a)).then(share(b).total_cmp(&share(a))).then(a.cmp(&b))
         });
@@ -1159,7 +1254,7 @@
         let sum: f64 = ranked.iter().map(|&i| share(i)).sum();
         let min_share = if sum > 0.0 { TRIAL_SHARE * sum / ranked.len() as f64 } else { 1.0 };
         ranked.iter().for_each(|&i| self.executors[i].share = self.executors[i].beta.max(min_share));
-        let mean = |of: &[Tgt]| {
+        let mean = |of: &[ExecutorIndex]| {
             of.iter().map(|&i| self.executors[i].held as f64).sum::<f64>() / of.len().max(1) as f64
         };
         self.mean_held = [mean(&ranked[..self.own_zone_count]), mean(&ranked[self.own_zone_count..])];
@@ -1168,11 +1263,11 @@
     }
 
     /// Tells the executor's counting node how many forwards this node holds there.
-    fn announce_held(&mut self, tgt: Tgt, out: &mut Vec<Output>) {
+    fn announce_held(&mut self, tgt: ExecutorIndex, out: &mut Vec<Output>) {
         self.executors[tgt].held_announced = true;
-        let (t, told) = (&self.executors[tgt], Told::Held);
+        let (t, kind) = (&self.executors[tgt], PeerMessageKind::Held);
         let (to, count) = (self.counting_node(t).filter(|to| *to != self.settings.me), t.held.min(255) as u8);
-        out.extend(to.map(|to| Output::Tell { to, told, tgt, count }));
+        out.extend(to.map(|to| Output::SendToPeer { to, kind, tgt, count }));
     }
 
     /// Handles a message of another node about an executor.
@@ -1180,25 +1275,30 @@
         &mut self,
         now: f64,
         from: usize,
-        told: Told,
-        tgt: Tgt,
+        kind: PeerMessageKind,
+        tgt: ExecutorIndex,
         count: u8,
         out: &mut Vec<Output>,
     ) {
         let Some(()) = self.peer_last_heard.get_mut(from).map(|heard| *heard = now) else { return };
         let room = self.executors.get(tgt).and_then(|t| self.available_slots(now, t));
         let Some(t) = self.executors.get_mut(tgt) else { return };
-        match told {
-            Told::Held => t.set_peer_held(from, count),
-            Told::Room => {
+        match kind {
+            PeerMessageKind::Held => t.set_peer_held(from, count),
+            PeerMessageKind::FreeSlots => {
                 (t.free, t.sent_since_report, t.reported_at, t.granted_at) = (f64::from(count), 0.0, now, now)
             }
-            Told::Asks => {
+            PeerMessageKind::Query => {
                 // Reserves the slot, so that the next node to ask is not granted it too.
                 if room >= Some(ONE_SLOT) {
                     (t.promised_at, t.promised_slots) = (now, t.pending_promises(now) + 1.0);
                 }
-                out.extend(room.map(|n| Output::Tell { to: from, told: Told::Room, tgt, count: n as u8 }));
+                out.extend(room.map(|n| Output::SendToPeer {
+                    to: from,
+                    kind: PeerMessageKind::FreeSlots,
+                    tgt,
+                    count: n as u8,
+                }));
             }
         }
     }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -7,7 +7,7 @@
 
 const DEDUP_ALL: Effect = Effect::Deduplicated { group: Group::All, window: 2.0 };
 const DEDUP_CELL: Effect = Effect::Deduplicated { group: Group::Cell, window: 2.0 };
-const ID: InvId = 7;
+const ID: InvocationId = 7;
 
 fn operation(effect: Effect) -> Operation {
     Operation { effect, objective: 1.0, stretch: 1.0, value: 1.0, late_value: 0.0, kind: None }
@@ -25,28 +25,28 @@
     node
 }
 
-fn entry(tgt: Tgt, standing: Standing, started: f64) -> Entry {
+fn entry(tgt: ExecutorIndex, standing: Standing, started: f64) -> Entry {
     Entry { tgt, standing, started, ..Entry::default() }
 }
 
 /// Adds an invocation whose earlier forwards, all sent at 1, went to executors 0, 1, ... and are in these
 /// states.
-fn add(node: &mut Node, state: InvState, forward_states: &[ForwardState]) {
+fn add(node: &mut Node, state: InvocationState, forward_states: &[ForwardState]) {
     let forward = |(tgt, &forward_state)| Forward { state: forward_state, ..Forward::new(tgt, 1.0) };
     let forwards: Vec<Forward> = forward_states.iter().enumerate().map(forward).collect();
-    let inv = Inv {
+    let invocation = Invocation {
         state,
         latest_start: 5.0,
         give_up_at: 5.0,
-        end: 10.0,
+        deadline: 10.0,
         hint: 1.0,
         load: 1.0,
         weight: 1.0,
         forwards,
-        ..Inv::default()
+        ..Invocation::default()
     };
-    node.invocations.insert(ID, inv);
-    if matches!(state, InvState::Waiting | InvState::Uncertain) {
+    node.invocations.insert(ID, invocation);
+    if matches!(state, InvocationState::Waiting | InvocationState::Uncertain) {
         node.waiting.push(ID);
     }
 }
@@ -80,7 +80,7 @@
 #[test_case(&[1.0, 0.0], 0.97, 0.999; "a zero share is still tried")]
 fn draws_by_share(beta: &[f64], least: f64, most: f64) {
     let mut node = node(Effect::Idempotent, beta.len());
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     let trial = if beta[0] > 0.0 { 0.02 * beta[0] / beta.len() as f64 } else { 1.0 };
     node.executors.iter_mut().zip(beta).for_each(|(t, beta)| t.share = beta.max(trial));
     let first = (0..4000).filter(|_| node.draw_executors(2.0, ID, 1) == [0]).count() as f64 / 4000.0;
@@ -98,24 +98,28 @@
     until: f64,
 ) {
     let mut node = node(effect, 3);
-    add(&mut node, InvState::InFlight, forward_states);
+    add(&mut node, InvocationState::InFlight, forward_states);
     assert_eq!(node.write_until(ID), until);
 }
 
 // The state after each outcome of the only forward, by the operation's effect.
-#[test_case(Effect::NonIdempotent, Outcome::Full, Some(InvState::Waiting); "full proves that it never ran")]
-#[test_case(Effect::NonIdempotent, Outcome::Unreachable, Some(InvState::Waiting); "so does no connection")]
-#[test_case(Effect::NonIdempotent, Outcome::Moot, Some(InvState::Waiting); "so does one never sent")]
-#[test_case(Effect::NonIdempotent, Outcome::Errored, Some(InvState::Uncertain); "an error may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::Reset, Some(InvState::Uncertain); "a reset may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::TimedOut, Some(InvState::Uncertain); "a time out may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::Cancelled, Some(InvState::Uncertain); "a withdrawal may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Full, Some(InvocationState::Waiting); "full proves that it never ran")]
+#[test_case(Effect::NonIdempotent, Outcome::Unreachable, Some(InvocationState::Waiting); "so does no connection")]
+#[test_case(Effect::NonIdempotent, Outcome::Moot, Some(InvocationState::Waiting); "so does one never sent")]
+#[test_case(Effect::NonIdempotent, Outcome::Errored, Some(InvocationState::Uncertain); "an error may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Reset, Some(InvocationState::Uncertain); "a reset may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::TimedOut, Some(InvocationState::Uncertain); "a time out may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Cancelled, Some(InvocationState::Uncertain); "a withdrawal may have run")]
 #[test_case(Effect::Idempotent, Outcome::Succeeded, None; "a success ends it")]
-fn a_forwards_outcome_sets_the_invocations_state(effect: Effect, outcome: Outcome, state: Option<InvState>) {
+fn a_forwards_outcome_sets_the_invocations_state(
+    effect: Effect,
+    outcome: Outcome,
+    state: Option<InvocationState>,
+) {
     let mut node = node(effect, 4);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     settle_forward(&mut node, 2.0, outcome);
-    assert_eq!(node.invocations.get(&ID).map(|inv| inv.state), state);
+    assert_eq!(node.invocations.get(&ID).map(|invocation| invocation.state), state);
 }
 
 #[test_case(Effect::Idempotent, ForwardState::MayHaveRun, 1.5, &[1, 2, 3]; "idempotent goes anywhere else")]
@@ -129,40 +133,40 @@
     effect: Effect,
     forward_state: ForwardState,
     now: f64,
-    expected: &[Tgt],
+    expected: &[ExecutorIndex],
 ) {
     let mut node = node(effect, 4);
-    add(&mut node, InvState::Uncertain, &[forward_state]);
-    let may: Vec<Tgt> =
+    add(&mut node, InvocationState::Uncertain, &[forward_state]);
+    let may: Vec<ExecutorIndex> =
         (0..4).filter(|&i| node.is_eligible(now, &node.invocations[&ID], &node.executors[i])).collect();
     assert_eq!(may, expected);
 }
 
-#[test_case(Effect::NonIdempotent, InvState::Waiting, true; "nothing ran: throttled")]
-#[test_case(Effect::NonIdempotent, InvState::Uncertain, false; "non idempotent that may have run: error")]
-#[test_case(Effect::Idempotent, InvState::Uncertain, true; "idempotent: throttled")]
-#[test_case(DEDUP_ALL, InvState::Uncertain, true; "deduplicated by all: throttled")]
-#[test_case(DEDUP_CELL, InvState::Uncertain, false; "deduplicated by a narrower group: error")]
-fn giving_up_is_answered_by_the_operations_effect(effect: Effect, state: InvState, throttled: bool) {
+#[test_case(Effect::NonIdempotent, InvocationState::Waiting, true; "nothing ran: throttled")]
+#[test_case(Effect::NonIdempotent, InvocationState::Uncertain, false; "non idempotent that may have run: error")]
+#[test_case(Effect::Idempotent, InvocationState::Uncertain, true; "idempotent: throttled")]
+#[test_case(DEDUP_ALL, InvocationState::Uncertain, true; "deduplicated by all: throttled")]
+#[test_case(DEDUP_CELL, InvocationState::Uncertain, false; "deduplicated by a narrower group: error")]
+fn giving_up_is_answered_by_the_operations_effect(effect: Effect, state: InvocationState, throttled: bool) {
     let mut node = node(effect, 2);
     add(
         &mut node,
         state,
-        &[if state == InvState::Waiting { ForwardState::NotRun } else { ForwardState::MayHaveRun }],
+        &[if state == InvocationState::Waiting { ForwardState::NotRun } else { ForwardState::MayHaveRun }],
     );
     let mut out = Vec::new();
-    node.transition(2.0, ID, InvEvent::GaveUp, &mut out);
+    node.transition(2.0, ID, InvocationEvent::GaveUp, &mut out);
     let expected = if throttled { Output::Throttle { id: ID, pause: 0.0 } } else { Output::Error { id: ID } };
     assert_eq!((out, node.waiting.len(), node.invocations.len()), (vec![expected], 0, 0));
 }
 
-#[test_case(InvEvent::Finished; "a second completion")]
-#[test_case(InvEvent::GaveUp; "giving up while in flight")]
-fn late_and_duplicate_events_change_nothing(turn: InvEvent) {
+#[test_case(InvocationEvent::Finished; "a second completion")]
+#[test_case(InvocationEvent::GaveUp; "giving up while in flight")]
+fn late_and_duplicate_events_change_nothing(turn: InvocationEvent) {
     let mut node = node(Effect::Idempotent, 2);
     add(
         &mut node,
-        if turn == InvEvent::GaveUp { InvState::InFlight } else { InvState::Ended },
+        if turn == InvocationEvent::GaveUp { InvocationState::InFlight } else { InvocationState::Ended },
         &[ForwardState::InFlight],
     );
     let mut out = Vec::new();
@@ -173,7 +177,7 @@
 #[test]
 fn a_timeout_near_the_clients_deadline_is_answered_at_once() {
     let mut node = node(Effect::NonIdempotent, 2);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     assert_eq!(settle_forward(&mut node, 10.0, Outcome::TimedOut).last(), Some(&Output::Error { id: ID }));
 }
 
@@ -214,7 +218,7 @@
 #[test_case(List::Lost(Loss::Closed), Standing::Ready; "a failed call leaves the list")]
 fn lists_set_the_executors_standing(list: List, expected: Standing) {
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     node.on_list(3.0, list, &mut out);
     assert_eq!(node.executors[1].entry.standing, expected);
     assert_eq!(
@@ -235,7 +239,7 @@
     // A wrong list may show a serving fleet as gone, and an outdated list may arrive again.
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
     (node.settings.only_draining, node.settings.probing, node.executors[1].entry.started) = (true, true, 5.0);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     for &(standing, started) in told {
         node.on_list(30.0, List::Changes(vec![entry(1, standing, started)]), &mut out);
         if alive {
@@ -267,7 +271,7 @@
 /// The wait before the next call for the list.
 fn list_call_wait(out: &[Output]) -> Option<f64> {
     out.iter().rev().find_map(|o| {
-        if let Output::Wake { after, timer: LIST_CALL_TIMER } = o {
+        if let Output::SetTimer { after, timer: LIST_CALL_TIMER } = o {
             Some(*after)
         } else {
             None
@@ -398,7 +402,7 @@
         let (mut node, mut out) = (polling_node(me, nodes, None), Vec::new());
         let list = (0..kept).map(|tgt| entry(tgt, Standing::Ready, 0.0)).collect();
         node.handle(0.0, Input::List(List::Kept(list, KeptAge::Unknown)), &mut out);
-        assert!(!out.contains(&Output::Follow), "no call at once");
+        assert!(!out.contains(&Output::WatchList), "no call at once");
         list_call_wait(&out).expect("it schedules a call")
     };
     let waits: Vec<f64> = (0..nodes).map(first).collect();
@@ -437,7 +441,7 @@
     let mut node = node(Effect::Idempotent, 11);
     node.settings.nodes = 64;
     for (i, t) in node.executors.iter_mut().enumerate() {
-        (t.entry.started, t.entry.mark, t.slots) = (10.0, 0x9e37 * (i as u32 + 1), 4.0);
+        (t.entry.started, t.entry.stable_id, t.slots) = (10.0, 0x9e37 * (i as u32 + 1), 4.0);
     }
     let mut turn = |me: usize| {
         node.settings.me = me;
@@ -484,7 +488,7 @@
 fn failures_make_an_executor_doubtful_and_not_faster(outcome: Outcome, many: usize) {
     let mut node = node(Effect::Idempotent, 2);
     for _ in 0..many {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         settle_forward(&mut node, 2.0, outcome);
     }
     assert!(
@@ -503,8 +507,8 @@
 fn an_unacknowledged_forward_is_withdrawn(effect: Effect, many: usize, started: bool, back: bool) {
     let mut node = node(effect, many);
     node.settings.cancelling = true;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-    node.invocations.entry(ID).and_modify(|inv| inv.forwards[0].wait = started.then_some(0.0));
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.forwards[0].wait = started.then_some(0.0));
     let mut out = Vec::new();
     node.on_unacknowledged(2.0, ID, 0, &mut out);
     assert_eq!(out, Vec::from_iter(back.then_some(Output::Withdraw { id: ID, forward: 0 })));
@@ -515,7 +519,7 @@
 fn a_few_rejected_invocations_do_not_make_an_executor_doubtful() {
     let mut node = node(Effect::Idempotent, 1);
     for _ in 0..4 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         settle_forward(&mut node, 2.0, Outcome::Unfit);
     }
     assert!(!node.executors[0].doubtful);
@@ -526,7 +530,7 @@
 #[test_case(Effect::Idempotent, false, false; "no trial without the draw")]
 fn doubtful_executors_get_trials_only(effect: Effect, trial: bool, able: bool) {
     let mut node = node(effect, 1);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     (node.executors[0].doubtful, node.executors[0].trial) = (true, trial);
     assert_eq!(node.can_send(2.0, &node.invocations[&ID], &node.executors[0]), able);
 }
@@ -543,7 +547,7 @@
 fn silence_counts_as_failure_until_a_sign_of_life() {
     let (mut node, mut out) = (node(Effect::Idempotent, 1), Vec::new());
     node.settings.progress = 1.0;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.executors[0].last_sign_of_life) = (1, 1.0);
     node.on_solve_timer(2.0, &mut out);
     assert!(!node.executors[0].silent, "within 1.5 intervals");
@@ -587,7 +591,7 @@
     let mut node = node(Effect::Idempotent, 2);
     (node.settings.reports, node.settings.probing, node.mean_held) = (Reports::Answers, true, [2.0; 2]);
     for _ in 0..2 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         let report = Report { free: Some(free), queue: Some(queue), ..Report::default() };
         let full = Settled { id: ID, forward: 0, outcome: Outcome::Full, took: 0.0, ended: false, report };
         node.on_settled(2.0, full, &mut Vec::new());
@@ -607,13 +611,13 @@
 #[test]
 fn placement_goes_down_the_shares_and_skips_zero_shares() {
     let (mut node, mut out) = (node(Effect::Idempotent, 3), Vec::new());
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     make_sole_node(&mut node);
     for (i, beta) in [1.0, 3.0, 0.0].into_iter().enumerate() {
         (node.executors[i].beta, node.executors[i].slots) = (beta, 2.0);
     }
     (node.ranked, node.executors[0].held) = (vec![1, 0, 2], 2);
-    node.invocations.entry(ID).and_modify(|inv| inv.candidates = vec![0]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.candidates = vec![0]);
     assert_eq!(node.find_placement(2.0, ID, &mut out), Placement::Here(1));
     node.executors[1].held = 2;
     assert_eq!(node.find_placement(2.0, ID, &mut out), Placement::Later);
@@ -624,32 +628,32 @@
 #[test_case(0.5, 2.0, Placement::Here(0); "but no longer than their price")]
 fn zone_crossings_are_delayed_by_their_price(price: f64, now: f64, placement: Placement) {
     let (mut node, mut out) = (node(Effect::Idempotent, 1), Vec::new());
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     make_sole_node(&mut node);
     (node.settings.zone, node.settings.cross_zone_price, node.executors[0].slots) = (1, price, 2.0);
     (node.own_zone_count, node.ranked, node.executors[0].beta) = (usize::from(price > 0.0), vec![0], 1.0);
-    node.invocations.entry(ID).and_modify(|inv| inv.cross_zone_from = 1.4);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.cross_zone_from = 1.4);
     assert_eq!(node.find_placement(now, ID, &mut out), placement);
 }
 
 #[test]
 fn peer_counts_are_kept_and_invalid_ones_ignored() {
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    node.on_peer_message(1.0, 2, Told::Held, 1, 4, &mut out);
-    node.on_peer_message(1.0, 2, Told::Held, 77, 1, &mut out);
-    node.on_peer_message(1.0, 99, Told::Held, 1, 8, &mut out);
+    node.on_peer_message(1.0, 2, PeerMessageKind::Held, 1, 4, &mut out);
+    node.on_peer_message(1.0, 2, PeerMessageKind::Held, 77, 1, &mut out);
+    node.on_peer_message(1.0, 99, PeerMessageKind::Held, 1, 8, &mut out);
     assert_eq!((node.executors[0].held_by_peers(), node.executors[1].held_by_peers()), (0.0, 4.0));
     node.on_solve_timer(9.0, &mut out);
     assert_eq!(node.executors[1].held_by_peers(), 0.0, "a silent node holds nothing");
 }
 
 #[test_case(false, true, None; "no messages")]
-#[test_case(true, true, Some(3); "the node given by its mark")]
+#[test_case(true, true, Some(3); "the node given by its stable id")]
 #[test_case(true, false, None; "none where executors can't be probed")]
 fn one_node_counts_for_an_executor(peers: bool, probing: bool, who: Option<usize>) {
     let mut node = node(Effect::Idempotent, 1);
     (node.settings.peers, node.settings.probing, node.settings.reports) = (peers, probing, Reports::Answers);
-    node.executors[0].entry.mark = 7;
+    node.executors[0].entry.stable_id = 7;
     assert_eq!(node.counting_node(&node.executors[0]), who);
 }
 
@@ -672,8 +676,10 @@
     let mut node = node_without_reports(Effect::Idempotent, 2);
     (node.settings.cross_zone_price, node.spill_probability, node.executors[1].entry.zone) = (price, 1.0, 9);
     for at in 0..40 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-        node.invocations.entry(ID).and_modify(|inv| (inv.forwards[0].tgt, inv.slack) = (1, 0.2));
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+        node.invocations
+            .entry(ID)
+            .and_modify(|invocation| (invocation.forwards[0].tgt, invocation.slack) = (1, 0.2));
         node.on_alive(2.0 + f64::from(at), ID, 0);
     }
     assert!((node.spill_probability - left).abs() < 1e-6, "{}", node.spill_probability);
@@ -683,9 +689,9 @@
 fn two_draws_share_one_pool() {
     // CPU per invocation must not grow with the fleet: both draws are from the same pool, by share.
     let mut node = node_without_reports(Effect::Idempotent, 30);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     node.solve(1.0);
-    let drawn: Vec<Vec<Tgt>> = (0..200).map(|_| node.draw_executors(1.0, ID, 2)).collect();
+    let drawn: Vec<Vec<ExecutorIndex>> = (0..200).map(|_| node.draw_executors(1.0, ID, 2)).collect();
     assert!(drawn.iter().all(|two| two.len() == 2 && two.iter().all(|&i| i < 30)));
     assert!(drawn.iter().filter(|two| two[0] == two[1]).count() < 20, "the draws are independent");
 }
@@ -696,25 +702,24 @@
     node.peer_last_heard = vec![0.0];
 }
 
-/// Node 0 of four, which counts for executors 0 and 4 (marks equal indexes), with two slots each.
+/// Node 0 of four, which counts for executors 0 and 4 (stable ids equal indexes), with two slots each.
 fn counting_node_fixture(many: usize) -> Node {
     let mut node = node(Effect::Idempotent, many);
     (node.settings.peers, node.settings.probing, node.settings.reports) = (true, true, Reports::Answers);
-    node.executors
-        .iter_mut()
-        .enumerate()
-        .for_each(|(i, t)| (t.entry.mark, t.slots, t.queried_at, t.reported_at) = (i as u32, 2.0, 0.9, 0.9));
+    node.executors.iter_mut().enumerate().for_each(|(i, t)| {
+        (t.entry.stable_id, t.slots, t.queried_at, t.reported_at) = (i as u32, 2.0, 0.9, 0.9)
+    });
     node
 }
 
 #[test]
 fn a_slot_is_granted_once_until_the_grant_expires() {
     let (mut node, mut out) = (counting_node_fixture(5), Vec::new());
-    node.on_peer_message(1.0, 3, Told::Held, 4, 1, &mut out);
+    node.on_peer_message(1.0, 3, PeerMessageKind::Held, 4, 1, &mut out);
     for from in [1, 2] {
-        node.on_peer_message(1.0, from, Told::Asks, 4, 0, &mut out);
+        node.on_peer_message(1.0, from, PeerMessageKind::Query, 4, 0, &mut out);
     }
-    let answer = |to, count| Output::Tell { to, told: Told::Room, tgt: 4, count };
+    let answer = |to, count| Output::SendToPeer { to, kind: PeerMessageKind::FreeSlots, tgt: 4, count };
     assert_eq!(out, [answer(1, 1), answer(2, 0)]);
     assert_eq!(node.available_slots(1.2, &node.executors[4]), Some(1.0), "the grants were not used");
 }
@@ -730,7 +735,7 @@
     let mut node = node(Effect::Idempotent, many);
     (node.settings.probing, node.settings.reports, node.settings.connection_price) =
         (asked, Reports::Answers, price);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.executors[0].connections) = (1, 1);
     assert_eq!(settle_forward(&mut node, 2.0, outcome).contains(&Output::Release(0)), closed);
 }
@@ -756,7 +761,7 @@
     assert_eq!(node.available_slots(1.1, &node.executors[1]), Some(0.0), "no answer counts as no free slot");
     node.query_load(2.0, 1, &mut out);
     node.query_load(2.0, 0, &mut out);
-    let question = Output::Tell { to: 1, told: Told::Asks, tgt: 1, count: 0 };
+    let question = Output::SendToPeer { to: 1, kind: PeerMessageKind::Query, tgt: 1, count: 0 };
     assert_eq!(out, [question, Output::Probe(1), Output::Probe(0)]);
 }
 
@@ -764,7 +769,7 @@
 fn a_large_fleet_is_drawn_from_two_at_a_time() {
     let (mut node, mut out) = (node(Effect::Idempotent, 30), Vec::new());
     (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     assert_eq!((node.find_placement(2.0, ID, &mut out), out.len()), (Placement::Later, 2));
     let asked = node.invocations[&ID].candidates.clone();
     assert_eq!(
@@ -782,7 +787,7 @@
 
 #[test_case(0, 2.5; "own zone, three held each: 1.5 times the mean, plus one")]
 #[test_case(1, 1.0; "another zone, nothing held")]
-fn the_mean_held_is_kept_per_zone(tgt: Tgt, room: f64) {
+fn the_mean_held_is_kept_per_zone(tgt: ExecutorIndex, room: f64) {
     // As work stays in the own zone, it would look full beside zones where nothing is held.
     let set = Settings { cross_zone_price: 0.2, tells_start: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
@@ -805,8 +810,8 @@
     node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
     assert!((node.spill_probability - first).abs() < 1e-9 && node.own_zone_count == 1);
     for _ in 0..60 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-        node.invocations.entry(ID).and_modify(|inv| inv.slack = 1.0);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+        node.invocations.entry(ID).and_modify(|invocation| invocation.slack = 1.0);
         node.on_alive(1.0 + wait, ID, 0);
     }
     (node.mean_value, node.invocations) = (1.0, BTreeMap::new());
@@ -832,7 +837,7 @@
 ) {
     // A few such jobs would crash several executors each.
     let mut node = node(Effect::Idempotent, 3);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.settings.tells_start) = (1, tells);
     began.into_iter().for_each(|began| node.on_alive(began, ID, 0));
     let mut out = settle_forward(&mut node, 2.0, outcome);
@@ -847,12 +852,12 @@
 fn a_second_executor_shows_whether_an_error_is_the_jobs_fault(second: Outcome, served: bool, blame: f64) {
     // Jobs that fail everywhere would make all executors doubtful and take five forwards each.
     let mut node = node(Effect::Idempotent, 3);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.job_fault_rate) = (1, 0.0);
     settle_forward(&mut node, 2.0, Outcome::Errored);
-    node.invocations.entry(ID).and_modify(|inv| {
-        inv.state = InvState::InFlightUncertain;
-        inv.forwards.push(Forward::new(1, 2.0));
+    node.invocations.entry(ID).and_modify(|invocation| {
+        invocation.state = InvocationState::InFlightUncertain;
+        invocation.forwards.push(Forward::new(1, 2.0));
     });
     node.waiting.clear();
     let report = Report::default();
@@ -877,8 +882,10 @@
     node.solve(50.0);
     (node.executors[7].entry.started, node.executors[7].slots) = (50.0, 4.0);
     let drawn = (0..20).filter(|_| {
-        add(&mut node, InvState::Waiting, &[]);
-        node.invocations.entry(ID).and_modify(|inv| (inv.load, inv.slack) = (load, spare));
+        add(&mut node, InvocationState::Waiting, &[]);
+        node.invocations
+            .entry(ID)
+            .and_modify(|invocation| (invocation.load, invocation.slack) = (load, spare));
         node.draw_executors(50.0 + age, ID, 1) == [7]
     });
     assert_eq!(drawn.count() == 20, first);
@@ -890,8 +897,8 @@
     // some.
     let (mut node, mut out) = (node(Effect::Idempotent, 30), Vec::new());
     (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
-    add(&mut node, InvState::Waiting, &[]);
-    node.invocations.entry(ID).and_modify(|inv| inv.load = 30.0);
+    add(&mut node, InvocationState::Waiting, &[]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.load = 30.0);
     (0..28).for_each(|i| node.executors[i].reported_at = 2.0);
     (node.executors[28].entry.started, node.executors[28].slots) = (1.0, 2.0); // Cold: not for so much work.
     node.find_placement(2.0, ID, &mut out);
@@ -904,7 +911,7 @@
     let (mut node, mut out) = (node(Effect::Idempotent, many), Vec::new());
     node.on_solve_timer(1.0, &mut out);
     assert!(
-        matches!(out.last(), Some(Output::Wake { after, .. }) if (after - expected).abs() < 1e-9),
+        matches!(out.last(), Some(Output::SetTimer { after, .. }) if (after - expected).abs() < 1e-9),
         "{out:?}"
     );
 }
@@ -921,24 +928,24 @@
     assert!(play() == play() && !play().is_empty());
 }
 
-#[test_case(Effect::Idempotent, InvState::Waiting, 1.0, None; "work that finishes in time is still sent")]
-#[test_case(Effect::Idempotent, InvState::Waiting, 9.0, Some(true); "work that would not finish is given back")]
-#[test_case(Effect::NonIdempotent, InvState::Waiting, 9.0, Some(true); "it never ran, so the client may retry")]
-#[test_case(Effect::NonIdempotent, InvState::Uncertain, 9.0, Some(false); "it may have run, so it ends with an error")]
+#[test_case(Effect::Idempotent, InvocationState::Waiting, 1.0, None; "work that finishes in time is still sent")]
+#[test_case(Effect::Idempotent, InvocationState::Waiting, 9.0, Some(true); "work that would not finish is given back")]
+#[test_case(Effect::NonIdempotent, InvocationState::Waiting, 9.0, Some(true); "it never ran, so the client may retry")]
+#[test_case(Effect::NonIdempotent, InvocationState::Uncertain, 9.0, Some(false); "it may have run, so it ends with an error")]
 fn a_stop_gives_back_invocations_that_would_not_finish(
     effect: Effect,
-    state: InvState,
+    state: InvocationState,
     load: f64,
     throttled: Option<bool>,
 ) {
     let mut node = node(effect, 4);
     let forward_states: &[ForwardState] =
-        if state == InvState::Uncertain { &[ForwardState::MayHaveRun] } else { &[] };
+        if state == InvocationState::Uncertain { &[ForwardState::MayHaveRun] } else { &[] };
     add(&mut node, state, forward_states);
     node.settings.max_pause = 2.0;
-    node.invocations.entry(ID).and_modify(|inv| inv.load = load);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.load = load);
     let mut out = Vec::new();
-    node.handle(2.0, Input::Leaving(5.0), &mut out);
+    node.handle(2.0, Input::Stopping(5.0), &mut out);
     let paused = out.iter().find_map(|o| match o {
         Output::Throttle { pause, .. } => Some(*pause == 0.0),
         Output::Error { .. } => Some(false),
@@ -959,7 +966,9 @@
     node.handle(2.0, Input::Submitted(submission(30.0, 0)), &mut out);
     assert_eq!(out.iter().any(|o| matches!(o, Output::Forward { .. })), sent, "{out:?}");
     assert!(
-        node.invocations.values().all(|inv| inv.end == 5.0 && inv.latest_start > 2.0),
+        node.invocations
+            .values()
+            .all(|invocation| invocation.deadline == 5.0 && invocation.latest_start > 2.0),
         "{:?}",
         node.invocations
     );
@@ -968,7 +977,7 @@
 #[test]
 fn waiting_invocations_are_answered_when_a_stop_ends() {
     let mut node = node(Effect::NonIdempotent, 0);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     node.begin_stop(4.0);
     let mut out = Vec::new();
     node.expire_waiting(4.0 - ANSWER_MARGIN, &mut out);
@@ -985,12 +994,13 @@
     let mut node = node(Effect::Idempotent, 4);
     node.settings.max_pause = 2.0;
     node.settings.operations[0].late_value = late_value;
-    add(&mut node, InvState::Waiting, &[]);
-    let set =
-        |inv: &mut Inv| (inv.latest_start, inv.slack, inv.no_more_forwards) = (2.0 - late, 0.2, hopeless);
+    add(&mut node, InvocationState::Waiting, &[]);
+    let set = |invocation: &mut Invocation| {
+        (invocation.latest_start, invocation.slack, invocation.no_more_forwards) = (2.0 - late, 0.2, hopeless)
+    };
     node.invocations.entry(ID).and_modify(set);
     let mut out = Vec::new();
-    node.transition(1.0, ID, InvEvent::GaveUp, &mut out);
+    node.transition(1.0, ID, InvocationEvent::GaveUp, &mut out);
     let is_expected = |pause: f64| (0.5 * most..=most).contains(&pause);
     assert!(matches!(out[..], [Output::Throttle { pause, .. }] if is_expected(pause)), "{out:?}");
 }
@@ -1000,10 +1010,10 @@
 fn a_stop_keeps_the_pause_of_expired_invocations(now: f64, paused: bool) {
     let mut node = node(Effect::Idempotent, 0);
     node.settings.max_pause = 2.0;
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     node.begin_stop(9.0);
     let mut out = Vec::new();
-    node.transition(now, ID, InvEvent::GaveUp, &mut out);
+    node.transition(now, ID, InvocationEvent::GaveUp, &mut out);
     assert!(matches!(out[..], [Output::Throttle { pause, .. }] if (pause >= 1.0) == paused), "{out:?}");
 }
 
@@ -1012,13 +1022,13 @@
 #[test_case(8, 8, &[]; "all fail alike: none is doubtful")]
 #[test_case(1, 8, &[0]; "one fails: it is doubtful")]
 #[test_case(4, 8, &[0, 1, 2, 3]; "half of them fail: the better half is the reference")]
-fn doubt_is_relative_to_the_better_executors(failing: usize, many: usize, doubted: &[Tgt]) {
+fn doubt_is_relative_to_the_better_executors(failing: usize, many: usize, doubted: &[ExecutorIndex]) {
     let mut node = node(Effect::Idempotent, many);
     for t in &mut node.executors[..failing] {
         (t.overall.successes, t.overall.failures) = (1.0, 4.0);
     }
     node.on_solve_timer(0.3, &mut Vec::new());
-    let found: Vec<Tgt> = (0..many).filter(|&tgt| node.executors[tgt].doubtful).collect();
+    let found: Vec<ExecutorIndex> = (0..many).filter(|&tgt| node.executors[tgt].doubtful).collect();
     assert_eq!(found, doubted);
 }
 
@@ -1030,7 +1040,7 @@
     let mut node = node(Effect::Idempotent, 4);
     (node.settings.cancelling, node.settings.probing, node.settings.reports) = (true, true, Reports::Answers);
     node.degraded_until = fog;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     let mut out = Vec::new();
     node.on_unacknowledged(2.0, ID, 0, &mut out);
     assert_eq!(out.contains(&Output::Withdraw { id: ID, forward: 0 }), withdrawn);
@@ -1061,11 +1071,11 @@
     // Draws without load reports may hit full executors while others are idle.
     let mut node = node_without_reports(Effect::Idempotent, 30);
     node.settings.connection_price = 1.0;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.executors[0].connections) = (1, 1);
     node.on_alive(1.0 + wait, ID, 0);
     let released = settle_forward(&mut node, 2.0, Outcome::Succeeded).contains(&Output::Release(0));
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     let drawn = (0..99).filter(|_| node.draw_executors(2.0, ID, 1) == [0]).count();
     assert_eq!((drawn == 99, released), (again, !again), "{drawn}");
 }
@@ -1079,8 +1089,8 @@
     node.executors[3].entry.zone = 1;
     node.executors.iter_mut().enumerate().for_each(|(i, t)| t.entry.size = if i < 10 { 3.0 } else { 1.0 });
     node.solve(0.0);
-    add(&mut node, InvState::Waiting, &[]);
-    let drawn: Vec<Tgt> = (0..300).flat_map(|_| node.draw_executors(1.0, ID, 1)).collect();
+    add(&mut node, InvocationState::Waiting, &[]);
+    let drawn: Vec<ExecutorIndex> = (0..300).flat_map(|_| node.draw_executors(1.0, ID, 1)).collect();
     let (own, large) = (drawn.iter().filter(|i| **i == 3).count(), drawn.iter().filter(|i| **i < 10).count());
     assert!(own < 60 && large > 200, "{own} {large}");
 }
@@ -1136,9 +1146,12 @@
 fn a_grant_expires_while_other_nodes_keep_querying() {
     // If queries come more often than a grant expires, all slots could stay granted forever.
     let (mut node, mut out) = (counting_node_fixture(5), Vec::new());
-    (0..20).for_each(|i| node.on_peer_message(1.0 + 0.02 * f64::from(i), 1, Told::Asks, 4, 0, &mut out));
-    let granted =
-        out.iter().filter(|o| matches!(o, Output::Tell { told: Told::Room, count, .. } if *count > 0));
+    (0..20).for_each(|i| {
+        node.on_peer_message(1.0 + 0.02 * f64::from(i), 1, PeerMessageKind::Query, 4, 0, &mut out)
+    });
+    let granted = out.iter().filter(
+        |o| matches!(o, Output::SendToPeer { kind: PeerMessageKind::FreeSlots, count, .. } if *count > 0),
+    );
     assert!(granted.count() >= 8, "{out:?}");
 }
 
@@ -1150,13 +1163,13 @@
         let mut node = node(Effect::Idempotent, 30);
         (node.rng, node.settings.probing, node.settings.reports) =
             (Chance::new(seed), true, Reports::Answers);
-        node.executors
-            .iter_mut()
-            .for_each(|t| (t.entry.mark, t.share) = (t.entry.tgt as u32, 1.0 + (t.entry.tgt % 3) as f64));
-        add(&mut node, InvState::Waiting, &[]);
-        node.invocations
-            .entry(ID)
-            .and_modify(|inv| (inv.key, inv.latest_start, inv.slack) = (Some(99), 2.0, 1.0));
+        node.executors.iter_mut().for_each(|t| {
+            (t.entry.stable_id, t.share) = (t.entry.tgt as u32, 1.0 + (t.entry.tgt % 3) as f64)
+        });
+        add(&mut node, InvocationState::Waiting, &[]);
+        node.invocations.entry(ID).and_modify(|invocation| {
+            (invocation.key, invocation.latest_start, invocation.slack) = (Some(99), 2.0, 1.0)
+        });
         node.candidates(now, ID)
     };
     assert_eq!(order(1, 1.9), order(2, 1.9));
@@ -1176,7 +1189,7 @@
         None,
         "its own report does not include what others send"
     );
-    node.on_peer_message(2.0, 1, Told::Room, 1, 2, &mut out);
+    node.on_peer_message(2.0, 1, PeerMessageKind::FreeSlots, 1, 2, &mut out);
     assert_eq!(
         (node.available_slots(2.0, &node.executors[1]), node.admits_while_cold(2.0, &node.executors[1], 1.0)),
         (Some(2.0), true)
@@ -1194,7 +1207,7 @@
     // Two heavy jobs, each in a free slot, can overload a cold executor.
     let (mut node, mut out) = (counting_node_fixture(5), Vec::new());
     (node.executors[1].entry.started, node.executors[1].slots) = (1.0, 2.0);
-    node.on_peer_message(2.0, 1, Told::Room, 1, 2, &mut out);
+    node.on_peer_message(2.0, 1, PeerMessageKind::FreeSlots, 1, 2, &mut out);
     assert_eq!(node.admits_while_cold(2.0, &node.executors[1], load), room);
 }
 
@@ -1231,8 +1244,8 @@
     make_sole_node(&mut node);
     (node.executors[0].slots, node.executors[0].foreign_memory, node.executors[0].own_report_at) =
         (2.0, 1.5, 3.0 - age);
-    add(&mut node, InvState::Waiting, &[]);
-    node.invocations.entry(ID).and_modify(|inv| inv.memory = 1.0);
+    add(&mut node, InvocationState::Waiting, &[]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.memory = 1.0);
     assert_eq!(node.find_placement(3.0, ID, &mut out), placement);
 }
 
@@ -1251,7 +1264,7 @@
     }
     let sent = |out: &[Output]| out.iter().filter(|o| matches!(o, Output::Forward { .. })).count();
     assert_eq!(sent(&out), 1);
-    node.handle(4.0, Input::Unheard { id: ID, forward: 0 }, &mut out);
+    node.handle(4.0, Input::Unacknowledged { id: ID, forward: 0 }, &mut out);
     assert_eq!((sent(&out), out.contains(&Output::Withdraw { id: ID, forward: 0 })), (1, true));
     out.extend(settle_forward(&mut node, 4.1, Outcome::Cancelled));
     node.handle(4.1, Input::Timer(LOOK), &mut out);
@@ -1262,8 +1275,8 @@
 fn overdue_forwards_raise_the_price_before_they_start() {
     // With queues of several seconds the price would have decayed again before late starts are reported.
     let mut node = node_without_reports(Effect::Idempotent, 3);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-    node.invocations.entry(ID).and_modify(|inv| inv.slack = 0.4);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.slack = 0.4);
     let prices = [1.1, 1.3, 1.5].map(|now| {
         node.on_solve_timer(now, &mut Vec::new());
         node.price
@@ -1277,7 +1290,7 @@
     // must not raise the price.
     let mut node = node_without_reports(Effect::Idempotent, 3);
     node.settings.tells_start = false;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     node.on_alive(3.0, ID, 0);
     assert_eq!((node.price, node.util, node.invocations[&ID].forwards[0].wait), (0.0, 0.5, Some(0.0)));
 }
@@ -1288,7 +1301,7 @@
     let mut node = node_without_reports(Effect::Idempotent, 3);
     settle_forward(&mut node, 1.5, Outcome::Full);
     assert_eq!(node.price, 0.0, "nothing was in flight");
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     settle_forward(&mut node, 2.0, Outcome::Full);
     settle_forward(&mut node, 2.5, Outcome::Full);
     assert_eq!(node.price, 0.5);
@@ -1327,7 +1340,7 @@
     node.settings.operations[0].effect = effect;
     node.typical_priority = 2.0;
     node.further_sent.0.extend(vec![1.5; (4.0 - left) as usize]);
-    add(&mut node, InvState::Uncertain, &[forward_state]);
+    add(&mut node, InvocationState::Uncertain, &[forward_state]);
     let got = node.find_placement(2.0, ID, &mut Vec::new());
     assert_eq!(matches!(got, Placement::Here(_)), matches!(placement, Placement::Here(_)), "{got:?}");
 }
@@ -1345,20 +1358,23 @@
 
 // After a 'full' answer a job was sent on to an executor of another cell, although it may have begun at the
 // first.
-#[test_case(Effect::NonIdempotent, false, InvState::InFlight; "proof that it has not run")]
-#[test_case(Effect::NonIdempotent, true, InvState::Ended; "no proof where executors shed work that has begun")]
-#[test_case(DEDUP_CELL, true, InvState::InFlightUncertain; "deduplicated work stays in its group")]
-fn trusts_a_full_answer_as_the_settings_say(effect: Effect, late_shedding: bool, state: InvState) {
+#[test_case(Effect::NonIdempotent, false, InvocationState::InFlight; "proof that it has not run")]
+#[test_case(Effect::NonIdempotent, true, InvocationState::Ended; "no proof where executors shed work that has begun")]
+#[test_case(DEDUP_CELL, true, InvocationState::InFlightUncertain; "deduplicated work stays in its group")]
+fn trusts_a_full_answer_as_the_settings_say(effect: Effect, late_shedding: bool, state: InvocationState) {
     let mut node = node(effect, 6);
     node.settings.full_may_have_run = late_shedding;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     node.executors[0].held = 1;
     let mut out = settle_forward(&mut node, 1.2, Outcome::Full);
     node.executors.iter_mut().skip(2).for_each(|t| t.held = 9); // None with room but in its own cell.
     node.dispatch_waiting(1.3, &mut out);
-    assert_eq!(node.invocations.get(&ID).map_or(InvState::Ended, |inv| inv.state), state);
+    assert_eq!(
+        node.invocations.get(&ID).map_or(InvocationState::Ended, |invocation| invocation.state),
+        state
+    );
     assert!(!out.iter().any(|o| matches!(o, Output::Throttle { .. })), "{out:?}");
-    assert_eq!(out.contains(&Output::Error { id: ID }), state == InvState::Ended);
+    assert_eq!(out.contains(&Output::Error { id: ID }), state == InvocationState::Ended);
 }
 
 // Reports a second old showed free slots that were taken: score 0.571 instead of 0.976.
@@ -1368,7 +1384,7 @@
     (node.settings.probing, node.settings.reports, node.settings.tells_start) =
         (true, Reports::Answers, true);
     for at in 0..30 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         node.invocations.get_mut(&ID).expect("added").forwards[0].had_reported_slot = true;
         let still = node.can_query_load();
         node.on_alive(1.0 + 0.5 * f64::from(u8::from(at % 3 > 0)), ID, 0);
@@ -1381,9 +1397,10 @@
 
 /// Adds a forward of `ID` to executor 0, sent at 1, that should start at once.
 fn add_expected_start(node: &mut Node, kept: bool) {
-    add(node, InvState::InFlight, &[ForwardState::InFlight]);
-    let inv = node.invocations.get_mut(&ID).expect("added");
-    (inv.slack, inv.forwards[0].expected_at_once, inv.forwards[0].reused_connection) = (1.0, true, kept);
+    add(node, InvocationState::InFlight, &[ForwardState::InFlight]);
+    let invocation = node.invocations.get_mut(&ID).expect("added");
+    (invocation.slack, invocation.forwards[0].expected_at_once, invocation.forwards[0].reused_connection) =
+        (1.0, true, kept);
     (node.executors[0].held, node.executors[0].connections, node.executors[0].started_at_once) = (1, 1, true);
     node.awaiting_start.insert(ID);
 }
@@ -1407,7 +1424,7 @@
         node.connection_records
     );
     assert_eq!(out.contains(&Output::Release(3)), way == REUSED, "all idle ones are closed");
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     (node.executors[3].connections, node.executors[3].idle_since) = (1, 1.5);
     let there = (0..99).filter(|_| node.draw_executors(2.0, ID, 1) == [3]).count();
     assert_eq!(there == 99, way == NEW, "{there}");
@@ -1436,7 +1453,7 @@
     let mut node = node_without_reports(Effect::Idempotent, 1);
     node.settings.idle = 10.0;
     for (now, stale) in [(5.0, false), (9.5, true)] {
-        add(&mut node, InvState::Waiting, &[]);
+        add(&mut node, InvocationState::Waiting, &[]);
         (node.executors[0].connections, node.executors[0].held, node.executors[0].idle_since) = (1, 0, 0.0);
         let mut out = Vec::new();
         node.send_forward(now, ID, 0, &mut out);
@@ -1453,12 +1470,12 @@
     node.operation_stats.push(TrafficStats::default());
     node.executors[0].operation_record(1).add_success(1.0, MAX_SUCCESSES, false);
     for _ in 0..3 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         node.executors[0].held = 1;
         settle_forward(&mut node, 1.5, Outcome::TimedOut);
         node.invocations.clear();
     }
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     let able = |node: &Node| node.can_send(2.0, &node.invocations[&ID], &node.executors[0]);
     assert!(!able(&node) && !node.executors[0].doubtful);
     node.invocations.get_mut(&ID).expect("added").op = 1;
@@ -1508,7 +1525,7 @@
     node.handle(1.6, Input::Timer(LOOK), &mut Vec::new());
     assert_eq!(
         (node.invocations[&ID].forwards.len(), node.invocations[&ID].state),
-        (2, InvState::InFlightUncertain)
+        (2, InvocationState::InFlightUncertain)
     );
     let out = settle_forward(&mut node, 1.8, Outcome::Succeeded);
     assert!(out.contains(&Output::Withdraw { id: ID, forward: 1 }), "{out:?}");
--- a/src/sampler.rs
+++ b/src/sampler.rs
@@ -29,12 +29,12 @@
 /// Executors and the cumulative sums of their shares.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sampler {
-    pub(crate) members: Vec<Tgt>,
+    pub(crate) members: Vec<ExecutorIndex>,
     cumulative_shares: Vec<f64>,
 }
 
 impl Sampler {
-    pub fn new(members: Vec<Tgt>, share: impl Fn(Tgt) -> f64) -> Self {
+    pub fn new(members: Vec<ExecutorIndex>, share: impl Fn(ExecutorIndex) -> f64) -> Self {
         Sampler { cumulative_shares: sums(members.iter().map(|&i| share(i))), members }
     }
 
@@ -46,12 +46,12 @@
         times: usize,
         chance: &mut Chance,
         from: usize,
-        open: &impl Fn(&Tgt) -> bool,
-    ) -> Vec<Tgt> {
+        open: &impl Fn(&ExecutorIndex) -> bool,
+    ) -> Vec<ExecutorIndex> {
         let mut pick =
             |sampler: &Sampler| sampler.members.get(chance.pick(&sampler.cumulative_shares)).copied();
         let mut one = || (0..MAX_TRIES).filter_map(|_| pick(self)).find(open);
-        let drawn: Vec<Tgt> =
+        let drawn: Vec<ExecutorIndex> =
             (0..if self.members.is_empty() { 0 } else { times }).filter_map(|_| one()).collect();
         if !drawn.is_empty() {
             return drawn;
@@ -73,12 +73,12 @@
 /// A set of executors that can be sampled.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Members {
-    members: Vec<Tgt>,
+    members: Vec<ExecutorIndex>,
     present: Vec<bool>,
 }
 
 impl Members {
-    pub fn insert(&mut self, tgt: Tgt) {
+    pub fn insert(&mut self, tgt: ExecutorIndex) {
         self.present.resize(self.present.len().max(tgt + 1), false);
         if !std::mem::replace(&mut self.present[tgt], true) {
             self.members.push(tgt);
@@ -86,7 +86,7 @@
     }
 
     /// Appends a bounded number of them: all, or a random sample.
-    fn sample_into(&self, chance: &mut Chance, out: &mut Vec<Tgt>) {
+    fn sample_into(&self, chance: &mut Chance, out: &mut Vec<ExecutorIndex>) {
         let count = self.members.len();
         if count <= MAX_LISTED {
             return out.extend(&self.members);
@@ -96,21 +96,25 @@
 }
 
 /// Hierarchical weighted rendezvous hashing: maps keys to executors, the same at every node, in time
-/// logarithmic in the fleet size. Executors are sorted by a hash of their marks; a run with equal leading
+/// logarithmic in the fleet size. Executors are sorted by a hash of their stable ids; a run with equal leading
 /// digits is a branch, whose weight is the sum of its shares. From the root down, the branch with the highest
 /// score is taken, and at the end the executor with the highest score. So each executor is drawn by its
 /// share, and a change moves only the keys of its own branch.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RendezvousTree {
-    marks: Vec<u64>,
+    stable_ids: Vec<u64>,
     executors: Sampler,
 }
 
 impl RendezvousTree {
-    pub(crate) fn new(mut members: Vec<Tgt>, mark: impl Fn(Tgt) -> u64, share: impl Fn(Tgt) -> f64) -> Self {
-        members.sort_by_cached_key(|&i| (mark(i), i));
+    pub(crate) fn new(
+        mut members: Vec<ExecutorIndex>,
+        stable_id: impl Fn(ExecutorIndex) -> u64,
+        share: impl Fn(ExecutorIndex) -> f64,
+    ) -> Self {
+        members.sort_by_cached_key(|&i| (stable_id(i), i));
         RendezvousTree {
-            marks: members.iter().map(|&i| mark(i)).collect(),
+            stable_ids: members.iter().map(|&i| stable_id(i)).collect(),
             executors: Sampler::new(members, share),
         }
     }
@@ -121,17 +125,18 @@
     }
 
     /// The executor that the key maps to; `None` if there are none.
-    fn draw(&self, key: u64) -> Option<Tgt> {
+    fn draw(&self, key: u64) -> Option<ExecutorIndex> {
         const LEAF_SIZE: usize = 16; // As many as a branch has children.
         const DIGIT_BITS: u32 = 4; // Bits per level.
         let score = |name: u64, weight: f64| -weight / unit(key ^ mix(name)).ln();
-        let (mut from, mut to, mut shift) = (0, self.marks.len(), u64::BITS);
+        let (mut from, mut to, mut shift) = (0, self.stable_ids.len(), u64::BITS);
         while to - from > LEAF_SIZE && shift > 0 {
             shift -= DIGIT_BITS;
             let (mut best, mut at) = ((f64::NEG_INFINITY, from, to), from);
             while at < to {
-                let branch = self.marks[at] >> shift;
-                let end = at + self.marks[at..to].partition_point(|mark| mark >> shift == branch);
+                let branch = self.stable_ids[at] >> shift;
+                let end =
+                    at + self.stable_ids[at..to].partition_point(|stable_id| stable_id >> shift == branch);
                 let name = branch ^ u64::from(shift).rotate_right(8);
                 let found = (score(name, self.weight(at, end)), at, end);
                 best = if found.0 > best.0 { found } else { best };
@@ -139,14 +144,14 @@
             }
             (from, to) = (best.1, best.2);
         }
-        let leaf_score = |i: &usize| score(!self.marks[*i], self.weight(*i, i + 1));
+        let leaf_score = |i: &usize| score(!self.stable_ids[*i], self.weight(*i, i + 1));
         let best = (from..to).max_by(|a, b| leaf_score(a).total_cmp(&leaf_score(b)));
         best.map(|i| self.executors.members[i])
     }
 
     /// The first executors of the key's order, each drawn by share among those not drawn before.
-    pub fn order(&self, key: u64) -> Vec<Tgt> {
-        let mut order: Vec<Tgt> = Vec::new();
+    pub fn order(&self, key: u64) -> Vec<ExecutorIndex> {
+        let mut order: Vec<ExecutorIndex> = Vec::new();
         for nth in 0..2 * KEY_ORDER_LEN as u64 {
             let drawn = self.draw(mix(key.wrapping_add(nth.wrapping_mul(0x9e37_79b9_7f4a_7c15))));
             order.extend(drawn.filter(|tgt| order.len() < KEY_ORDER_LEN && !order.contains(tgt)));
@@ -173,7 +178,7 @@
 
 impl Index {
     /// Builds the index of the ready executors; empty for a small fleet.
-    pub fn new(now: f64, set: &Settings, tgts: &[Executor], rank: &[Tgt], from: usize) -> Self {
+    pub fn new(now: f64, set: &Settings, tgts: &[Executor], rank: &[ExecutorIndex], from: usize) -> Self {
         let mut index = Index { window_start: from, ..Index::default() };
         if rank.len() <= MAX_SCANNED {
             return index;
@@ -185,7 +190,7 @@
         let restricts = |to: Group| set.operations.iter().any(|op| group(op) == Some(to));
         let (zones, cells) = (restricts(Group::Zone) || set.cross_zone_price > 0.0, restricts(Group::Cell));
         let kinds = set.operations.iter().any(|op| op.kind.is_some());
-        let mut parts: BTreeMap<Subset, Vec<Tgt>> = BTreeMap::from([(Subset::All, rank.to_vec())]);
+        let mut parts: BTreeMap<Subset, Vec<ExecutorIndex>> = BTreeMap::from([(Subset::All, rank.to_vec())]);
         for &i in rank {
             let (t, entry) = (&tgts[i], &tgts[i].entry);
             let of = [
@@ -217,7 +222,12 @@
 
     /// Executors to prefer: without load reports, those that may be cold or started the last forward at once;
     /// with `reuse_only`, those that may have an idle connection.
-    pub fn preferred_executors(&self, chance: &mut Chance, no_reports: bool, reuse_only: bool) -> Vec<Tgt> {
+    pub fn preferred_executors(
+        &self,
+        chance: &mut Chance,
+        no_reports: bool,
+        reuse_only: bool,
+    ) -> Vec<ExecutorIndex> {
         let mut found = Vec::new();
         let lists = [(no_reports, &self.cold), (no_reports, &self.started_at_once), (reuse_only, &self.idle)];
         lists.iter().filter(|list| list.0).for_each(|list| list.1.sample_into(chance, &mut found));
--- a/src/sampler/tests.rs
+++ b/src/sampler/tests.rs
@@ -27,7 +27,7 @@
 fn draws_open_executors_by_share() {
     // Closed executors must not distort the shares of the others.
     let (sampler, mut chance) = (sampler(12), Chance::new(3));
-    let open = |i: &Tgt| i % 4 != 1;
+    let open = |i: &ExecutorIndex| i % 4 != 1;
     let mut counts = [0.0; 12];
     let draws = 24_000;
     for _ in 0..draws / 2 {
@@ -51,12 +51,12 @@
     let (sampler, windows) = (sampler(many), many.div_ceil(MAX_SCANNED));
     for seed in 0..8 {
         let (mut chance, examined) = (Chance::new(seed), Cell::new(0));
-        let is_open = |i: &Tgt| {
+        let is_open = |i: &ExecutorIndex| {
             examined.set(examined.get() + 1);
             i % (many / open) == many / open - 1
         };
         let draw = |at: usize| sampler.draw(2, &mut chance, 7 + at * MAX_SCANNED, &is_open);
-        let found: Vec<Tgt> = (0..windows).flat_map(draw).collect();
+        let found: Vec<ExecutorIndex> = (0..windows).flat_map(draw).collect();
         assert!(examined.get() <= windows * (2 * MAX_TRIES + MAX_SCANNED), "{}", examined.get());
         assert!(!found.is_empty() && found.iter().all(is_open), "{found:?}");
     }
@@ -69,12 +69,12 @@
 fn keys_map_by_share_and_move_only_where_needed() {
     // Cached data must not be fetched anew because nodes differ or an executor leaves, and shares must be
     // respected.
-    let lots = |gone: Tgt| {
+    let lots = |gone: ExecutorIndex| {
         let members = (0..1000).filter(|i| *i != gone).collect();
         RendezvousTree::new(members, |i| mix(i as u64), |i| if i < 500 { 1.0 } else { 3.0 })
     };
     let (all, fewer) = (lots(1000), lots(700));
-    let drawn: Vec<Option<Tgt>> = (0..8000).map(|key| all.draw(mix(key))).collect();
+    let drawn: Vec<Option<ExecutorIndex>> = (0..8000).map(|key| all.draw(mix(key))).collect();
     let large = drawn.iter().flatten().filter(|i| **i >= 500).count() as f64 / 8000.0;
     assert!((0.735..0.765).contains(&large), "three quarters expected: {large}");
     let moved = (0..8000).filter(|&key| fewer.draw(mix(key)) != drawn[key as usize]).count();
@@ -98,7 +98,7 @@
     received: Vec<f64>,
     failed: usize,
     chance: Chance,
-    sent: BTreeMap<InvId, f64>,
+    sent: BTreeMap<InvocationId, f64>,
     /// Executors examined outside solves.
     examined: usize,
 }
@@ -107,7 +107,7 @@
 const DEDUP_CELL: Effect = Effect::Deduplicated { group: Group::Cell, window: 2.0 };
 
 impl Simulation {
-    fn new(many: usize, change: impl Fn(&mut Settings), entry: impl Fn(Tgt) -> Entry) -> Self {
+    fn new(many: usize, change: impl Fn(&mut Settings), entry: impl Fn(ExecutorIndex) -> Entry) -> Self {
         let effect = Effect::Idempotent;
         let operations =
             vec![Operation { effect, objective: 1.0, stretch: 1.0, value: 1.0, late_value: 0.0, kind: None }];
@@ -139,7 +139,7 @@
         self.inputs.push(Some(input));
     }
 
-    fn report(&self, tgt: Tgt) -> Report {
+    fn report(&self, tgt: ExecutorIndex) -> Report {
         let inflight = Some(self.held[tgt]);
         Report { free: Some(16.0 - self.held[tgt]), queue: Some(0.0), inflight, ..Report::default() }
     }
@@ -158,7 +158,7 @@
                     let took = 0.05 * (0.05 * (self.chance.draw() + self.chance.draw() - 1.0) * 2.4).exp();
                     let report = self.report(tgt);
                     let (outcome, ended, forward) = (Outcome::Succeeded, true, 0);
-                    self.schedule(now + 0.001, Input::Alive { id, forward });
+                    self.schedule(now + 0.001, Input::Started { id, forward });
                     let settled = Settled { id, forward, outcome, took, ended, report };
                     self.schedule(now + took, Input::Settled(settled));
                 }
@@ -166,7 +166,7 @@
                     let (report, way) = (self.report(tgt), 0.0005 + 0.001 * self.chance.draw());
                     self.schedule(now + way, Input::Probed { tgt, outcome: Outcome::Succeeded, report });
                 }
-                Output::Wake { after, timer } => self.schedule(now + after, Input::Timer(timer)),
+                Output::SetTimer { after, timer } => self.schedule(now + after, Input::Timer(timer)),
                 Output::Throttle { .. } | Output::Error { .. } => self.failed += 1,
                 _ => {}
             }
@@ -181,7 +181,12 @@
             }
             let input = self.inputs[event].take().expect("delivered once");
             if let Input::Settled(Settled { id, .. }) = &input {
-                let tgt = self.node.invocations.get(id).and_then(|inv| inv.forwards.last()).map(|f| f.tgt);
+                let tgt = self
+                    .node
+                    .invocations
+                    .get(id)
+                    .and_then(|invocation| invocation.forwards.last())
+                    .map(|f| f.tgt);
                 tgt.into_iter().for_each(|tgt| self.held[tgt] -= 1.0);
             }
             self.deliver(when as f64 / 1e9, input);
@@ -194,7 +199,7 @@
             let due = from + at as f64 / RATE;
             self.run_until(due);
             let sub = Submission {
-                id: 100 + (due * RATE).round() as InvId,
+                id: 100 + (due * RATE).round() as InvocationId,
                 operation: 0,
                 tenant: None,
                 timeout: 5.0,
@@ -214,11 +219,11 @@
     }
 }
 
-fn ready(tgt: Tgt) -> Entry {
+fn ready(tgt: ExecutorIndex) -> Entry {
     let standing = Standing::Ready;
     Entry {
         tgt,
-        mark: tgt as u32,
+        stable_id: tgt as u32,
         zone: tgt % 5,
         cell: tgt as i64 / 2,
         size: 1.0,
@@ -256,8 +261,9 @@
     simulation.submit_many(1.0, 8_000);
     simulation.received = vec![0.0; 800];
     simulation.submit_many(40.0, 8_000);
-    let even =
-        |of: &dyn Fn(Tgt) -> f64| (0..800).step_by(2).map(of).sum::<f64>() / (0..800).map(of).sum::<f64>();
+    let even = |of: &dyn Fn(ExecutorIndex) -> f64| {
+        (0..800).step_by(2).map(of).sum::<f64>() / (0..800).map(of).sum::<f64>()
+    };
     let (share, received) =
         (even(&|i| simulation.node.executors[i].share), even(&|i| simulation.received[i]));
     assert!((0.05..0.45).contains(&share) && (received - share).abs() < 0.04, "{received} for {share}");
@@ -265,7 +271,7 @@
 
 #[test_case(|tgt| tgt % 5 == 0; "one zone is closed")]
 #[test_case(|tgt| tgt % 100 != 7; "one in a hundred is open")]
-fn invocations_avoid_closed_executors(closed: fn(Tgt) -> bool) {
+fn invocations_avoid_closed_executors(closed: fn(ExecutorIndex) -> bool) {
     // While some executors have free slots, invocations must neither fail nor go to closed ones.
     let mut simulation = Simulation::new(3_000, |_| {}, ready);
     simulation.submit_many(1.0, 100);
@@ -291,23 +297,26 @@
     // A repeat may be restricted to a few of thousands of executors, which draws over all hardly ever hit.
     let mut simulation = Simulation::new(5_000, |set| set.operations[0].effect = effect, ready);
     let first = Forward { state: ForwardState::MayHaveRun, ..Forward::new(4000, 1.0) };
-    let inv = Inv {
+    let invocation = Invocation {
         latest_start: 5.0,
         give_up_at: 5.0,
-        end: 9.0,
+        deadline: 9.0,
         slack: 1.0,
         load: 0.1,
         forwards: vec![first],
-        ..Inv::default()
+        ..Invocation::default()
     };
-    simulation.node.invocations.insert(1, inv);
+    simulation.node.invocations.insert(1, invocation);
     let drawn = simulation.node.draw_executors(1.1, 1, 2);
     assert!(
         !drawn.is_empty() && drawn.iter().all(|i| *i != 4000 && fits(&simulation.node.executors[*i].entry)),
         "{drawn:?}"
     );
-    let inv = &simulation.node.invocations[&1];
-    assert!(simulation.node.permitted_executors(inv).any(|t| simulation.node.is_eligible(1.1, inv, t)));
+    let invocation = &simulation.node.invocations[&1];
+    assert!(simulation
+        .node
+        .permitted_executors(invocation)
+        .any(|t| simulation.node.is_eligible(1.1, invocation, t)));
 }
 
 #[test_case(|t| t.started_at_once = true; "an executor that started at once")]
@@ -319,8 +328,15 @@
     let mut simulation = Simulation::new(2_000, change_set, ready);
     change(&mut simulation.node.executors[1_234]);
     simulation.node.solve(2.0);
-    let inv = Inv { latest_start: 9.0, give_up_at: 9.0, end: 9.0, slack: 1.0, load: 0.1, ..Inv::default() };
-    simulation.node.invocations.insert(1, inv);
+    let invocation = Invocation {
+        latest_start: 9.0,
+        give_up_at: 9.0,
+        deadline: 9.0,
+        slack: 1.0,
+        load: 0.1,
+        ..Invocation::default()
+    };
+    simulation.node.invocations.insert(1, invocation);
     assert!((0..50).all(|_| simulation.node.draw_executors(2.0, 1, 1) == [1_234]));
 }
 
