--- a/src/types.rs
+++ b/src/types.rs
@@ -1,13 +1,14 @@
 //! The inputs and outputs of the decision logic, and the records it keeps. Times are in seconds. This module
 //! makes no decisions.
 use std::collections::VecDeque;
+use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
 /// An invocation's id, as given by the protocol.
-pub type InvId = u32;
+pub type InvocationId = u32;
 /// An executor's index at this node.
-pub type Tgt = usize;
+pub type ExecutorIndex = usize;
 
 /// Whether an operation may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
@@ -175,9 +176,9 @@
 /// One line of the list of executors.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
-    pub tgt: Tgt,
+    pub tgt: ExecutorIndex,
     /// The same at every node; determines which node counts for the executor.
-    pub mark: u32,
+    pub stable_id: u32,
     pub zone: usize,
     pub cell: i64,
     pub kind: usize,
@@ -233,7 +234,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Submission {
-    pub id: InvId,
+    pub id: InvocationId,
     pub operation: usize,
     pub tenant: Option<usize>,
     /// Time left until the client gives up.
@@ -285,7 +286,7 @@
 /// The end of one forward; `ended` when the invocation has its final answer.
 #[derive(Clone, Debug)]
 pub struct Settled {
-    pub id: InvId,
+    pub id: InvocationId,
     pub forward: usize,
     pub outcome: Outcome,
     pub took: f64,
@@ -299,75 +300,88 @@
     Submitted(Submission),
     Settled(Settled),
     /// A forward has started or makes progress.
-    Alive {
-        id: InvId,
+    Started {
+        id: InvocationId,
         forward: usize,
     },
     /// A forward's executor has not acknowledged it in time.
-    Unheard {
-        id: InvId,
+    Unacknowledged {
+        id: InvocationId,
         forward: usize,
     },
-    Expired(InvId),
+    Expired(InvocationId),
     /// The node has to stop by the given time.
-    Leaving(f64),
+    Stopping(f64),
     Timer(u64),
     Probed {
-        tgt: Tgt,
+        tgt: ExecutorIndex,
         outcome: Outcome,
         report: Report,
     },
-    Heard {
+    PeerMessage {
         from: usize,
-        told: Told,
-        tgt: Tgt,
+        kind: PeerMessageKind,
+        tgt: ExecutorIndex,
         count: u8,
     },
 }
 
-/// A message between nodes about one executor, with one number: `Held`, the forwards that the sender holds
-/// there; `Asks`, a query for free slots; `Room`, its answer.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
+/// The kind of a message between nodes about one executor, which carries one number.
+#[derive(Clone, Copy, PartialEq)]
+pub enum PeerMessageKind {
+    /// The number of forwards that the sender holds there.
     Held,
-    Asks,
-    Room,
+    /// A query for free slots.
+    Query,
+    /// The answer to it: the number of free slots that the asking node may use.
+    FreeSlots,
+}
+
+/// Recorded runs contain this text, so it keeps the variants' former names.
+impl fmt::Debug for PeerMessageKind {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            PeerMessageKind::Held => "Held",
+            PeerMessageKind::Query => "Asks",
+            PeerMessageKind::FreeSlots => "Room",
+        })
+    }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Forward {
-        id: InvId,
-        tgt: Tgt,
+        id: InvocationId,
+        tgt: ExecutorIndex,
     },
     Withdraw {
-        id: InvId,
+        id: InvocationId,
         forward: usize,
     },
     /// Tell the client to retry after the pause.
     Throttle {
-        id: InvId,
+        id: InvocationId,
         pause: f64,
     },
     Error {
-        id: InvId,
+        id: InvocationId,
     },
-    Wake {
+    SetTimer {
         after: f64,
         timer: u64,
     },
-    Probe(Tgt),
+    Probe(ExecutorIndex),
     /// Close the idle connections to the executor.
-    Release(Tgt),
+    Release(ExecutorIndex),
     /// Send a message to another node.
-    Tell {
+    SendToPeer {
         to: usize,
-        told: Told,
-        tgt: Tgt,
+        kind: PeerMessageKind,
+        tgt: ExecutorIndex,
         count: u8,
     },
     /// Call discovery for the list and watch it.
-    Follow,
+    WatchList,
     Log(String),
 }
 
@@ -376,7 +390,7 @@
 /// The state of an invocation. `Uncertain`: nothing is in flight, but an earlier forward may have run.
 /// `InFlightUncertain`: in flight, and an earlier forward may have run or is in flight too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub enum InvState {
+pub enum InvocationState {
     #[default]
     Waiting,
     #[serde(rename = "Out")]
@@ -391,7 +405,7 @@
 /// An event in the life cycle of an invocation. `NotRun`, `MayHaveRun`: the last forward in flight has ended,
 /// and this holds for all forwards together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum InvEvent {
+pub enum InvocationEvent {
     Sent,
     Finished,
     NotRun,
@@ -422,7 +436,7 @@
 /// One attempt of an invocation at an executor.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Forward {
-    pub tgt: Tgt,
+    pub tgt: ExecutorIndex,
     pub sent: f64,
     #[serde(rename = "fate")]
     pub state: ForwardState,
@@ -466,7 +480,7 @@
         }
     }
 
-    pub fn new(tgt: Tgt, sent: f64) -> Self {
+    pub fn new(tgt: ExecutorIndex, sent: f64) -> Self {
         Forward {
             tgt,
             sent,
@@ -484,10 +498,10 @@
 
 /// An invocation, kept until it is answered and none of its forwards is in flight.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Inv {
+pub struct Invocation {
     pub op: usize,
     #[serde(rename = "life")]
-    pub state: InvState,
+    pub state: InvocationState,
     /// The fraction of its billed value that counts; below one if its tenant exceeds its share.
     #[serde(rename = "worth")]
     pub weight: f64,
@@ -504,7 +518,8 @@
     #[serde(rename = "until")]
     pub give_up_at: f64,
     /// The client's timeout, or the node's stop if earlier.
-    pub end: f64,
+    #[serde(rename = "end")]
+    pub deadline: f64,
     pub hint: f64,
     /// How long it is expected to occupy an ordinary slot.
     pub load: f64,
@@ -523,7 +538,7 @@
     pub no_more_forwards: bool,
     /// The executors drawn for it.
     #[serde(rename = "sample")]
-    pub candidates: Vec<Tgt>,
+    pub candidates: Vec<ExecutorIndex>,
     /// The earliest time of the next draw.
     #[serde(rename = "again")]
     pub next_draw: f64,
@@ -533,7 +548,7 @@
     pub forwards: Vec<Forward>,
 }
 
-impl Inv {
+impl Invocation {
     /// The forwards that have no outcome yet.
     pub fn in_flight(&self) -> impl Iterator<Item = usize> + '_ {
         let out = |f: &(usize, &Forward)| f.1.state == ForwardState::InFlight;
@@ -669,7 +684,7 @@
     }
 
     /// An executor that has not been listed yet; any start time differs from NaN and counts as new.
-    pub fn unlisted(tgt: Tgt) -> Self {
+    pub fn unlisted(tgt: ExecutorIndex) -> Self {
         Executor { entry: Entry { tgt, started: f64::NAN, ..Entry::default() }, ..Executor::default() }
     }
 
@@ -837,7 +852,7 @@
 
 impl Entry {
     /// Whether both executors are in the same deduplication group.
-    pub fn same(&self, group: Group, other: &Entry) -> bool {
+    pub fn shares_dedup_group(&self, group: Group, other: &Entry) -> bool {
         match group {
             Group::All => true,
             Group::Zone => other.zone == self.zone,
@@ -849,13 +864,13 @@
 /// Where an invocation can be sent now. `Never`: no executor may take it, now or later.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    Here(Tgt),
+    Here(ExecutorIndex),
     Later,
     Never,
 }
 
 /// Restricts the pool to those that match, if the condition holds and any do.
-pub fn prefer(pool: &mut Vec<Tgt>, condition: bool, matches: impl Fn(&Tgt) -> bool) {
+pub fn prefer(pool: &mut Vec<ExecutorIndex>, condition: bool, matches: impl Fn(&ExecutorIndex) -> bool) {
     if condition && pool.iter().any(&matches) {
         pool.retain(matches);
     }
