--- a/crates/coveroute-drill/src/main.rs
+++ b/crates/coveroute-drill/src/main.rs
@@ -9,8 +9,8 @@
 
 use coveroute::node::Node;
 use coveroute::types::{
-    Entry, ExecutorIndex, Input, KeptAge, List, Loss, Outcome, Output, PeerMessageKind, Settled, Standing,
-    Submission,
+    Entry, ExecutorIndex, InitialListAge, Input, List, Loss, Outcome, Output, PeerMessageKind, Settled,
+    Standing, Submission,
 };
 use coveroute_shared::{decode, format_message, mark, parse_message, position, Listed, Names, Roster};
 use wire::{Event, Line, Record};
@@ -90,14 +90,14 @@
             Event::Members => {
                 let scope = line.scope.as_deref().ok_or("no scope")?;
                 if scope == "lost" {
-                    return Ok(Input::List(List::Lost(Loss::Unsaid)));
+                    return Ok(Input::List(List::Lost(Loss::Unspecified)));
                 }
                 let page = line.page.and_then(|page| pages.get(page)).ok_or("no such page")?;
                 let entries = page.iter().map(|record| self.entry(record)).collect::<Result<_, _>>()?;
                 Input::List(match scope {
                     "incr" => List::Changes(entries),
                     "total" => List::Whole(entries),
-                    "warm_copy" => List::Kept(entries, KeptAge::Unsaid),
+                    "warm_copy" => List::Initial(entries, InitialListAge::Unspecified),
                     other => return Err(format!("unknown scope {other}")),
                 })
             }
@@ -156,7 +156,7 @@
         "ConnectError" => Outcome::Unreachable,
         "ResetByPeer" => Outcome::Reset,
         "Canceled" => Outcome::Cancelled,
-        "Ignored" => Outcome::Moot,
+        "Ignored" => Outcome::NotWritten,
         other => return Err(format!("unknown verdict {other}")),
     })
 }
--- a/crates/coveroute-emu/src/baseline.rs
+++ b/crates/coveroute-emu/src/baseline.rs
@@ -123,8 +123,8 @@
 
     fn list(&mut self, list: List, out: &mut Vec<Output>) {
         let whole = !matches!(list, List::Changes(_));
-        let first = matches!(list, List::Kept(..));
-        let (List::Changes(entries) | List::Whole(entries) | List::Kept(entries, _)) = list else {
+        let first = matches!(list, List::Initial(..));
+        let (List::Changes(entries) | List::Whole(entries) | List::Initial(entries, _)) = list else {
             self.failed_follows += 1;
             let after = 0.5 * f64::from(1 << self.failed_follows.min(3)) * (0.5 + self.draw.random::<f64>());
             return out.push(Output::SetTimer { after, timer: TIMER_FOLLOW });
@@ -178,7 +178,8 @@
             return last <= 0.0 || started == last;
         }
         !cold
-            || ((now - started) as usize % self.settings.nodes.max(1) == self.settings.me && worker.held == 0)
+            || ((now - started) as usize % self.settings.nodes.max(1) == self.settings.node_index
+                && worker.held == 0)
     }
 
     fn choose(&mut self, now: f64, id: InvocationId) -> Option<ExecutorIndex> {
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -904,7 +904,7 @@
         let tri = self.hosts[node].as_ref().and_then(|host| host.invocations.get(&id)).copied();
         let lease = worker.and_then(|worker| self.lease(node, worker));
         let (Some(worker), Some(tri), Some(dials)) = (worker, tri, lease) else {
-            let not_sent = Reply::Ended(Ended::Moot, Report::default());
+            let not_sent = Reply::Ended(Ended::NotWritten, Report::default());
             let Some(host) = self.hosts[node].as_mut() else { return };
             return host.engine.handle(
                 CLOCK_BASE + now,
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -8,7 +8,7 @@
 use coveroute::node::Node;
 use coveroute::policy::LOOK;
 use coveroute::types::{
-    Budget, ExecutorIndex, Input, InvocationId, KeptAge, List, Loss, Operation, Outcome, Output,
+    Budget, ExecutorIndex, InitialListAge, Input, InvocationId, List, Loss, Operation, Outcome, Output,
     PeerMessageKind, Report, Settings, Settled, Standing, Submission,
 };
 use coveroute_shared::Names;
@@ -282,7 +282,7 @@
             version: 0,
             started_at: now,
             discovery_heard: None,
-            list_pushed: !setup.settings.must_ask,
+            list_pushed: !setup.settings.polls_list,
             followed: false,
             operations: Operations::new(names, &setup.timeouts),
             entries: setup.settings.operations,
@@ -299,8 +299,8 @@
         engine.register_operations();
         let memory = setup.memory;
         let age = match &memory {
-            Some(memory) if memory.current => KeptAge::Current,
-            _ => KeptAge::Unknown,
+            Some(memory) if memory.current => InitialListAge::Current,
+            _ => InitialListAge::Unknown,
         };
         let known = memory.as_ref().map(|memory| memory.listing.clone()).or(setup.known);
         engine.apply_initial_list(now, age, known.unwrap_or_default(), out);
@@ -533,19 +533,21 @@
 
     /// Applies the list that the node starts with. A node that was down for seconds or days must not serve at once from a
     /// list of that age: it becomes ready when the current list arrives, or when the platform would not wait any longer.
-    fn apply_initial_list(&mut self, now: f64, age: KeptAge, known: Listing, out: &mut Vec<Action>) {
+    fn apply_initial_list(&mut self, now: f64, age: InitialListAge, known: Listing, out: &mut Vec<Action>) {
         let source = match age {
-            KeptAge::Current => "handed over by the previous process",
-            KeptAge::Unknown | KeptAge::Unsaid => "from before the start and not used for sending",
+            InitialListAge::Current => "handed over by the previous process",
+            InitialListAge::Unknown | InitialListAge::Unspecified => {
+                "from before the start and not used for sending"
+            }
         };
         info!("list {} is {source}", known.version);
-        self.apply_listing(now, &known, |_, entries| List::Kept(entries, age), out);
+        self.apply_listing(now, &known, |_, entries| List::Initial(entries, age), out);
         match age {
             _ if known.hosts.is_empty() => {}
-            KeptAge::Unknown => {
+            InitialListAge::Unknown => {
                 self.timers.schedule(now + READY_DEADLINE, Timer::PhaseStep(Step::ExecutorsKnown))
             }
-            KeptAge::Current | KeptAge::Unsaid => drop(self.step(Step::ExecutorsKnown)),
+            InitialListAge::Current | InitialListAge::Unspecified => drop(self.step(Step::ExecutorsKnown)),
         }
     }
 
@@ -720,7 +722,7 @@
                 // Every other executor would reject it too, and each rejection would count against that executor.
                 info!("invocation {id} was rejected by its executor with status {status}");
                 self.send_final_answer(id, Answer::Unfit(Unfit::TurnedAway(status)), out);
-                self.settle_forward(now, id, forward, Outcome::Unfit, report);
+                self.settle_forward(now, id, forward, Outcome::Rejected, report);
             }
             Reply::Written => self.counts.forwards += 1,
             Reply::Taken => {
--- a/crates/coveroute-engine/src/tests.rs
+++ b/crates/coveroute-engine/src/tests.rs
@@ -54,7 +54,7 @@
         max_forwards: 4,
         cancelling: true,
         probing: true,
-        must_ask: true,
+        polls_list: true,
         max_pause: 2.0,
         ..Settings::default()
     };
@@ -463,7 +463,7 @@
 
 fn tuning(names: &[&str], entries: &[Operation], timeouts: &[f64], max_forwards: usize) -> Box<Tuning> {
     let settings = Settings { nodes: 1, operations: entries.to_vec(), max_forwards, ..Settings::default() };
-    let settings = Settings { cancelling: true, probing: true, must_ask: true, ..settings };
+    let settings = Settings { cancelling: true, probing: true, polls_list: true, ..settings };
     let operations = names.iter().map(|name| (*name).to_owned()).collect();
     let names = Names { operations, zones: vec![String::new()], ..Names::default() };
     Box::new(Tuning { settings, names, timeouts: timeouts.to_vec() })
--- a/crates/coveroute-node/src/config.rs
+++ b/crates/coveroute-node/src/config.rs
@@ -158,7 +158,7 @@
 
     /// The host whose pushed lists are accepted, if lists are pushed.
     pub fn pushed_by(&self) -> Option<IpAddr> {
-        (!self.settings.must_ask).then_some(self.discovery.ip())
+        (!self.settings.polls_list).then_some(self.discovery.ip())
     }
 
     fn path(named: Option<PathBuf>) -> Result<PathBuf, String> {
@@ -315,7 +315,10 @@
     one_of("weights", node.weights.as_deref().unwrap_or("none"), &["none", "nominal", "rough", "live"])?;
     let (reports, nodes) = (settings.reports != Reports::Never, settings.nodes);
     let conflicts = [
-        (settings.me >= nodes, format!("settings.me: {} is not one of {nodes} nodes", settings.me)),
+        (
+            settings.node_index >= nodes,
+            format!("settings.me: {} is not one of {nodes} nodes", settings.node_index),
+        ),
         (
             settings.peers && !(reports && settings.probing),
             "settings.limits.peers: requires settings.limits.probing and settings.report".into(),
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -68,7 +68,7 @@
         AppliedConfig {
             keys: config.keys.clone(),
             fixed: (config.listen, config.management, config.sockets, config.memory_mb),
-            identity: (config.settings.me, config.peers.clone()),
+            identity: (config.settings.node_index, config.peers.clone()),
             discovery: config.discovery,
         }
     }
@@ -154,8 +154,14 @@
         let applied = AppliedConfig::of(&config);
         let Config { settings, names, seed, timeouts, known, discovery, peers, .. } = config;
         let listen = |socket: UdpSocket| {
-            Peers::new(settings.me, peers.unwrap_or_default(), socket, events.clone(), fleet_member.clone())
-                .map_err(|e| format!("peer socket: {e}"))
+            Peers::new(
+                settings.node_index,
+                peers.unwrap_or_default(),
+                socket,
+                events.clone(),
+                fleet_member.clone(),
+            )
+            .map_err(|e| format!("peer socket: {e}"))
         };
         let peers = datagrams.map(listen).transpose()?;
         let (predecessor, handover_state) = predecessor.unzip();
@@ -628,7 +634,7 @@
 /// The reply for a forward that was never sent. It says nothing of the executor, which must not be suspected because
 /// this node ran out of descriptors or because the client disconnected.
 fn not_started(id: InvocationId, forward: usize) -> Event<'static> {
-    Event::Replied(id, forward, Reply::Ended(Outcome::Moot, Report::default()))
+    Event::Replied(id, forward, Reply::Ended(Outcome::NotWritten, Report::default()))
 }
 
 #[cfg(test)]
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -75,9 +75,9 @@
         driver
             .jobs
             .insert(ID, PendingJob { job: Rc::new(job(CALL, "pay", 5.0, now)), client: client(answer) });
-        let moot = Reply::Ended(Outcome::Moot, Report::default());
+        let not_written = Reply::Ended(Outcome::NotWritten, Report::default());
         let told = driver.send(ID, 0, 0, soon());
-        assert!(matches!(told, Some(Event::Replied(ID, 0, reply)) if reply == moot));
+        assert!(matches!(told, Some(Event::Replied(ID, 0, reply)) if reply == not_written));
         assert!(matches!(driver.probe(0), Some(Event::Probed(0, Outcome::Full, _))));
     });
 }
@@ -93,7 +93,7 @@
         actix_rt::task::yield_now().await;
         assert!(watch.is_finished() && driver.forwards.is_empty());
         let told = driver.send(ID, 1, 0, soon());
-        assert!(matches!(told, Some(Event::Replied(ID, 1, Reply::Ended(Outcome::Moot, _)))));
+        assert!(matches!(told, Some(Event::Replied(ID, 1, Reply::Ended(Outcome::NotWritten, _)))));
     });
 }
 
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -115,7 +115,7 @@
     }
 
     fn own_peer(config: &Config) -> Option<SocketAddr> {
-        config.peers.as_ref().map(|peers| peers[config.settings.me])
+        config.peers.as_ref().map(|peers| peers[config.settings.node_index])
     }
 
     /// The fleet file's content, and the address for the fleet's datagrams.
--- a/crates/coveroute-node/src/send.rs
+++ b/crates/coveroute-node/src/send.rs
@@ -54,10 +54,10 @@
             // Ends the task that serves the client, which reports the disconnect.
             attempt.client().iter().for_each(|client| client.close.notify_one());
         }
-        Ok(Err(SendError::Refused(_))) => on_reply(Reply::Ended(Outcome::Moot, Report::default())),
+        Ok(Err(SendError::Refused(_))) => on_reply(Reply::Ended(Outcome::NotWritten, Report::default())),
         Ok(Err(SendError::NoConnection(e))) => {
             attempt.note_no_connection(&e);
-            on_reply(Reply::Ended(Outcome::Moot, Report::default()));
+            on_reply(Reply::Ended(Outcome::NotWritten, Report::default()));
         }
         Ok(Err(SendError::Failed(e))) => {
             debug!("exchange with executor {} failed: {e}", lease.addr());
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -181,8 +181,8 @@
 }
 
 // When the connection is established, the window for retries is over, or the client's deadline has passed, or neither.
-#[test_case(false, true, Outcome::Moot; "the window for retries is over")]
-#[test_case(true, false, Outcome::Moot; "the client's deadline has passed")]
+#[test_case(false, true, Outcome::NotWritten; "the window for retries is over")]
+#[test_case(true, false, Outcome::NotWritten; "the client's deadline has passed")]
 #[test_case(true, true, Outcome::Reset; "neither")]
 fn nothing_is_written_after_a_deadline(decision: bool, client: bool, expected: Outcome) {
     let (addr, _executor) = executor("body", &[""]);
@@ -330,7 +330,7 @@
     let (addr, _executor) = executor("\r\n\r\n", answers);
     let told = block(async {
         let mut executor_connections = executor_connections(addr);
-        let mut told = Outcome::Moot;
+        let mut told = Outcome::NotWritten;
         for _ in 0..probes {
             told = probe(executor_connections.lease(0).expect("a connection"), true, seconds(1.0)).await.0;
         }
@@ -778,7 +778,7 @@
 fn environment_variables_take_precedence_over_the_file() {
     let config = Config::parse(CONFIG, variables()).expect("valid");
     assert_eq!((config.listen.port(), config.discovery.port(), config.timeouts), (1, 2, vec![5.0, 10.0]));
-    assert!(config.settings.must_ask && !config.settings.peers);
+    assert!(config.settings.polls_list && !config.settings.peers);
 }
 
 // Without a handler the signal would end this test process.
@@ -846,8 +846,8 @@
 fn every_deployment_type_is_supported(pairs: &[(&str, &str)], expected: (bool, bool, bool, Sizes)) {
     let config = Config::parse(&config_text_with(pairs), config::Environment::default()).expect("valid");
     let set = &config.settings;
-    assert_eq!((set.must_ask, set.peers, set.probing, set.sizes), expected);
-    assert_eq!((config.pushed_by().is_some(), set.only_draining), (!set.must_ask, false));
+    assert_eq!((set.polls_list, set.peers, set.probing, set.sizes), expected);
+    assert_eq!((config.pushed_by().is_some(), set.only_draining), (!set.polls_list, false));
 }
 
 // A node must also serve deployments whose executors report little. Its decisions are then based on the results of
@@ -941,7 +941,7 @@
     let (plain, late) = (set(""), set("\"lateShedding\": true, \"askWithin\": 5000, "));
     assert!(plain.never_ran(Outcome::Full) && !late.never_ran(Outcome::Full));
     assert!(late.never_ran(Outcome::Unreachable) && !plain.never_ran(Outcome::Reset));
-    assert_eq!((plain.ask_within, late.ask_within), (None, Some(5.0)));
+    assert_eq!((plain.poll_within, late.poll_within), (None, Some(5.0)));
 }
 
 const PUSHED_LIST: &str = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"state\":\"up\",\"weight\":3.5}]}";
--- a/crates/coveroute-shared/src/settings.rs
+++ b/crates/coveroute-shared/src/settings.rs
@@ -211,7 +211,7 @@
     let operations = numbered.map(|(at, c)| operation(at, c, &info.family_info)).collect::<Result<_, _>>()?;
     let zone = position(&mut info.zones, &info.zone);
     let settings = Settings {
-        me: info.me,
+        node_index: info.me,
         nodes: info.replicas_of_me,
         zone,
         operations,
@@ -221,9 +221,9 @@
         goal_worst_operation: info.goal.worst_class,
         value_by_work: info.value_by == "work",
         cross_zone_price: info.penalties.cross_zone,
-        must_ask: info.registry_mode == "on_request",
+        polls_list: info.registry_mode == "on_request",
         only_draining: info.rules.only_draining_binds,
-        ask_within: Some(info.rules.ask_within / 1e3).filter(|within| *within > 0.0),
+        poll_within: Some(info.rules.ask_within / 1e3).filter(|within| *within > 0.0),
         budget: budget(&info.rules)?,
         full_may_have_run: info.rules.late_shedding,
         second_copies: info.limits.second_copies,
@@ -240,7 +240,7 @@
         probing: info.limits.probing,
         peers: info.limits.peers,
         max_pause: if info.limits.retry_after { info.limits.max_retry_after / 1e3 } else { 0.0 },
-        marks_again: info.callers.marks_retry,
+        clients_mark_retries: info.callers.marks_retry,
         reports: info.report.reports(),
         sizes: match info.weights.as_str() {
             "nominal" => Sizes::Listed,
@@ -249,7 +249,7 @@
             _ => Sizes::Never,
         },
         progress: info.family_info.progress / 1e3,
-        tells_start: info.family_info.tells_start,
+        reports_starts: info.family_info.tells_start,
     };
     let names = Names {
         operations: info.categories.into_iter().map(|c| c.name).collect(),
--- a/src/adopt.rs
+++ b/src/adopt.rs
@@ -27,7 +27,7 @@
         }
         let previous = |from: &Option<usize>| from.and_then(|from| self.tenant_stats.get(from)).cloned();
         self.tenant_stats = tenants.iter().map(|from| previous(from).unwrap_or_default()).collect();
-        self.peer_last_heard.resize(settings.nodes.max(settings.me + 1), 0.0);
+        self.peer_last_heard.resize(settings.nodes.max(settings.node_index + 1), 0.0);
         self.settings = settings;
     }
 
--- a/src/list_calls/tests.rs
+++ b/src/list_calls/tests.rs
@@ -2,23 +2,23 @@
 use test_case::test_case;
 
 use super::*;
-use crate::types::KeptAge;
+use crate::types::InitialListAge;
 
 const NOW: f64 = 1000.25;
 const UNCONFIRMED: ListState = ListState::Unheard { since: f64::NEG_INFINITY, unreachable_since: None };
 const SILENT: ListState = ListState::Unheard { since: NOW - 2.5, unreachable_since: None };
 const OUTAGE: ListState = ListState::Unreachable { since: NOW };
 
-fn settings(me: usize, nodes: usize) -> Settings {
-    Settings { me, nodes, must_ask: true, ..Settings::default() }
+fn settings(node_index: usize, nodes: usize) -> Settings {
+    Settings { node_index, nodes, polls_list: true, ..Settings::default() }
 }
 
-/// The longest wait of any node before each call: the first one if a list was kept, and one after each
+/// The longest wait of any node before each call: the first one if it starts with a list, and one after each
 /// failure.
-fn longest(nodes: usize, state: ListState, kept: Option<KeptAge>, failures: usize) -> Vec<f64> {
-    let waits = |me| {
-        let (set, mut calls) = (settings(me, nodes), ListCalls::default());
-        let first = kept.map(|age| calls.first(NOW, ListState::kept(NOW, age, false), true, &set));
+fn longest(nodes: usize, state: ListState, initial: Option<InitialListAge>, failures: usize) -> Vec<f64> {
+    let waits = |node_index| {
+        let (set, mut calls) = (settings(node_index, nodes), ListCalls::default());
+        let first = initial.map(|age| calls.first(NOW, ListState::initial(NOW, age, false), true, &set));
         let again = (0..failures).map(|_| calls.next(NOW, state, Loss::Waited, 0.25, &set));
         first.into_iter().chain(again).collect::<Vec<f64>>()
     };
@@ -30,12 +30,12 @@
 // Rounds of hundreds of nodes. While a node sends by its list, it has to notice the end of an outage in time.
 // A node that does not send can wait longer each time, so that a service that also spends time on refused
 // calls serves all nodes.
-#[test_case(UNCONFIRMED, Some(KeptAge::Unknown), &[6.0, 9.0, 13.5, 18.0, 18.0]; "a list from before the start")]
-#[test_case(SILENT, Some(KeptAge::Current), &[4.5, 2.0, 4.0, 8.0]; "a list that was handed over, then silence")]
+#[test_case(UNCONFIRMED, Some(InitialListAge::Unknown), &[6.0, 9.0, 13.5, 18.0, 18.0]; "a list from before the start")]
+#[test_case(SILENT, Some(InitialListAge::Current), &[4.5, 2.0, 4.0, 8.0]; "a list that was handed over, then silence")]
 #[test_case(SILENT, None, &[2.0, 2.0, 4.0, 8.0, 16.0, 18.0, 18.0]; "a watch that fell silent")]
 #[test_case(OUTAGE, None, &[4.5, 4.5, 4.5, 4.5, 9.0, 18.0, 18.0]; "an outage")]
-fn rounds_grow_while_calls_fail(state: ListState, kept: Option<KeptAge>, rounds: &[f64]) {
-    let waits = longest(300, state, kept, rounds.len() - usize::from(kept.is_some()));
+fn rounds_grow_while_calls_fail(state: ListState, initial: Option<InitialListAge>, rounds: &[f64]) {
+    let waits = longest(300, state, initial, rounds.len() - usize::from(initial.is_some()));
     for (at, (wait, round)) in waits.iter().zip(rounds).enumerate() {
         assert!(
             *wait <= *round && *wait > 0.95 * round,
@@ -51,8 +51,8 @@
 #[test_case(Loss::Refused, 9.0; "the call is refused on arrival")]
 #[test_case(Loss::Waited, 9.0; "the call waits and is refused")]
 fn only_refusals_make_the_first_rounds_longer(loss: Loss, round: f64) {
-    let wait = |me| {
-        let (set, mut calls) = (settings(me, 300), ListCalls::default());
+    let wait = |node_index| {
+        let (set, mut calls) = (settings(node_index, 300), ListCalls::default());
         calls.first(NOW, UNCONFIRMED, true, &set);
         calls.next(NOW, UNCONFIRMED, loss, 0.25, &set)
     };
@@ -60,11 +60,11 @@
     assert!(longest <= round && longest > 0.95 * round, "{longest}");
 }
 
-#[test_case(UNCONFIRMED, Some(KeptAge::Unknown); "a list from before the start")]
+#[test_case(UNCONFIRMED, Some(InitialListAge::Unknown); "a list from before the start")]
 #[test_case(SILENT, None; "a watch that fell silent")]
 #[test_case(OUTAGE, None; "an outage")]
-fn a_few_nodes_never_wait_long(state: ListState, kept: Option<KeptAge>) {
-    assert!(longest(6, state, kept, 8).iter().all(|wait| *wait <= 2.0));
+fn a_few_nodes_never_wait_long(state: ListState, initial: Option<InitialListAge>) {
+    assert!(longest(6, state, initial, 8).iter().all(|wait| *wait <= 2.0));
 }
 
 #[test]
--- a/src/list_state.rs
+++ b/src/list_state.rs
@@ -2,7 +2,7 @@
 //! gives the times.
 use std::fmt;
 
-use crate::types::{KeptAge, Loss};
+use crate::types::{InitialListAge, Loss};
 
 /// Seconds after which a list that receives no changes expires. A node counts as informed of a change six
 /// seconds after discovery has it, and a connection takes up to half a second of these.
@@ -36,19 +36,19 @@
 impl ListState {
     /// The state with the list that a node starts with. Where lists are pushed, discovery is contacted at
     /// once, and no answer means that it is down.
-    pub fn kept(now: f64, age: KeptAge, pushed: bool) -> Self {
+    pub fn initial(now: f64, age: InitialListAge, pushed: bool) -> Self {
         let unreachable_since = pushed.then_some(now);
         match age {
-            KeptAge::Unsaid => ListState::Followed,
-            KeptAge::Unknown => ListState::Unheard { since: f64::NEG_INFINITY, unreachable_since },
-            KeptAge::Current => ListState::Unheard { since: now, unreachable_since },
+            InitialListAge::Unspecified => ListState::Followed,
+            InitialListAge::Unknown => ListState::Unheard { since: f64::NEG_INFINITY, unreachable_since },
+            InitialListAge::Current => ListState::Unheard { since: now, unreachable_since },
         }
     }
 
     /// The state after the end of a watch, or of a call for one.
     pub fn after(self, now: f64, loss: Loss) -> Self {
         match (self, loss) {
-            (_, Loss::Unsaid) => ListState::Followed,
+            (_, Loss::Unspecified) => ListState::Followed,
             // An expired list must not count as current again because discovery has gone down since.
             (ListState::Unheard { since, unreachable_since }, Loss::Closed | Loss::Waited) => {
                 ListState::Unheard { since, unreachable_since: unreachable_since.or(Some(now)) }
--- a/src/list_state/tests.rs
+++ b/src/list_state/tests.rs
@@ -6,26 +6,26 @@
 const START: f64 = 1000.0;
 
 /// The state after these losses, with their times in seconds after the start.
-fn after(age: KeptAge, pushed: bool, losses: &[(f64, Loss)]) -> ListState {
-    let kept = ListState::kept(START, age, pushed);
-    losses.iter().fold(kept, |state, (at, loss)| state.after(START + at, *loss))
+fn after(age: InitialListAge, pushed: bool, losses: &[(f64, Loss)]) -> ListState {
+    let initial = ListState::initial(START, age, pushed);
+    losses.iter().fold(initial, |state, (at, loss)| state.after(START + at, *loss))
 }
 
 const HUNG: Loss = Loss::Missed(3.25);
 const REFUSED: Loss = Loss::Refused;
 
 // `from` and `until` are the seconds after the start between which nothing may be sent.
-#[test_case(KeptAge::Unknown, &[], 0.0, f64::INFINITY; "a list from before the start")]
-#[test_case(KeptAge::Unknown, &[(1.0, REFUSED), (3.0, HUNG)], 0.0, f64::INFINITY; "discovery is up, but refuses calls or is silent")]
-#[test_case(KeptAge::Unknown, &[(1.0, Loss::Closed)], 0.0, 31.0; "discovery is down: an outage after 30 s")]
-#[test_case(KeptAge::Unknown, &[(1.0, Loss::Closed), (4.0, Loss::Waited), (9.0, Loss::Waited)], 0.0, 31.0; "discovery is still down later")]
-#[test_case(KeptAge::Unknown, &[(1.0, Loss::Waited), (4.0, REFUSED)], 0.0, f64::INFINITY; "discovery is down, then up and refuses calls")]
-#[test_case(KeptAge::Unknown, &[(1.0, Loss::Waited), (4.0, REFUSED), (6.0, Loss::Closed)], 0.0, 36.0; "and then down again")]
-#[test_case(KeptAge::Current, &[], 5.5, f64::INFINITY; "a list just handed over")]
-#[test_case(KeptAge::Current, &[(2.0, Loss::Closed)], 5.5, 32.0; "just handed over, and discovery is down")]
-#[test_case(KeptAge::Current, &[(4.0, HUNG)], 5.5, f64::INFINITY; "just handed over, and the first call hangs")]
-#[test_case(KeptAge::Unsaid, &[(4.0, Loss::Unsaid)], f64::INFINITY, f64::INFINITY; "the protocol gives no meaning to its age")]
-fn the_list_at_the_start_expires(age: KeptAge, losses: &[(f64, Loss)], from: f64, until: f64) {
+#[test_case(InitialListAge::Unknown, &[], 0.0, f64::INFINITY; "a list from before the start")]
+#[test_case(InitialListAge::Unknown, &[(1.0, REFUSED), (3.0, HUNG)], 0.0, f64::INFINITY; "discovery is up, but refuses calls or is silent")]
+#[test_case(InitialListAge::Unknown, &[(1.0, Loss::Closed)], 0.0, 31.0; "discovery is down: an outage after 30 s")]
+#[test_case(InitialListAge::Unknown, &[(1.0, Loss::Closed), (4.0, Loss::Waited), (9.0, Loss::Waited)], 0.0, 31.0; "discovery is still down later")]
+#[test_case(InitialListAge::Unknown, &[(1.0, Loss::Waited), (4.0, REFUSED)], 0.0, f64::INFINITY; "discovery is down, then up and refuses calls")]
+#[test_case(InitialListAge::Unknown, &[(1.0, Loss::Waited), (4.0, REFUSED), (6.0, Loss::Closed)], 0.0, 36.0; "and then down again")]
+#[test_case(InitialListAge::Current, &[], 5.5, f64::INFINITY; "a list just handed over")]
+#[test_case(InitialListAge::Current, &[(2.0, Loss::Closed)], 5.5, 32.0; "just handed over, and discovery is down")]
+#[test_case(InitialListAge::Current, &[(4.0, HUNG)], 5.5, f64::INFINITY; "just handed over, and the first call hangs")]
+#[test_case(InitialListAge::Unspecified, &[(4.0, Loss::Unspecified)], f64::INFINITY, f64::INFINITY; "the protocol gives no meaning to its age")]
+fn the_list_at_the_start_expires(age: InitialListAge, losses: &[(f64, Loss)], from: f64, until: f64) {
     let state = after(age, false, losses);
     let last = losses.last().map_or(0.0, |loss| loss.0);
     for at in (0..600).map(|at| f64::from(at) * 0.1).filter(|at| *at >= last) {
@@ -34,28 +34,28 @@
     }
 }
 
-#[test_case(KeptAge::Unknown, 29.9, false; "discovery of pushed lists does not answer")]
-#[test_case(KeptAge::Unknown, 30.1, true; "for long enough to count as down")]
-#[test_case(KeptAge::Current, 5.0, true; "and the list was just handed over")]
-fn where_lists_are_pushed_silence_is_an_outage(age: KeptAge, at: f64, permits: bool) {
+#[test_case(InitialListAge::Unknown, 29.9, false; "discovery of pushed lists does not answer")]
+#[test_case(InitialListAge::Unknown, 30.1, true; "for long enough to count as down")]
+#[test_case(InitialListAge::Current, 5.0, true; "and the list was just handed over")]
+fn where_lists_are_pushed_silence_is_an_outage(age: InitialListAge, at: f64, permits: bool) {
     assert_eq!(after(age, true, &[]).permits(START + at), permits);
 }
 
 // A process that takes over the list of another must not treat it as more current than it is.
-#[test_case(KeptAge::Unknown, &[], false; "of unknown age")]
-#[test_case(KeptAge::Current, &[(1.0, REFUSED)], false; "receives no changes")]
-#[test_case(KeptAge::Unsaid, &[], true; "followed")]
-#[test_case(KeptAge::Unsaid, &[(1.0, Loss::Closed)], true; "discovery went down")]
-fn only_a_current_list_is_handed_on_as_one(age: KeptAge, losses: &[(f64, Loss)], current: bool) {
+#[test_case(InitialListAge::Unknown, &[], false; "of unknown age")]
+#[test_case(InitialListAge::Current, &[(1.0, REFUSED)], false; "receives no changes")]
+#[test_case(InitialListAge::Unspecified, &[], true; "followed")]
+#[test_case(InitialListAge::Unspecified, &[(1.0, Loss::Closed)], true; "discovery went down")]
+fn only_a_current_list_is_handed_on_as_one(age: InitialListAge, losses: &[(f64, Loss)], current: bool) {
     assert_eq!(after(age, false, losses).is_current(), current);
 }
 
 #[test]
 fn transitions_are_logged_once() {
-    let kept = ListState::kept(START, KeptAge::Unknown, false);
+    let initial = ListState::initial(START, InitialListAge::Unknown, false);
     let log_line = |from: ListState, to| from.transition(START + 2.0, to);
-    assert_eq!(log_line(kept, kept.after(START + 2.0, REFUSED)), None);
-    let line = log_line(kept, ListState::Followed);
+    assert_eq!(log_line(initial, initial.after(START + 2.0, REFUSED)), None);
+    let line = log_line(initial, ListState::Followed);
     assert_eq!(line.as_deref(), Some("list state: unconfirmed, nothing is sent by it -> followed"));
     let silent = ListState::Followed.after(START + 2.0, Loss::Missed(2.5));
     let line = log_line(ListState::Followed, silent);
--- a/src/notes.rs
+++ b/src/notes.rs
@@ -54,13 +54,13 @@
             rng: Chance::new(seed),
             operation_stats: vec![TrafficStats::default(); set.operations.len()],
             tenant_stats: vec![TrafficStats::default(); set.quotas.len()],
-            peer_last_heard: vec![0.0; set.nodes.max(set.me + 1)],
+            peer_last_heard: vec![0.0; set.nodes.max(set.node_index + 1)],
             util: 0.5,
             // As if one start in five were late.
             spill_probability: 1.0 - (5.0 * set.cross_zone_price).min(1.0),
             trust_reference: 1.0,
             // Reports count less until starts confirm them.
-            missing_slot_rate: if set.tells_start { 2.0 * MAX_RACED_RATE } else { 0.0 },
+            missing_slot_rate: if set.reports_starts { 2.0 * MAX_RACED_RATE } else { 0.0 },
             settings: set,
             ..Node::default()
         }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -178,7 +178,7 @@
     fn on_list(&mut self, now: f64, list: List, out: &mut Vec<Output>) {
         let state = match list {
             List::Lost(loss) => self.list_state.after(now, loss),
-            List::Kept(_, age) => ListState::kept(now, age, !self.settings.must_ask),
+            List::Initial(_, age) => ListState::initial(now, age, !self.settings.polls_list),
             List::Changes(_) | List::Whole(_) => ListState::Followed,
         };
         out.extend(self.list_state.transition(now, state).map(Output::Log));
@@ -190,11 +190,11 @@
                 let after = self.list_calls.next(now, state, loss, SOLVE_INTERVAL, &self.settings);
                 return out.push(call(after));
             }
-            List::Kept(entries, _) => {
+            List::Initial(entries, _) => {
                 let knows_some = !entries.is_empty();
                 let after = self
                     .settings
-                    .must_ask
+                    .polls_list
                     .then(|| self.list_calls.first(now, state, knows_some, &self.settings));
                 out.extend(after.map(call));
                 self.last_solve = now;
@@ -263,8 +263,11 @@
         // A retrying client has less of its timeout left, and its objective counts from the first attempt.
         // Where clients mark retries, an unmarked one is late by at most the time this node was stalled.
         stats.longest_timeout = stats.longest_timeout.max(sub.timeout);
-        let stall =
-            if self.settings.marks_again && !sub.again { now - self.last_inputs[0] } else { f64::INFINITY };
+        let stall = if self.settings.clients_mark_retries && !sub.again {
+            now - self.last_inputs[0]
+        } else {
+            f64::INFINITY
+        };
         let tenant = sub.tenant.filter(|&t| t < self.tenant_stats.len());
         // If all clients of a tenant use shorter timeouts than before, their invocations are not taken for
         // late retries.
@@ -441,7 +444,7 @@
         // invocation that merely ran beside such a job is stopped too; its client retries.
         let run_time = fwd.wait.map_or(f64::INFINITY, |wait| now - fwd.sent - wait);
         let ran = (FATAL_WITHIN..f64::INFINITY).contains(&run_time);
-        invocation.no_more_forwards |= self.settings.tells_start && outcome == Outcome::Reset && !ran;
+        invocation.no_more_forwards |= self.settings.reports_starts && outcome == Outcome::Reset && !ran;
         let (tgt, op, took) = (fwd.tgt, invocation.op, (took - fwd.wait.unwrap_or(0.0)) / invocation.hint);
         fwd.errored = outcome == Outcome::Errored;
         // A second copy of a job that crashes executors does the most harm, so resets make copies less
@@ -470,11 +473,11 @@
         );
         let (t, connection) = (&mut self.executors[tgt], &mut self.connection_records[connection]);
         let answered =
-            matches!(outcome, Outcome::Succeeded | Outcome::Errored | Outcome::Unfit | Outcome::Full);
+            matches!(outcome, Outcome::Succeeded | Outcome::Errored | Outcome::Rejected | Outcome::Full);
         t.release_connection(now, answered);
         if answered {
             connection.add_success(now, MAX_SUCCESSES, late);
-        } else if outcome == Outcome::Unreachable && !late && self.settings.tells_start {
+        } else if outcome == Outcome::Unreachable && !late && self.settings.reports_starts {
             connection.add_failure(1.0);
         }
         t.held = t.held.saturating_sub(1);
@@ -486,7 +489,7 @@
         match outcome {
             Outcome::Succeeded => Self::record_success(now, t, op, &mut self.operation_stats[op], kind, took),
             Outcome::Full => (t.refused_at, t.refusals) = (now, t.refusals + 1),
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotWritten => {}
             Outcome::Unreachable => {
                 t.seen_alive = false;
                 // Weighs more, as the next forward would lose as much time; less where new connections fail
@@ -502,7 +505,7 @@
             Outcome::Errored => {
                 t.record_operation_failure(now, op, 1.0 - self.job_fault_rate, self.trust_reference, out)
             }
-            Outcome::Unfit => t.record_failure(0.25, self.trust_reference, out),
+            Outcome::Rejected => t.record_failure(0.25, self.trust_reference, out),
             _ => t.record_operation_failure(now, op, 1.0, self.trust_reference, out),
         }
         t.update_doubtful(self.trust_reference, out);
@@ -568,13 +571,13 @@
         };
         let (t, sent, wait, first) =
             (&mut self.executors[fwd.tgt], fwd.sent, now - fwd.sent, fwd.wait.is_none());
-        let late = (first && self.settings.tells_start).then_some(wait > LATE_START * invocation.slack);
+        let late = (first && self.settings.reports_starts).then_some(wait > LATE_START * invocation.slack);
         let was_overdue = std::mem::take(&mut fwd.start_overdue);
         // An overdue forward that starts after all was only queued.
         self.never_started_rate *= if was_overdue { 1.0 - 2.0 * NEVER_STARTED_WEIGHT } else { 1.0 };
         if first {
             (t.running, t.started_at_once) = (t.running + 1, wait < STARTED_AT_ONCE);
-            fwd.wait = Some(if self.settings.tells_start { wait } else { 0.0 });
+            fwd.wait = Some(if self.settings.reports_starts { wait } else { 0.0 });
         }
         t.on_sign_of_life(now);
         if late.is_some() {
@@ -661,7 +664,7 @@
         }
         let warm_fraction = t.warm_fraction(now, &self.settings.cold);
         match self.counting_node(t) {
-            Some(counting) if counting == self.settings.me && t.slots > 0.0 => {
+            Some(counting) if counting == self.settings.node_index && t.slots > 0.0 => {
                 return Some(
                     (t.slots * warm_fraction).max(1.0)
                         - t.held as f64
@@ -683,7 +686,7 @@
             return (t.reported_at > 0.0 && now - t.reported_at <= lifetime).then_some(room);
         }
         // The last forward has not started, so the next one would wait too.
-        if self.settings.tells_start && t.held > t.running && now - t.last_sent > STARTED_AT_ONCE {
+        if self.settings.reports_starts && t.held > t.running && now - t.last_sent > STARTED_AT_ONCE {
             return Some(0.0);
         }
         let in_own_zone = self.own_zone_count > 0 && t.entry.zone == self.settings.zone;
@@ -720,7 +723,8 @@
         }
         // The counting node grants no more slots than a cold executor has, but does not limit the work per
         // slot.
-        let counted = self.counting_node(t).is_some_and(|node| node != self.settings.me || t.slots > 0.0);
+        let counted =
+            self.counting_node(t).is_some_and(|node| node != self.settings.node_index || t.slots > 0.0);
         let (turn, slots) = (t.turn_number(now, cold.fall), t.slots.max(1.0));
         let work = if t.cold_turn == turn { t.cold_work } else { 0.0 };
         let cold_slots = (warm_fraction * slots).max(1.0).ceil();
@@ -729,7 +733,9 @@
             true => self
                 .available_slots(now, t)
                 .is_none_or(|room| room >= slots - cold_slots + ONE_SLOT && t.reported_just_now(now)),
-            false => (turn + t.entry.stable_id as usize) % self.settings.nodes.max(1) == self.settings.me,
+            false => {
+                (turn + t.entry.stable_id as usize) % self.settings.nodes.max(1) == self.settings.node_index
+            }
         };
         open && work + load <= 0.4 * cold.factor * warm_fraction * slots * cold.fall
             && (t.held as f64) < cold_slots
@@ -944,7 +950,7 @@
     fn query_load(&mut self, now: f64, tgt: ExecutorIndex, out: &mut Vec<Output>) {
         let t = &self.executors[tgt];
         let counting_node =
-            self.counting_node(t).filter(|&k| k != self.settings.me && t.queried_at <= t.reported_at);
+            self.counting_node(t).filter(|&k| k != self.settings.node_index && t.queried_at <= t.reported_at);
         let question = |to| Output::SendToPeer { to, kind: PeerMessageKind::Query, tgt, count: 0 };
         out.push(counting_node.map_or(Output::Probe(tgt), question));
         self.executors[tgt].queried_at = now;
@@ -956,7 +962,7 @@
         let t = &self.executors[tgt];
         let had_reported_slot = self.reports_are_reliable(now) && t.free - t.sent_since_report >= ONE_SLOT;
         let expected_at_once =
-            self.settings.tells_start && (had_reported_slot || t.held == 0 && t.started_at_once);
+            self.settings.reports_starts && (had_reported_slot || t.held == 0 && t.started_at_once);
         if t.has_idle_connection()
             && (!t.has_fresh_connection(now, self.settings.idle) || self.connection_records[REUSED].avoided)
         {
@@ -1114,7 +1120,7 @@
             .values()
             .filter_map(|invocation| invocation.forwards.last().filter(|f| is_late(f, invocation)));
         let last_sent = late_starts.map(|f| f.sent).fold(0.0, f64::max);
-        self.update_price(now, (self.settings.tells_start && last_sent > 0.0).then_some(true), last_sent);
+        self.update_price(now, (self.settings.reports_starts && last_sent > 0.0).then_some(true), last_sent);
         // Silent means no sign of life for 1.5 progress intervals; longer if none of its forwards is known to
         // have started, as they may be queued.
         let limit = if self.settings.progress > 0.0 { 1.5 * self.settings.progress + 0.2 } else { 5.0 };
@@ -1123,7 +1129,7 @@
             t.overall.failures *= (-elapsed / FAILURE_DECAY).exp();
             t.trial =
                 (t.doubtful || t.silent) && t.overall.draw_from_posterior(&mut self.rng) >= TRIAL_THRESHOLD;
-            let limit = if self.settings.tells_start && t.running == 0 { 2.5 * limit } else { limit };
+            let limit = if self.settings.reports_starts && t.running == 0 { 2.5 * limit } else { limit };
             if t.held > 0 && now - t.last_sign_of_life > limit {
                 (t.last_sign_of_life, t.silent) = (now, true);
                 t.record_failure(2.0, self.trust_reference, out);
@@ -1208,7 +1214,7 @@
         const DECAY_AFTER: f64 = 3.0;
         // Without reports or starts nothing shows that the own zone is full.
         let prefer_own_zone =
-            self.settings.cross_zone_price > 0.0 && (self.can_query_load() || self.settings.tells_start);
+            self.settings.cross_zone_price > 0.0 && (self.can_query_load() || self.settings.reports_starts);
         let known: Vec<f64> = self.executors.iter().map(|t| t.slots).filter(|slots| *slots > 0.0).collect();
         let mean_slots = known.iter().sum::<f64>().max(1.0) / known.len().max(1) as f64;
         let small_fleet = self.is_small_fleet();
@@ -1266,7 +1272,8 @@
     fn announce_held(&mut self, tgt: ExecutorIndex, out: &mut Vec<Output>) {
         self.executors[tgt].held_announced = true;
         let (t, kind) = (&self.executors[tgt], PeerMessageKind::Held);
-        let (to, count) = (self.counting_node(t).filter(|to| *to != self.settings.me), t.held.min(255) as u8);
+        let (to, count) =
+            (self.counting_node(t).filter(|to| *to != self.settings.node_index), t.held.min(255) as u8);
         out.extend(to.map(|to| Output::SendToPeer { to, kind, tgt, count }));
     }
 
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -105,7 +105,7 @@
 // The state after each outcome of the only forward, by the operation's effect.
 #[test_case(Effect::NonIdempotent, Outcome::Full, Some(InvocationState::Waiting); "full proves that it never ran")]
 #[test_case(Effect::NonIdempotent, Outcome::Unreachable, Some(InvocationState::Waiting); "so does no connection")]
-#[test_case(Effect::NonIdempotent, Outcome::Moot, Some(InvocationState::Waiting); "so does one never sent")]
+#[test_case(Effect::NonIdempotent, Outcome::NotWritten, Some(InvocationState::Waiting); "so does one never sent")]
 #[test_case(Effect::NonIdempotent, Outcome::Errored, Some(InvocationState::Uncertain); "an error may have run")]
 #[test_case(Effect::NonIdempotent, Outcome::Reset, Some(InvocationState::Uncertain); "a reset may have run")]
 #[test_case(Effect::NonIdempotent, Outcome::TimedOut, Some(InvocationState::Uncertain); "a time out may have run")]
@@ -214,7 +214,7 @@
 
 #[test_case(List::Whole(vec![entry(0, Standing::Ready, 0.0)]), Standing::Gone; "absent from a whole list")]
 #[test_case(List::Changes(vec![entry(0, Standing::Ready, 0.0)]), Standing::Ready; "absent from changes")]
-#[test_case(List::Kept(vec![entry(1, Standing::Draining, 0.0)], KeptAge::Unsaid), Standing::Draining; "draining in the list at the start")]
+#[test_case(List::Initial(vec![entry(1, Standing::Draining, 0.0)], InitialListAge::Unspecified), Standing::Draining; "draining in the list at the start")]
 #[test_case(List::Lost(Loss::Closed), Standing::Ready; "a failed call leaves the list")]
 fn lists_set_the_executors_standing(list: List, expected: Standing) {
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
@@ -279,9 +279,9 @@
     })
 }
 
-/// Node `me` of `nodes` that have to call for the list.
-fn polling_node(me: usize, nodes: usize, ask_within: Option<f64>) -> Node {
-    Node::new(Settings { me, nodes, must_ask: true, ask_within, ..Settings::default() }, 5)
+/// Node `node_index` of `nodes` that have to call for the list.
+fn polling_node(node_index: usize, nodes: usize, poll_within: Option<f64>) -> Node {
+    Node::new(Settings { node_index, nodes, polls_list: true, poll_within, ..Settings::default() }, 5)
 }
 
 // Waits must not double after each failure: after six seconds all nodes count as informed, whatever fails.
@@ -293,12 +293,13 @@
 #[test_case(300, Loss::Missed(2.5), 2.0; "hundreds of nodes after a silence")]
 fn a_lost_list_is_asked_for_in_turns_within_the_bound(nodes: usize, loss: Loss, round: f64) {
     let mut turns: Vec<f64> = Vec::new();
-    for me in 0..nodes {
-        let (mut node, mut out, mut now) = (polling_node(me, nodes, None), Vec::new(), 1_796_182_072.25);
+    for node_index in 0..nodes {
+        let (mut node, mut out, mut now) =
+            (polling_node(node_index, nodes, None), Vec::new(), 1_796_182_072.25);
         for again in 0..2 {
             node.on_list(now, List::Lost(loss), &mut out);
             let after = list_call_wait(&out).expect("it calls again");
-            assert!((0.0..=round).contains(&after), "{after} for {me}, the {again}th time");
+            assert!((0.0..=round).contains(&after), "{after} for {node_index}, the {again}th time");
             turns.extend((again == 0).then_some(after));
             now += after + 0.01;
         }
@@ -313,8 +314,8 @@
 #[test_case(300, 8.0, 18.0; "hundreds of nodes")]
 #[test_case(6, 0.0, 2.0; "a few nodes")]
 fn consecutive_failed_calls_become_less_frequent(nodes: usize, least: f64, most: f64) {
-    let last = |me| {
-        let (mut node, mut out) = (polling_node(me, nodes, None), Vec::new());
+    let last = |node_index| {
+        let (mut node, mut out) = (polling_node(node_index, nodes, None), Vec::new());
         (0..6).for_each(|_| node.on_list(1.0, List::Lost(Loss::Waited), &mut out));
         list_call_wait(&out).expect("it calls again")
     };
@@ -338,7 +339,7 @@
 #[test_case(&[(Loss::Closed, 10.0), (Loss::Waited, 15.0), (Loss::Waited, 20.0)], None; "discovery is down")]
 #[test_case(&[(Loss::Closed, 10.0), (Loss::Waited, 15.0), (CALL_REFUSED, 20.0)], Some(20.5); "and refuses calls when it is up again")]
 #[test_case(&[(WATCH_SILENT, 10.0), (Loss::Closed, 12.0)], Some(13.0); "and discovery is down since")]
-#[test_case(&[(WATCH_SILENT, 10.0), (Loss::Unsaid, 10.0)], None; "the protocol does not say")]
+#[test_case(&[(WATCH_SILENT, 10.0), (Loss::Unspecified, 10.0)], None; "the protocol does not say")]
 fn nothing_is_sent_by_a_list_that_is_too_old(losses: &[(Loss, f64)], from: Option<f64>) {
     let (mut node, mut out) = (node(Effect::Idempotent, 4), Vec::new());
     losses.iter().for_each(|&(loss, now)| node.on_list(now, List::Lost(loss), &mut out));
@@ -379,9 +380,9 @@
 #[test_case(6.0, 1; "much too late")]
 fn an_invocation_is_refused_if_the_next_list_call_is_too_late(due: f64, refused: usize) {
     let (mut node, mut out) = (node(Effect::Idempotent, 0), Vec::new());
-    (node.settings.must_ask, node.settings.max_pause) = (true, 2.0);
+    (node.settings.polls_list, node.settings.max_pause) = (true, 2.0);
     let list = vec![entry(0, Standing::Ready, 0.0)];
-    node.handle(3.0, Input::List(List::Kept(list, KeptAge::Unknown)), &mut out);
+    node.handle(3.0, Input::List(List::Initial(list, InitialListAge::Unknown)), &mut out);
     node.list_calls = ListCalls::due_at(due);
     out.clear();
     // It can wait for half a second.
@@ -398,10 +399,10 @@
 #[test_case(300, 0, 7.0, 8.0; "hundreds without a list spread their calls")]
 fn nodes_that_start_together_spread_their_list_calls(nodes: usize, kept: usize, least: f64, most: f64) {
     // Calls beyond the capacity of discovery are refused: 60 of 100 nodes had no list for 10 s.
-    let first = |me| {
-        let (mut node, mut out) = (polling_node(me, nodes, None), Vec::new());
+    let first = |node_index| {
+        let (mut node, mut out) = (polling_node(node_index, nodes, None), Vec::new());
         let list = (0..kept).map(|tgt| entry(tgt, Standing::Ready, 0.0)).collect();
-        node.handle(0.0, Input::List(List::Kept(list, KeptAge::Unknown)), &mut out);
+        node.handle(0.0, Input::List(List::Initial(list, InitialListAge::Unknown)), &mut out);
         assert!(!out.contains(&Output::WatchList), "no call at once");
         list_call_wait(&out).expect("it schedules a call")
     };
@@ -443,8 +444,8 @@
     for (i, t) in node.executors.iter_mut().enumerate() {
         (t.entry.started, t.entry.stable_id, t.slots) = (10.0, 0x9e37 * (i as u32 + 1), 4.0);
     }
-    let mut turn = |me: usize| {
-        node.settings.me = me;
+    let mut turn = |node_index: usize| {
+        node.settings.node_index = node_index;
         node.executors.iter().filter(|t| node.admits_while_cold(10.5, t, 0.2)).count()
     };
     let open: Vec<usize> = (0..64).map(&mut turn).collect();
@@ -459,7 +460,7 @@
 fn a_cold_executor_is_used_by_any_node_while_its_report_shows_free_slots(free: f64, age: f64, room: bool) {
     // In a large fleet, few of hundreds of nodes have a turn before an executor is warm.
     let mut node = node(Effect::Idempotent, 1);
-    (node.settings.nodes, node.settings.me, node.settings.probing, node.settings.reports) =
+    (node.settings.nodes, node.settings.node_index, node.settings.probing, node.settings.reports) =
         (300, 200, true, Reports::Answers);
     (node.executors[0].entry.started, node.executors[0].slots) = (10.0, 2.0);
     (node.executors[0].free, node.executors[0].reported_at) = (free, 10.0 + age);
@@ -473,7 +474,7 @@
     // If twenty or more nodes see the same free slot, what they send within a report's age adds up (20 nodes,
     // N 2 to 13: six executors overloaded in two runs; 300 nodes: 22).
     let mut node = node(Effect::Idempotent, 1);
-    (node.settings.nodes, node.settings.me, node.settings.probing, node.settings.reports) =
+    (node.settings.nodes, node.settings.node_index, node.settings.probing, node.settings.reports) =
         (300, 200, true, Reports::Answers);
     (node.executors[0].entry.started, node.executors[0].slots) = (10.0, 2.0);
     (node.executors[0].free, node.executors[0].reported_at) = (2.0, 12.0 - age);
@@ -484,7 +485,7 @@
 #[test_case(Outcome::Reset, 3; "resets")]
 #[test_case(Outcome::TimedOut, 3; "timeouts")]
 #[test_case(Outcome::Unreachable, 1; "no connection, after one")]
-#[test_case(Outcome::Unfit, 12; "every invocation rejected")]
+#[test_case(Outcome::Rejected, 12; "every invocation rejected")]
 fn failures_make_an_executor_doubtful_and_not_faster(outcome: Outcome, many: usize) {
     let mut node = node(Effect::Idempotent, 2);
     for _ in 0..many {
@@ -520,7 +521,7 @@
     let mut node = node(Effect::Idempotent, 1);
     for _ in 0..4 {
         add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
-        settle_forward(&mut node, 2.0, Outcome::Unfit);
+        settle_forward(&mut node, 2.0, Outcome::Rejected);
     }
     assert!(!node.executors[0].doubtful);
 }
@@ -789,7 +790,8 @@
 #[test_case(1, 1.0; "another zone, nothing held")]
 fn the_mean_held_is_kept_per_zone(tgt: ExecutorIndex, room: f64) {
     // As work stays in the own zone, it would look full beside zones where nothing is held.
-    let set = Settings { cross_zone_price: 0.2, tells_start: true, ..node(Effect::Idempotent, 0).settings };
+    let set =
+        Settings { cross_zone_price: 0.2, reports_starts: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
     let zoned = |tgt| Entry { zone: tgt % 2, ..entry(tgt, Standing::Ready, 0.0) };
     node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
@@ -804,7 +806,8 @@
 fn without_reports_crossings_grow_as_the_own_zone_fills(price: f64, first: f64, wait: f64, crosses: usize) {
     // Crossings may cost more than they gain: without load reports, three in four invocations went to other
     // zones.
-    let set = Settings { cross_zone_price: price, tells_start: true, ..node(Effect::Idempotent, 0).settings };
+    let set =
+        Settings { cross_zone_price: price, reports_starts: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
     let zoned = |tgt| Entry { zone: usize::from(tgt > 0), ..entry(tgt, Standing::Ready, 0.0) };
     node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
@@ -838,7 +841,7 @@
     // A few such jobs would crash several executors each.
     let mut node = node(Effect::Idempotent, 3);
     add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
-    (node.executors[0].held, node.settings.tells_start) = (1, tells);
+    (node.executors[0].held, node.settings.reports_starts) = (1, tells);
     began.into_iter().for_each(|began| node.on_alive(began, ID, 0));
     let mut out = settle_forward(&mut node, 2.0, outcome);
     node.dispatch_waiting(2.0, &mut out);
@@ -878,7 +881,7 @@
 fn a_cold_executor_is_preferred_in_its_turn(age: f64, load: f64, spare: f64, first: bool) {
     // Where many nodes take turns, executors would stand idle until they are warm.
     let mut node = node(Effect::Idempotent, 20);
-    (node.settings.me, node.settings.nodes, node.settings.cold.start) = (2, 100, 0.12);
+    (node.settings.node_index, node.settings.nodes, node.settings.cold.start) = (2, 100, 0.12);
     node.solve(50.0);
     (node.executors[7].entry.started, node.executors[7].slots) = (50.0, 4.0);
     let drawn = (0..20).filter(|_| {
@@ -1061,7 +1064,7 @@
 /// A node without load reports that knows only the outcomes and starts of its own forwards.
 fn node_without_reports(effect: Effect, many: usize) -> Node {
     let mut node = node(effect, many);
-    (node.settings.tells_start, node.settings.progress, node.settings.cancelling) = (true, 1.0, true);
+    (node.settings.reports_starts, node.settings.progress, node.settings.cancelling) = (true, 1.0, true);
     node
 }
 
@@ -1217,7 +1220,7 @@
     // A short timeout must not be taken for a late retry; without time left for its objective it is given up
     // at once.
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    node.settings.marks_again = true;
+    node.settings.clients_mark_retries = true;
     node.handle(1.0, Input::Submitted(Submission { id: 1, ..submission(9.0, 0) }), &mut out);
     node.last_inputs = [1.9, 1.95];
     out.clear();
@@ -1289,7 +1292,7 @@
     // Where starts are not reported, the first progress message comes a second after the start at best and
     // must not raise the price.
     let mut node = node_without_reports(Effect::Idempotent, 3);
-    node.settings.tells_start = false;
+    node.settings.reports_starts = false;
     add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     node.on_alive(3.0, ID, 0);
     assert_eq!((node.price, node.util, node.invocations[&ID].forwards[0].wait), (0.0, 0.5, Some(0.0)));
@@ -1381,7 +1384,7 @@
 #[test]
 fn reports_of_free_slots_that_are_missing_are_ignored() {
     let mut node = node(Effect::Idempotent, 30);
-    (node.settings.probing, node.settings.reports, node.settings.tells_start) =
+    (node.settings.probing, node.settings.reports, node.settings.reports_starts) =
         (true, Reports::Answers, true);
     for at in 0..30 {
         add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
@@ -1571,9 +1574,13 @@
 #[test_case(None, 6.0; "up to some seconds")]
 #[test_case(Some(2.0), 1.8; "but before the node counts as informed")]
 fn asks_for_the_list_before_it_counts_as_told(within: Option<f64>, latest: f64) {
-    let asked = |me| {
-        let (mut node, mut out) = (polling_node(me, 400, within), Vec::new());
-        node.on_list(0.0, List::Kept(vec![entry(0, Standing::Ready, 0.0)], KeptAge::Unsaid), &mut out);
+    let asked = |node_index| {
+        let (mut node, mut out) = (polling_node(node_index, 400, within), Vec::new());
+        node.on_list(
+            0.0,
+            List::Initial(vec![entry(0, Standing::Ready, 0.0)], InitialListAge::Unspecified),
+            &mut out,
+        );
         list_call_wait(&out)
     };
     let after: Vec<f64> = (0..400).filter_map(asked).collect();
@@ -1586,9 +1593,9 @@
 #[test_case(0.2, false; "reported slots are often taken: nodes take turns")]
 fn a_cold_executor_whose_room_is_raced_for_takes_turns(empty: f64, open: bool) {
     let mut node = node(Effect::Idempotent, 1);
-    (node.settings.probing, node.settings.reports, node.settings.tells_start) =
+    (node.settings.probing, node.settings.reports, node.settings.reports_starts) =
         (true, Reports::Answers, true);
-    (node.settings.nodes, node.settings.me, node.missing_slot_rate, node.util) = (400, 7, empty, 0.9);
+    (node.settings.nodes, node.settings.node_index, node.missing_slot_rate, node.util) = (400, 7, empty, 0.9);
     node.apply_entry(99.0, entry(0, Standing::Ready, 99.0));
     let t = &mut node.executors[0];
     (t.slots, t.free, t.reported_at, t.queried_at) = (4.0, 4.0, 100.0, 99.9);
@@ -1599,7 +1606,7 @@
 #[test]
 fn reports_are_believed_less_until_starts_show() {
     // A restarted node must not rely on the first free slots reported to it.
-    let settings = |tells_start| Settings { tells_start, ..Settings::default() };
+    let settings = |reports_starts| Settings { reports_starts, ..Settings::default() };
     assert!(
         Node::new(settings(true), 1).missing_slot_rate > MAX_RACED_RATE
             && Node::new(settings(true), 1).missing_slot_rate < MAX_MISSING_RATE
--- a/src/sampler/tests.rs
+++ b/src/sampler/tests.rs
@@ -130,7 +130,10 @@
             sent,
             examined: 0,
         };
-        simulation.deliver(0.0, Input::List(List::Kept((0..many).map(entry).collect(), KeptAge::Unsaid)));
+        simulation.deliver(
+            0.0,
+            Input::List(List::Initial((0..many).map(entry).collect(), InitialListAge::Unspecified)),
+        );
         simulation
     }
 
@@ -324,7 +327,7 @@
 fn without_reports_a_large_fleet_prefers_useful_executors(change: fn(&mut Executor)) {
     // In a large fleet without load reports, draws must still prefer executors that started at once or would
     // be idle while cold.
-    let change_set = |set: &mut Settings| (set.probing, set.tells_start) = (false, true);
+    let change_set = |set: &mut Settings| (set.probing, set.reports_starts) = (false, true);
     let mut simulation = Simulation::new(2_000, change_set, ready);
     change(&mut simulation.node.executors[1_234]);
     simulation.node.solve(2.0);
--- a/src/types.rs
+++ b/src/types.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// The index of this node among `nodes`.
-    pub me: usize,
+    pub node_index: usize,
     pub nodes: usize,
     pub zone: usize,
     pub operations: Vec<Operation>,
@@ -103,12 +103,12 @@
     pub goal_worst_operation: f64,
     pub cross_zone_price: f64,
     /// The node has to call discovery for the list of executors; it is not pushed.
-    pub must_ask: bool,
+    pub polls_list: bool,
     /// Only draining is binding: an executor that is listed as gone or absent without having drained may be
     /// used.
     pub only_draining: bool,
     /// A node that has not called for the list for this long counts as informed of it.
-    pub ask_within: Option<f64>,
+    pub poll_within: Option<f64>,
     pub cold: Cold,
     pub budget: Option<Budget>,
     /// An executor may answer 'full' for work that it has begun.
@@ -128,13 +128,13 @@
     /// The longest pause that throttled clients honour.
     pub max_pause: f64,
     /// Clients mark retries.
-    pub marks_again: bool,
+    pub clients_mark_retries: bool,
     pub reports: Reports,
     pub sizes: Sizes,
     /// Interval of progress messages, 0 for none.
     pub progress: f64,
     /// Executors report the start of an invocation.
-    pub tells_start: bool,
+    pub reports_starts: bool,
 }
 
 impl Settings {
@@ -147,9 +147,9 @@
     /// `call_interval` seconds per other node, within the bounds `least` and `most`, and short enough that no
     /// node counts as informed before its call.
     pub fn time_to_turn(&self, now: f64, call_interval: f64, least: f64, most: f64) -> f64 {
-        let latest = self.ask_within.map_or(most, |within| most.min(0.9 * within));
+        let latest = self.poll_within.map_or(most, |within| most.min(0.9 * within));
         let round = (call_interval * self.nodes.saturating_sub(1) as f64).min(latest).max(least);
-        let turn = self.me as f64 / self.nodes.max(1) as f64 * round;
+        let turn = self.node_index as f64 / self.nodes.max(1) as f64 * round;
         if round > 0.0 {
             (turn - now).rem_euclid(round)
         } else {
@@ -193,30 +193,30 @@
     Changes(Vec<Entry>),
     Whole(Vec<Entry>),
     /// The list that this node starts with, and its age.
-    Kept(Vec<Entry>, KeptAge),
+    Initial(Vec<Entry>, InitialListAge),
     Lost(Loss),
 }
 
 impl List {
     /// Whether absent executors are gone.
     pub fn is_whole(&self) -> bool {
-        matches!(self, List::Whole(_) | List::Kept(..))
+        matches!(self, List::Whole(_) | List::Initial(..))
     }
 }
 
 /// The age of the list that a node starts with.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum KeptAge {
+pub enum InitialListAge {
     /// As old as the end of the node's last process, which may be seconds or days ago.
     Unknown,
     /// Handed over just now by the previous process, which followed it.
     Current,
     /// The protocol gives no meaning to its age.
-    Unsaid,
+    Unspecified,
 }
 
 /// What the end of a watch, or of a call for one, implies for the list held.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
 pub enum Loss {
     /// Discovery closed it, or is down: no change was missed, or no node is informed of changes.
     Closed,
@@ -229,7 +229,20 @@
     /// answer.
     Missed(f64),
     /// The protocol does not say.
-    Unsaid,
+    Unspecified,
+}
+
+/// Recorded runs contain this text, so it keeps the variants' former names.
+impl fmt::Debug for Loss {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Loss::Closed => f.write_str("Closed"),
+            Loss::Waited => f.write_str("Waited"),
+            Loss::Refused => f.write_str("Refused"),
+            Loss::Missed(seconds) => f.debug_tuple("Missed").field(seconds).finish(),
+            Loss::Unspecified => f.write_str("Unsaid"),
+        }
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -250,25 +263,42 @@
 }
 
 /// How a forward or a probe ended.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
 pub enum Outcome {
     Succeeded,
     Errored,
     /// The executor rejects the invocation itself.
-    Unfit,
+    Rejected,
     Full,
     TimedOut,
     Unreachable,
     Reset,
     Cancelled,
     /// It was never written.
-    Moot,
+    NotWritten,
+}
+
+/// Recorded runs contain this text, so it keeps the variants' former names.
+impl fmt::Debug for Outcome {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Outcome::Succeeded => "Succeeded",
+            Outcome::Errored => "Errored",
+            Outcome::Rejected => "Unfit",
+            Outcome::Full => "Full",
+            Outcome::TimedOut => "TimedOut",
+            Outcome::Unreachable => "Unreachable",
+            Outcome::Reset => "Reset",
+            Outcome::Cancelled => "Cancelled",
+            Outcome::NotWritten => "Moot",
+        })
+    }
 }
 
 impl Outcome {
     /// Whether the outcome proves that the invocation has not run and will not run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Moot)
+        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::NotWritten)
     }
 }
 
