--- a/crates/coveroute-emu/src/baseline.rs
+++ b/crates/coveroute-emu/src/baseline.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use coveroute::adopt::Moved;
+use coveroute::reconfigure::OperationMapping;
 use coveroute::types::{
     Budget, Effect, Entry, ExecutorIndex, Group, Input, InvocationId, List, Output, Settings, Settled,
     Standing, Submission,
@@ -309,19 +309,19 @@
     }
 
     /// The baseline keeps no state by operation or tenant that would have to move.
-    fn adopt(&mut self, settings: Settings, _: &[Moved], _: &[Option<usize>]) {
+    fn apply_settings(&mut self, settings: Settings, _: &[OperationMapping], _: &[Option<usize>]) {
         self.settings = settings;
     }
 
-    fn has(&self, operation: usize) -> bool {
+    fn uses_operation(&self, operation: usize) -> bool {
         self.jobs.values().any(|job| job.op == operation)
     }
 
-    fn share(&mut self, factor: f64, budget: Option<Budget>) {
+    fn set_process_share(&mut self, factor: f64, budget: Option<Budget>) {
         (self.settings.cold.factor, self.settings.budget) = (factor, budget);
     }
 
-    fn avoided(&self, now: f64) -> usize {
+    fn untrusted_count(&self, now: f64) -> usize {
         self.workers.iter().filter(|worker| worker.avoid_until > now).count()
     }
 }
--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -113,7 +113,7 @@
         state.processes += 1;
         let count = if back { 1 } else { 100 + state.processes };
         // Marks rise and fall: which of two processes has the greater one is random.
-        let mark = coveroute::chance::mix(state.processes);
+        let mark = coveroute::random::mix(state.processes);
         let local_time = self.local_time(node, state.now);
         state.fleets[node] = Fleet::new(local_time, &member(node), self.plan.clone(), count, mark).ok();
     }
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use coveroute::adopt::Moved;
 use coveroute::node::Node;
+use coveroute::reconfigure::OperationMapping;
 use coveroute::types::{
     Budget, ExecutorIndex, InvocationId, Outcome as Ended, PeerMessageKind, Report, Settings,
 };
@@ -70,31 +70,36 @@
         }
     }
 
-    fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]) {
+    fn apply_settings(
+        &mut self,
+        settings: Settings,
+        mappings: &[OperationMapping],
+        tenants: &[Option<usize>],
+    ) {
         match self {
-            Decisions::Node(node) => Decide::adopt(node.as_mut(), settings, moved, tenants),
-            Decisions::Baseline(baseline) => baseline.adopt(settings, moved, tenants),
+            Decisions::Node(node) => Decide::apply_settings(node.as_mut(), settings, mappings, tenants),
+            Decisions::Baseline(baseline) => baseline.apply_settings(settings, mappings, tenants),
         }
     }
 
-    fn has(&self, operation: usize) -> bool {
+    fn uses_operation(&self, operation: usize) -> bool {
         match self {
-            Decisions::Node(node) => Decide::has(node.as_ref(), operation),
-            Decisions::Baseline(baseline) => baseline.has(operation),
+            Decisions::Node(node) => Decide::uses_operation(node.as_ref(), operation),
+            Decisions::Baseline(baseline) => baseline.uses_operation(operation),
         }
     }
 
-    fn share(&mut self, factor: f64, budget: Option<Budget>) {
+    fn set_process_share(&mut self, factor: f64, budget: Option<Budget>) {
         match self {
-            Decisions::Node(node) => Decide::share(node.as_mut(), factor, budget),
-            Decisions::Baseline(baseline) => baseline.share(factor, budget),
+            Decisions::Node(node) => Decide::set_process_share(node.as_mut(), factor, budget),
+            Decisions::Baseline(baseline) => baseline.set_process_share(factor, budget),
         }
     }
 
-    fn avoided(&self, now: f64) -> usize {
+    fn untrusted_count(&self, now: f64) -> usize {
         match self {
-            Decisions::Node(node) => Decide::avoided(node.as_ref(), now),
-            Decisions::Baseline(baseline) => baseline.avoided(now),
+            Decisions::Node(node) => Decide::untrusted_count(node.as_ref(), now),
+            Decisions::Baseline(baseline) => baseline.untrusted_count(now),
         }
     }
 }
--- a/crates/coveroute-engine/src/decide.rs
+++ b/crates/coveroute-engine/src/decide.rs
@@ -1,22 +1,27 @@
 //! The interface between the engine and the routing decisions.
-use coveroute::adopt::Moved;
-use coveroute::learnt::Learnt;
 use coveroute::list_state::ListState;
+use coveroute::measurements::Measurements;
 use coveroute::node::Node;
+use coveroute::reconfigure::OperationMapping;
 use coveroute::types::{Budget, Input, Invocation, InvocationId, Operation, Output, Settings};
 
 /// The routing decisions. Nodes use `coveroute::node::Node`; other implementations exist only for comparison with it.
 pub trait Decide {
     fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Output>);
 
-    /// Applies new settings; `moved` and `tenants` give the previous positions of their entries.
-    fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]);
+    /// Applies new settings; `mappings` and `tenants` give the previous positions of their entries.
+    fn apply_settings(
+        &mut self,
+        settings: Settings,
+        mappings: &[OperationMapping],
+        tenants: &[Option<usize>],
+    );
 
     /// Whether a job or an open forward uses this entry of the operations.
-    fn has(&self, operation: usize) -> bool;
+    fn uses_operation(&self, operation: usize) -> bool;
 
     /// Number of listed executors that are currently avoided.
-    fn avoided(&self, now: f64) -> usize;
+    fn untrusted_count(&self, now: f64) -> usize;
 
     /// How current the list is. Implementations that ignore its age always accept it.
     fn list_state(&self) -> ListState {
@@ -34,29 +39,29 @@
     }
 
     /// The learned state; empty for implementations that learn nothing.
-    fn learnt(&self) -> Learnt {
-        Learnt::default()
+    fn measurements(&self) -> Measurements {
+        Measurements::default()
     }
 
     /// Restores learned state of a previous process.
-    fn recall(&mut self, _: &Learnt) {}
+    fn restore_measurements(&mut self, _: &Measurements) {}
 
     /// Removes an invocation so that another process can continue it; `None` where that is not supported.
-    fn part_with(&mut self, _: InvocationId) -> Option<Invocation> {
+    fn export_invocation(&mut self, _: InvocationId) -> Option<Invocation> {
         None
     }
 
     /// Adds an invocation that another process has handed over.
-    fn take_in(&mut self, _: InvocationId, _: Invocation) {}
+    fn import_invocation(&mut self, _: InvocationId, _: Invocation) {}
 
     /// Sets this node's part of these tenants' quotas, in invocations per second.
-    fn quotas(&mut self, _: &[(usize, f64)]) {}
+    fn set_quotas(&mut self, _: &[(usize, f64)]) {}
 
     /// Replaces the operations' entries by a list that has additional ones at its end.
-    fn extend(&mut self, _: Vec<Operation>) {}
+    fn extend_operations(&mut self, _: Vec<Operation>) {}
 
     /// Sets this process's overload factor for cold executors, in units of their capacity, and its budget of forwards.
-    fn share(&mut self, factor: f64, budget: Option<Budget>);
+    fn set_process_share(&mut self, factor: f64, budget: Option<Budget>);
 }
 
 impl Decide for Node {
@@ -64,16 +69,21 @@
         Node::handle(self, now, input, out);
     }
 
-    fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]) {
-        Node::adopt(self, settings, moved, tenants);
+    fn apply_settings(
+        &mut self,
+        settings: Settings,
+        mappings: &[OperationMapping],
+        tenants: &[Option<usize>],
+    ) {
+        Node::replace_settings(self, settings, mappings, tenants);
     }
 
-    fn has(&self, operation: usize) -> bool {
-        Node::has(self, operation)
+    fn uses_operation(&self, operation: usize) -> bool {
+        Node::uses_operation(self, operation)
     }
 
-    fn avoided(&self, now: f64) -> usize {
-        Node::avoided(self, now)
+    fn untrusted_count(&self, now: f64) -> usize {
+        Node::untrusted_count(self, now)
     }
 
     fn list_state(&self) -> ListState {
@@ -88,31 +98,31 @@
         Node::write_until(self, id)
     }
 
-    fn learnt(&self) -> Learnt {
-        Node::learnt(self)
+    fn measurements(&self) -> Measurements {
+        Node::export_measurements(self)
     }
 
-    fn recall(&mut self, learnt: &Learnt) {
-        Node::recall(self, learnt);
+    fn restore_measurements(&mut self, measurements: &Measurements) {
+        Node::restore_measurements(self, measurements);
     }
 
-    fn part_with(&mut self, id: InvocationId) -> Option<Invocation> {
-        Node::part_with(self, id)
+    fn export_invocation(&mut self, id: InvocationId) -> Option<Invocation> {
+        Node::export_invocation(self, id)
     }
 
-    fn take_in(&mut self, id: InvocationId, invocation: Invocation) {
-        Node::take_in(self, id, invocation);
+    fn import_invocation(&mut self, id: InvocationId, invocation: Invocation) {
+        Node::import_invocation(self, id, invocation);
     }
 
-    fn quotas(&mut self, quotas: &[(usize, f64)]) {
-        Node::quotas(self, quotas);
+    fn set_quotas(&mut self, quotas: &[(usize, f64)]) {
+        Node::set_quotas(self, quotas);
     }
 
-    fn extend(&mut self, operations: Vec<Operation>) {
-        Node::extend(self, operations);
+    fn extend_operations(&mut self, operations: Vec<Operation>) {
+        Node::extend_operations(self, operations);
     }
 
-    fn share(&mut self, factor: f64, budget: Option<Budget>) {
-        Node::share(self, factor, budget);
+    fn set_process_share(&mut self, factor: f64, budget: Option<Budget>) {
+        Node::set_process_share(self, factor, budget);
     }
 }
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use coveroute::node::Node;
-use coveroute::policy::LOOK;
+use coveroute::policy::DISPATCH_TIMER;
 use coveroute::types::{
     Budget, ExecutorIndex, InitialListAge, Input, InvocationId, List, Loss, Operation, Outcome, Output,
     PeerMessageKind, Report, Settings, Settled, Standing, Submission,
@@ -341,7 +341,7 @@
             forwards: self.counts.forwards,
             outstanding: self.records.unanswered(),
             listed: self.fleet.listed_count(),
-            avoided: self.queue.decide().avoided(now),
+            avoided: self.queue.decide().untrusted_count(now),
             list: self.list_figures(now),
             applied: self.counts.applied,
             rejected: self.counts.rejected,
@@ -371,12 +371,15 @@
         let calls = self.records.calls().map(|call| call.to_string()).collect();
         let decide = self.queue.decide();
         let current = decide.list_state().is_current();
-        Memory { current, ..Memory::of(decide.learnt(), &self.fleet, &self.operations, self.version, calls) }
+        Memory {
+            current,
+            ..Memory::of(decide.measurements(), &self.fleet, &self.operations, self.version, calls)
+        }
     }
 
     fn restore_memory(&mut self, now: f64, memory: Memory) {
-        let learnt = memory.learnt(&self.fleet, &self.operations, now);
-        self.queue.decide_mut().recall(&learnt);
+        let measurements = memory.measurements(&self.fleet, &self.operations, now);
+        self.queue.decide_mut().restore_measurements(&measurements);
         self.served_by_predecessor = memory.calls.into_iter().collect();
     }
 
@@ -390,7 +393,7 @@
         let (call, operation, end) = (record.call.to_string(), record.operation.to_string(), record.due);
         let ids = record.forwards.iter().map(|f| (self.fleet.id(f.tgt).to_owned(), f.sent, f.stage));
         let forwards: Vec<_> = ids.collect();
-        let mut invocation = self.queue.decide_mut().part_with(id)?;
+        let mut invocation = self.queue.decide_mut().export_invocation(id)?;
         invocation.deadline = end; // The other process is not stopping, so the full deadline applies.
         let entry = self.entries[invocation.op].clone();
         let (timeout, kind) =
@@ -398,7 +401,7 @@
         let kind = kind.cloned();
         let parcel = Parcel { call, operation, entry, timeout, kind, end, invocation, forwards };
         if !parcel.is_sound() || !parcel.survives_round_trip() {
-            self.queue.decide_mut().take_in(id, parcel.invocation);
+            self.queue.decide_mut().import_invocation(id, parcel.invocation);
             return None;
         }
         self.records.remove(id);
@@ -412,7 +415,7 @@
         let known = self.entries.len();
         invocation.op = self.operations.entry(&operation, timeout, &entry, &mut self.entries);
         if self.entries.len() > known {
-            self.queue.decide_mut().extend(self.entries.clone());
+            self.queue.decide_mut().extend_operations(self.entries.clone());
         }
         let forwards: Vec<Forward> = forwards
             .into_iter()
@@ -425,8 +428,8 @@
         let (due, end) = (end, end.min(self.answer_by));
         self.timers.schedule(end, Timer::Deadline(id));
         self.records.open(id, Record { call, operation, unanswered: true, end, due, forwards });
-        self.queue.decide_mut().take_in(id, invocation);
-        self.queue.push(Input::Timer(LOOK));
+        self.queue.decide_mut().import_invocation(id, invocation);
+        self.queue.push(Input::Timer(DISPATCH_TIMER));
         self.run_decisions(now, out);
     }
 
@@ -457,13 +460,13 @@
             Event::Part(part) => {
                 self.process_share = part;
                 let budget = self.process_budget();
-                self.queue.decide_mut().share(part * self.cold_factor, budget);
+                self.queue.decide_mut().set_process_share(part * self.cold_factor, budget);
             }
             Event::Quotas(quotas) => {
                 let tenants = &self.fleet.names().tenants;
                 let at = |(name, quota)| Some((tenants.iter().position(|known| *known == name)?, quota));
                 let quotas: Vec<(usize, f64)> = quotas.into_iter().filter_map(at).collect();
-                self.queue.decide_mut().quotas(&quotas);
+                self.queue.decide_mut().set_quotas(&quotas);
             }
             Event::NotReread => self.counts.rejected += 1,
             Event::Ended(operation, verdict) => self.counts.count(operation, verdict),
@@ -882,14 +885,15 @@
         let entries = operations.into_iter().zip(timeouts).zip(std::mem::take(&mut settings.operations));
         let entries = entries.map(|((name, timeout), operation)| (name, timeout, operation)).collect();
         let decide = self.queue.decide();
-        let moved = self.operations.apply_settings(now, entries, &mut self.entries, |at| decide.has(at));
+        let mappings =
+            self.operations.apply_settings(now, entries, &mut self.entries, |at| decide.uses_operation(at));
         settings.operations = self.entries.clone();
         (self.cold_factor, self.budget) = (settings.cold.factor, settings.budget);
         settings.cold.factor *= self.process_share;
         settings.budget = self.process_budget();
-        self.queue.decide_mut().adopt(settings, &moved, &tenants);
+        self.queue.decide_mut().apply_settings(settings, &mappings, &tenants);
         self.register_operations();
-        info!("settings applied: {} operations new or changed", moved.len());
+        info!("settings applied: {} operations new or changed", mappings.len());
     }
 
     fn stop(&mut self, now: f64) {
--- a/crates/coveroute-engine/src/memory.rs
+++ b/crates/coveroute-engine/src/memory.rs
@@ -1,6 +1,6 @@
 //! The state that one process of a node hands to the next. It uses names, because each process assigns its own
 //! numbers.
-use coveroute::learnt::{Learnt, Row};
+use coveroute::measurements::{Measurements, Row};
 use coveroute_shared::Names;
 use serde::{Deserialize, Serialize};
 
@@ -40,7 +40,7 @@
 
 impl Memory {
     pub fn of(
-        learnt: Learnt,
+        measurements: Measurements,
         fleet: &Fleet,
         operations: &Operations,
         version: u64,
@@ -51,27 +51,27 @@
             listing: fleet.listing(version),
             current: false,
             calls,
-            executors: by_name(learnt.executors, |tgt| Some(fleet.id(tgt)).filter(|id| !id.is_empty())),
-            operations: by_name(learnt.operations, |at| operations.current(at)),
-            tenants: by_name(learnt.tenants, |at| names.tenants.get(at).map(String::as_str)),
-            kinds: by_name(learnt.kinds, |at| names.kinds.get(at).map(String::as_str)),
-            node: learnt.node,
-            taken: learnt.taken,
-            further: learnt.further,
+            executors: by_name(measurements.executors, |tgt| Some(fleet.id(tgt)).filter(|id| !id.is_empty())),
+            operations: by_name(measurements.operations, |at| operations.current(at)),
+            tenants: by_name(measurements.tenants, |at| names.tenants.get(at).map(String::as_str)),
+            kinds: by_name(measurements.kinds, |at| names.kinds.get(at).map(String::as_str)),
+            node: measurements.node,
+            taken: measurements.arrivals,
+            further: measurements.further_forwards,
         }
     }
 
-    pub fn learnt(&self, fleet: &Fleet, operations: &Operations, now: f64) -> Learnt {
+    pub fn measurements(&self, fleet: &Fleet, operations: &Operations, now: f64) -> Measurements {
         let Names { tenants, kinds, .. } = fleet.names();
         let at = |names: &[String], name: &str| names.iter().position(|known| known == name);
-        Learnt {
+        Measurements {
             executors: by_number(&self.executors, |id| fleet.known(id)),
             operations: by_number(&self.operations, |name| operations.find(name, now)),
             tenants: by_number(&self.tenants, |name| at(tenants, name)),
             kinds: by_number(&self.kinds, |name| at(kinds, name)),
             node: self.node.clone(),
-            taken: self.taken.clone(),
-            further: self.further.clone(),
+            arrivals: self.taken.clone(),
+            further_forwards: self.further.clone(),
         }
     }
 }
--- a/crates/coveroute-engine/src/operations.rs
+++ b/crates/coveroute-engine/src/operations.rs
@@ -2,7 +2,7 @@
 //! never changes while a job uses it: new settings add an entry, and the name then refers to that one.
 use std::sync::Arc;
 
-use coveroute::adopt::Moved;
+use coveroute::reconfigure::OperationMapping;
 use coveroute::types::Operation;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -81,7 +81,7 @@
         new: Vec<(String, f64, Operation)>,
         held: &mut Vec<Operation>,
         busy: impl Fn(usize) -> bool,
-    ) -> Vec<Moved> {
+    ) -> Vec<OperationMapping> {
         for (at, entry) in self.entries.iter_mut().enumerate() {
             let unused_name = match entry.state {
                 EntryState::Removed(until) => now >= until,
@@ -116,7 +116,7 @@
             } else {
                 (self.entries[to], held[to]) = (entry, operation);
             }
-            moved.push(Moved { from, to });
+            moved.push(OperationMapping { from, to });
         }
         moved
     }
--- a/crates/coveroute-engine/src/tests.rs
+++ b/crates/coveroute-engine/src/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the engine: for a given event, the resulting actions and the state of the records, without sockets or clock.
 use bytes::Bytes;
-use coveroute::adopt::Moved;
+use coveroute::reconfigure::OperationMapping;
 use coveroute::types::*;
 use coveroute_shared::Names;
 use test_case::test_case;
@@ -704,17 +704,17 @@
         }
     }
 
-    fn adopt(&mut self, _: Settings, _: &[Moved], _: &[Option<usize>]) {}
+    fn apply_settings(&mut self, _: Settings, _: &[OperationMapping], _: &[Option<usize>]) {}
 
-    fn has(&self, _: usize) -> bool {
+    fn uses_operation(&self, _: usize) -> bool {
         false
     }
 
-    fn avoided(&self, _: f64) -> usize {
+    fn untrusted_count(&self, _: f64) -> usize {
         0
     }
 
-    fn share(&mut self, _: f64, _: Option<Budget>) {}
+    fn set_process_share(&mut self, _: f64, _: Option<Budget>) {}
 }
 
 // With a second copy open, only the first result answers the client, whichever forward it belongs to.
--- a/crates/coveroute-fleet/src/fleet.rs
+++ b/crates/coveroute-fleet/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use coveroute::chance::Chance;
+use coveroute::random::Rng;
 use serde::Serialize;
 
 mod gossip;
@@ -72,7 +72,7 @@
     me: Id,
     mark: u32,
     incarnation: Incarnation,
-    rng: Chance,
+    rng: Rng,
     peers: BTreeMap<Id, Peer>,
     addresses: BTreeMap<SocketAddr, Id>,
     /// The order in which members are probed, and the index of the next one.
@@ -145,12 +145,12 @@
     pub fn new(now: f64, name: &str, plan: Plan, count: u64, mark: u64) -> Result<Self, String> {
         let me = plan.id(name).ok_or(format!("members: {name} is not listed"))?;
         let table = Table::new(plan.detector.drift, plan.records.most);
-        let seed = coveroute::chance::mix(mark ^ u64::from(me.0) << 24);
+        let seed = coveroute::random::mix(mark ^ u64::from(me.0) << 24);
         let mut fleet = Fleet {
             mark: plan.mark(),
             me,
             incarnation: Incarnation::new(count, mark),
-            rng: Chance::new(seed),
+            rng: Rng::new(seed),
             peers: BTreeMap::new(),
             addresses: BTreeMap::new(),
             probe_order: Vec::new(),
--- a/crates/coveroute-fleet/src/member.rs
+++ b/crates/coveroute-fleet/src/member.rs
@@ -7,7 +7,7 @@
 
 impl Id {
     pub fn of(name: &str) -> Self {
-        Id(coveroute::chance::hash(name.as_bytes()) as u32)
+        Id(coveroute::random::hash(name.as_bytes()) as u32)
     }
 }
 
--- a/crates/coveroute-fleet/src/plan.rs
+++ b/crates/coveroute-fleet/src/plan.rs
@@ -143,7 +143,7 @@
 
     /// Identifies the fleet in the checksum of its messages.
     pub fn mark(&self) -> u32 {
-        coveroute::chance::hash(self.fleet.as_bytes()) as u32
+        coveroute::random::hash(self.fleet.as_bytes()) as u32
     }
 
     fn validate(&self) -> Result<(), String> {
--- a/crates/coveroute-fleet/src/rights.rs
+++ b/crates/coveroute-fleet/src/rights.rs
@@ -29,7 +29,7 @@
 pub type LimitId = u32;
 
 pub fn limit_id(name: &str) -> LimitId {
-    coveroute::chance::hash(name.as_bytes()) as LimitId
+    coveroute::random::hash(name.as_bytes()) as LimitId
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/coveroute-fleet/src/table.rs
+++ b/crates/coveroute-fleet/src/table.rs
@@ -8,7 +8,7 @@
 //! d) / (1 - d) + the round trips on its way.
 use std::collections::BTreeMap;
 
-use coveroute::chance::mix;
+use coveroute::random::mix;
 use serde::{Deserialize, Serialize};
 
 use crate::member::{Claim, Id, Incarnation, Standing};
--- a/crates/coveroute-node/src/disconnect_tests.rs
+++ b/crates/coveroute-node/src/disconnect_tests.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use coveroute::chance::Chance;
+use coveroute::random::Rng;
 use coveroute::types::{Outcome, Report};
 use nix::libc;
 use test_case::test_case;
@@ -509,26 +509,26 @@
             let executor_delay = executor_delay(over.clone());
             let (mine, done) = (node.clone(), over.clone());
             let disturbances = thread::spawn(move || {
-                let mut chance = Chance::new(1);
+                let mut rng = Rng::new(1);
                 while !done.load(Ordering::SeqCst) {
                     mine.fake_executors.set_free([0, 0].map(|_: u32| {
-                        if chance.draw() < 0.85 {
+                        if rng.draw() < 0.85 {
                             12 * FREE_SLOTS
                         } else {
                             0
                         }
                     }));
-                    if chance.draw() < 0.1 {
-                        let _ = mine.busy.send(seconds(0.15 * chance.draw()));
+                    if rng.draw() < 0.1 {
+                        let _ = mine.busy.send(seconds(0.15 * rng.draw()));
                     }
-                    thread::sleep(seconds(0.02 + 0.1 * chance.draw()));
+                    thread::sleep(seconds(0.02 + 0.1 * rng.draw()));
                 }
             });
             let client = |number: usize| {
                 let node = node.clone();
                 thread::spawn(move || {
-                    let mut chance = Chance::new(2 + number as u64);
-                    let mut any = |many: usize| (chance.draw() * many as f64) as usize;
+                    let mut rng = Rng::new(2 + number as u64);
+                    let mut any = |many: usize| (rng.draw() * many as f64) as usize;
                     let one = |at: usize| {
                         let call = format!("c{number}-{at}");
                         let stream = node.send_request(&call, BEHAVIORS.get(any(18)).unwrap_or(&"takes"));
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use coveroute::chance::mix;
+use coveroute::random::mix;
 use coveroute_engine::Phase;
 use coveroute_fleet::member::Id;
 use coveroute_fleet::rights::{limit_id, Rights};
--- a/crates/coveroute-node/src/request.rs
+++ b/crates/coveroute-node/src/request.rs
@@ -4,7 +4,7 @@
 use actix_http::uri::PathAndQuery;
 use actix_http::{HttpMessage, Method, Payload, Request, StatusCode};
 use bytes::{Bytes, BytesMut};
-use coveroute::chance;
+use coveroute::random;
 use coveroute_engine::Call;
 use futures_util::StreamExt;
 
@@ -73,7 +73,7 @@
         hint: number(wire::CALL_COST).map(|us| us / 1e6),
         memory: text(wire::CALL_INFO).and_then(|info| info_value(info, "memory")),
         again: text(wire::AGAIN) == Some("1"),
-        key: text(wire::ROUTE_HASH).map(|key| chance::hash(key.as_bytes())),
+        key: text(wire::ROUTE_HASH).map(|key| random::hash(key.as_bytes())),
         came,
     };
     Ok(Job { call, method: head.method.clone(), target, headers, body })
--- a/crates/coveroute-node/tests/crowds/soak/client.rs
+++ b/crates/coveroute-node/tests/crowds/soak/client.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use coveroute::chance::Chance;
+use coveroute::random::Rng;
 
 use super::{pick, uniform, Run, LOST_AFTER, MAX_BUDGET};
 use crate::checker::newest_byte;
@@ -17,7 +17,7 @@
     /// Index of the node it is connected to, and the connection with the node's number of SIGKILLs when it was opened.
     pub at: usize,
     pub kept: Option<(TcpStream, usize)>,
-    pub chance: Chance,
+    pub rng: Rng,
     pub name: String,
     pub requests_sent: usize,
 }
@@ -33,7 +33,7 @@
 impl Client<'_> {
     pub fn run(&mut self) {
         while Instant::now() < self.run.end {
-            thread::sleep(Duration::from_secs_f64(uniform(&mut self.chance, 0.02, 0.15)));
+            thread::sleep(Duration::from_secs_f64(uniform(&mut self.rng, 0.02, 0.15)));
             if !self.connect() {
                 continue;
             }
@@ -54,7 +54,7 @@
         if offered.is_empty() {
             return false;
         }
-        self.at = pick(&mut self.chance, &offered);
+        self.at = pick(&mut self.rng, &offered);
         let node = &self.run.nodes[self.at];
         let kills = node.kills();
         self.kept = TcpStream::connect_timeout(&node.addr, MAX_BUDGET).ok().map(|stream| (stream, kills));
@@ -66,15 +66,15 @@
         let Some((mut stream, kills)) = self.kept.take() else { return false };
         let node = &self.run.nodes[self.at];
         self.requests_sent += 1;
-        let class = if self.chance.draw() < 0.25 { "pay" } else { "look" };
-        let budget = Duration::from_millis(uniform(&mut self.chance, 700.0, 2000.0) as u64);
+        let class = if self.rng.draw() < 0.25 { "pay" } else { "look" };
+        let budget = Duration::from_millis(uniform(&mut self.rng, 700.0, 2000.0) as u64);
         let call = format!("{}-{class}-{}-{}", node.addr.ip(), self.name, self.requests_sent);
-        let length = if self.chance.draw() < 0.1 { 20_000 } else { 40 };
+        let length = if self.rng.draw() < 0.1 { 20_000 } else { 40 };
         let head = format!(
             "POST /{class} HTTP/1.1\r\nHost: b\r\nX-Call-Id: {call}\r\nX-Budget-Ms: {}\r\nContent-Length: {length}\r\n\r\n",
             budget.as_millis()
         );
-        let leaves = (self.chance.draw() < 0.05).then(|| uniform(&mut self.chance, 0.005, 0.3));
+        let leaves = (self.rng.draw() < 0.05).then(|| uniform(&mut self.rng, 0.005, 0.3));
         if stream.write_all([head.as_bytes(), &vec![b'x'; length]].concat().as_slice()).is_err() {
             return !is_new;
         }
--- a/crates/coveroute-node/tests/crowds/soak/fault_schedule.rs
+++ b/crates/coveroute-node/tests/crowds/soak/fault_schedule.rs
@@ -2,7 +2,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use coveroute::chance::Chance;
+use coveroute::random::Rng;
 
 use super::{pick, uniform, DURATION};
 use crate::fault_table::Call;
@@ -36,12 +36,12 @@
 ];
 
 /// Draws the windows in which system calls of one process fail. Windows of the same call are at least a second apart.
-fn windows(chance: &mut Chance) -> Vec<(f64, f64, Call, Fault)> {
+fn windows(rng: &mut Rng) -> Vec<(f64, f64, Call, Fault)> {
     let mut windows: Vec<(f64, f64, Call, Fault)> = Vec::new();
     for _ in 0..WINDOWS_PER_NODE {
-        let (call, fault) = pick(chance, &FAULTS);
-        let from = uniform(chance, 0.3, DURATION.as_secs_f64() - 1.5);
-        let to = from + uniform(chance, 0.05, MAX_FAULT_SECONDS);
+        let (call, fault) = pick(rng, &FAULTS);
+        let from = uniform(rng, 0.3, DURATION.as_secs_f64() - 1.5);
+        let to = from + uniform(rng, 0.05, MAX_FAULT_SECONDS);
         let apart =
             |other: &(f64, f64, Call, Fault)| other.2 != call || to + 1.0 < other.0 || other.1 + 1.0 < from;
         if windows.iter().all(apart) {
@@ -60,14 +60,14 @@
 }
 
 /// Draws the schedule of one node, ordered by time in seconds after the start.
-pub fn fault_schedule(chance: &mut Chance) -> Vec<(f64, FaultChange)> {
+pub fn fault_schedule(rng: &mut Rng) -> Vec<(f64, FaultChange)> {
     let mut fault_schedule = Vec::new();
-    for (from, to, call, fault) in windows(chance) {
+    for (from, to, call, fault) in windows(rng) {
         fault_schedule.extend([(from, FaultChange::Begin(call, fault)), (to, FaultChange::End(call))]);
     }
-    if chance.draw() < 0.5 {
-        let step = if chance.draw() < 0.5 { HOUR } else { -HOUR };
-        fault_schedule.push((uniform(chance, 0.0, 6.0), FaultChange::StepClock(step)));
+    if rng.draw() < 0.5 {
+        let step = if rng.draw() < 0.5 { HOUR } else { -HOUR };
+        fault_schedule.push((uniform(rng, 0.0, 6.0), FaultChange::StepClock(step)));
     }
     fault_schedule.sort_by(|a, b| a.0.total_cmp(&b.0));
     fault_schedule
--- a/crates/coveroute-node/tests/crowds/soak/mod.rs
+++ b/crates/coveroute-node/tests/crowds/soak/mod.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use coveroute::chance::Chance;
+use coveroute::random::Rng;
 
 use crate::checker::Checker;
 use crate::harness::{unused_addr, wait_until, NodeOptions, Process, Setup};
@@ -100,21 +100,21 @@
     SocketAddr::new(host.parse().expect("not a host address"), 9000)
 }
 
-fn chance(seed: u64, part: usize) -> Chance {
-    Chance::new(seed * 1000 + part as u64)
+fn rng(seed: u64, part: usize) -> Rng {
+    Rng::new(seed * 1000 + part as u64)
 }
 
-fn uniform(chance: &mut Chance, least: f64, most: f64) -> f64 {
-    least + (most - least) * chance.draw()
+fn uniform(rng: &mut Rng, least: f64, most: f64) -> f64 {
+    least + (most - least) * rng.draw()
 }
 
-fn pick<T: Copy>(chance: &mut Chance, of: &[T]) -> T {
-    of[(chance.draw() * of.len() as f64) as usize % of.len()]
+fn pick<T: Copy>(rng: &mut Rng, of: &[T]) -> T {
+    of[(rng.draw() * of.len() as f64) as usize % of.len()]
 }
 
 /// How a server responds to an attempt: derived from the request, so that a run can be repeated by its seed.
 fn behaviour(seed: u64, call: &str, number: usize) -> Behaviour {
-    let roll = coveroute::chance::hash(format!("{seed} {call} {number}").as_bytes()) % 100;
+    let roll = coveroute::random::hash(format!("{seed} {call} {number}").as_bytes()) % 100;
     match roll {
         0..=7 => Behaviour::Reject,
         8..=11 => Behaviour::Return(150),
@@ -167,25 +167,25 @@
         left: AtomicUsize::new(0),
         violations: Mutex::default(),
     };
-    let mut chance = chance(seed, NODES);
-    let (drains_at, removed_at) = (uniform(&mut chance, 0.5, 1.5), uniform(&mut chance, 2.0, 3.5));
-    let closes_watches = chance.draw() < 0.5;
+    let mut rng = rng(seed, NODES);
+    let (drains_at, removed_at) = (uniform(&mut rng, 0.5, 1.5), uniform(&mut rng, 2.0, 3.5));
+    let closes_watches = rng.draw() < 0.5;
     // In every fourth run, idle clients use up the connections of some nodes.
     let crowded = if seed.is_multiple_of(4) { 3 } else { 0 };
     let mut known = begun;
     thread::scope(|scope| {
         for (at, process) in processes.into_iter().enumerate() {
             let supervisor = Supervisor { run: &run, at, faults: &faults[at], list: list.addr, process };
-            let mut chance = self::chance(seed, at);
-            let (fault_schedule, signals) = (fault_schedule(&mut chance), signals(&mut chance));
+            let mut rng = self::rng(seed, at);
+            let (fault_schedule, signals) = (fault_schedule(&mut rng), signals(&mut rng));
             scope.spawn(move || supervisor.run(begun, signals));
             let faults = &faults[at];
             scope.spawn(move || apply_schedule(faults, begun, fault_schedule));
         }
         for at in 0..NODES * CLIENTS_PER_NODE {
-            let chance = self::chance(seed, NODES + 1 + at);
+            let rng = self::rng(seed, NODES + 1 + at);
             let mut client =
-                Client { run: &run, at: 0, kept: None, chance, name: format!("c{at}"), requests_sent: 0 };
+                Client { run: &run, at: 0, kept: None, rng, name: format!("c{at}"), requests_sent: 0 };
             scope.spawn(move || client.run());
         }
         let crowds: Vec<_> =
--- a/crates/coveroute-node/tests/crowds/soak/supervisor.rs
+++ b/crates/coveroute-node/tests/crowds/soak/supervisor.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use coveroute::chance::Chance;
+use coveroute::random::Rng;
 
 use super::{start, uniform, Run, State, KILL_AFTER, LOST_AFTER, MAX_BUDGET, READY};
 use crate::harness::{wait_until, Process};
@@ -18,9 +18,9 @@
 }
 
 /// Draws the actions on one node, ordered by time in seconds after the start.
-pub fn signals(chance: &mut Chance) -> Vec<(f64, Signal)> {
-    let at = uniform(chance, 1.0, 4.0);
-    match chance.draw() {
+pub fn signals(rng: &mut Rng) -> Vec<(f64, Signal)> {
+    let at = uniform(rng, 1.0, 4.0);
+    match rng.draw() {
         roll if roll < 0.2 => vec![(at, Signal::Stop)],
         roll if roll < 0.3 => vec![(at, Signal::Kill)],
         // Several in a row, as when several changes are rolled out.
--- a/src/list_calls.rs
+++ b/src/list_calls.rs
@@ -27,7 +27,7 @@
 const ROUND_GROWTH: f64 = 2.0;
 /// The same after refused first calls. Rounds of 6, 9, 13.5 and 18 s get all of 300 nodes through to a
 /// service of thirty calls per second within 23 s; constant rounds of 6 s never do, and doubled ones delay
-/// nodes that were refused by chance.
+/// nodes that were refused by rng.
 const ROUND_GROWTH_UNCONFIRMED: f64 = 1.5;
 
 /// Whether the call was refused by a service with too many callers, or waited in vain for one that may be up.
--- a/src/learnt.rs
+++ b/src/measurements.rs
@@ -8,7 +8,7 @@
 
 /// The measurements of a node.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learnt {
+pub struct Measurements {
     pub executors: Vec<(ExecutorIndex, Row)>,
     pub operations: Vec<(usize, Row)>,
     pub tenants: Vec<(usize, Row)>,
@@ -16,8 +16,8 @@
     pub node: Row,
     /// The times at which invocations arrived and further forwards were sent, as long as they count for
     /// `Budget`.
-    pub taken: Row,
-    pub further: Row,
+    pub arrivals: Row,
+    pub further_forwards: Row,
 }
 
 fn flag(value: bool) -> f64 {
@@ -93,16 +93,16 @@
 
 impl Node {
     /// Exports the measurements.
-    pub fn learnt(&self) -> Learnt {
+    pub fn export_measurements(&self) -> Measurements {
         let executors = self.executors.iter().filter(|t| !t.entry.started.is_nan());
         let stats_rows = |all: &[TrafficStats]| all.iter().map(TrafficStats::to_row).enumerate().collect();
-        Learnt {
+        Measurements {
             executors: executors.map(|t| (t.entry.tgt, t.to_row())).collect(),
             operations: stats_rows(&self.operation_stats),
             tenants: stats_rows(&self.tenant_stats),
             kinds: self.kind_stats.iter().map(MachineKindStats::to_row).enumerate().collect(),
-            taken: self.accepted.0.iter().copied().collect(),
-            further: self.further_sent.0.iter().copied().collect(),
+            arrivals: self.accepted.0.iter().copied().collect(),
+            further_forwards: self.further_sent.0.iter().copied().collect(),
             node: vec![
                 self.util,
                 self.trust_reference,
@@ -121,22 +121,23 @@
 
     /// Restores the measurements of another process of this node; the list of executors has to be applied
     /// before.
-    pub fn recall(&mut self, learnt: &Learnt) {
-        for (tgt, row) in &learnt.executors {
+    pub fn restore_measurements(&mut self, measurements: &Measurements) {
+        for (tgt, row) in &measurements.executors {
             self.executors.get_mut(*tgt).into_iter().for_each(|t| t.restore_row(row));
         }
-        for (at, row) in &learnt.operations {
+        for (at, row) in &measurements.operations {
             self.operation_stats.get_mut(*at).into_iter().for_each(|stats| stats.restore_row(row));
         }
-        for (at, row) in &learnt.tenants {
+        for (at, row) in &measurements.tenants {
             self.tenant_stats.get_mut(*at).into_iter().for_each(|stats| stats.restore_row(row));
         }
-        for (at, row) in &learnt.kinds {
+        for (at, row) in &measurements.kinds {
             self.kind_stats.get_mut(*at).into_iter().for_each(|stats| stats.restore_row(row));
         }
-        (self.accepted.0, self.further_sent.0) = (learnt.taken.clone().into(), learnt.further.clone().into());
+        (self.accepted.0, self.further_sent.0) =
+            (measurements.arrivals.clone().into(), measurements.further_forwards.clone().into());
         if let &[util, trust_reference, degraded_until, job_fault_rate, spill_probability, misleading_report_rate, price, typical_priority, price_raised_at, mean_value, phi] =
-            &learnt.node[..]
+            &measurements.node[..]
         {
             (self.util, self.trust_reference, self.degraded_until, self.job_fault_rate) =
                 (util, trust_reference, degraded_until, job_fault_rate);
@@ -148,7 +149,7 @@
 
     /// Sets the invocations per second that are within these tenants' shares at this node, in place of an
     /// equal part per node.
-    pub fn quotas(&mut self, quotas: &[(usize, f64)]) {
+    pub fn set_quotas(&mut self, quotas: &[(usize, f64)]) {
         let nodes = self.settings.nodes as f64;
         for (tenant, here) in quotas {
             self.settings.quotas.get_mut(*tenant).into_iter().for_each(|quota| *quota = here * nodes);
@@ -156,7 +157,7 @@
     }
 
     /// Sets this process's part of the load limit of cold executors and of the budget of further forwards.
-    pub fn share(&mut self, factor: f64, budget: Option<Budget>) {
+    pub fn set_process_share(&mut self, factor: f64, budget: Option<Budget>) {
         self.settings.cold.factor = factor;
         self.settings.budget = budget;
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,9 +1,9 @@
 //! The state of one node. The decision logic is in `policy` and the modules beside it.
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::chance::{mix, unit, Chance};
 use crate::list_calls::ListCalls;
 use crate::list_state::ListState;
+use crate::random::{mix, unit, Rng};
 use crate::sampler::{Index, RendezvousTree, Sampler, Subset, MAX_SCANNED};
 use crate::types::*;
 
@@ -11,7 +11,7 @@
 #[derive(Default)]
 pub struct Node {
     pub(crate) settings: Settings,
-    pub(crate) rng: Chance,
+    pub(crate) rng: Rng,
     pub(crate) executors: Vec<Executor>,
     /// Ready executors by share, the largest first. If zone crossings have a price, those of the own zone
     /// come first.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -12,7 +12,7 @@
 /// Recomputes the shares.
 const SOLVE_TIMER: u64 = 0;
 /// Retries the waiting queue.
-pub const LOOK: u64 = 1;
+pub const DISPATCH_TIMER: u64 = 1;
 /// Calls discovery for the list of executors.
 const LIST_CALL_TIMER: u64 = 2;
 
@@ -163,7 +163,7 @@
             Input::Expired(id) => self.transition(now, id, InvocationEvent::Finished, out),
             Input::Stopping(deadline) => self.begin_stop(deadline),
             Input::Timer(SOLVE_TIMER) => self.on_solve_timer(now, out),
-            Input::Timer(LOOK) => self.expire_waiting(now, out),
+            Input::Timer(DISPATCH_TIMER) => self.expire_waiting(now, out),
             Input::Timer(_) => out.extend(self.list_calls.is_scheduled().then_some(Output::WatchList)),
             Input::Probed { tgt, outcome, report } => self.on_probed(now, tgt, outcome, report, out),
             Input::PeerMessage { from, kind, tgt, count } => {
@@ -621,7 +621,7 @@
     fn update_price(&mut self, now: f64, late: Option<bool>, sent: f64) {
         // The price goes from half to twice the typical priority: refuses hardly any to all but the best.
         const PRICE_RAISE: f64 = 1.5;
-        // Chosen from 0.87 to 0.95, on random days of four fleets: a few late starts are no overload.
+        // A few late starts are no overload; 0.87 to 0.95 were compared on random days of four fleets.
         const PRICE_DECAY: f64 = 0.9;
         if late == Some(true) && sent > self.price_raised_at && !self.can_query_load() {
             (self.price, self.price_raised_at) = ((self.price * PRICE_RAISE).clamp(0.5, 2.0), now);
@@ -1014,7 +1014,7 @@
         }
         if (!self.awaiting_start.is_empty() || !self.waiting.is_empty()) && !self.dispatch_timer_set {
             self.dispatch_timer_set = true;
-            out.push(Output::SetTimer { after: DISPATCH_INTERVAL, timer: LOOK });
+            out.push(Output::SetTimer { after: DISPATCH_INTERVAL, timer: DISPATCH_TIMER });
         }
     }
 
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,8 +1,8 @@
 use std::collections::BTreeMap;
 
 use super::*;
-use crate::chance::Chance;
 use crate::list_calls::ListCalls;
+use crate::random::Rng;
 use test_case::test_case;
 
 const DEDUP_ALL: Effect = Effect::Deduplicated { group: Group::All, window: 2.0 };
@@ -538,8 +538,8 @@
 
 #[test]
 fn posterior_draws_still_allow_trials_of_bad_executors() {
-    let mut chance = Chance::new(3);
-    let mut share = |a, b| (0..4000).filter(|_| chance.beta(a, b) >= 0.5).count();
+    let mut rng = Rng::new(3);
+    let mut share = |a, b| (0..4000).filter(|_| rng.beta(a, b) >= 0.5).count();
     let (sound, even, bad) = (share(8, 1), share(3, 3), share(1, 7));
     assert!(sound > 3900 && (1800..2200).contains(&even) && (1..100).contains(&bad), "{sound} {even} {bad}");
 }
@@ -750,7 +750,7 @@
     let list = (0..many).map(|tgt| entry(tgt, Standing::Ready, started)).collect();
     node.handle(1.0, Input::List(List::Whole(list)), &mut out);
     node.handle(1.0, Input::Submitted(submission(3.0, 0)), &mut out);
-    (0..40).for_each(|i| node.handle(1.0 + 0.1 * f64::from(i), Input::Timer(LOOK), &mut out));
+    (0..40).for_each(|i| node.handle(1.0 + 0.1 * f64::from(i), Input::Timer(DISPATCH_TIMER), &mut out));
     assert!(out.contains(&Output::Throttle { id: ID, pause: 0.0 }) && node.invocations.is_empty(), "{out:?}");
 }
 
@@ -1164,8 +1164,7 @@
     // it.
     let order = |seed: u64, now: f64| {
         let mut node = node(Effect::Idempotent, 30);
-        (node.rng, node.settings.probing, node.settings.reports) =
-            (Chance::new(seed), true, Reports::Answers);
+        (node.rng, node.settings.probing, node.settings.reports) = (Rng::new(seed), true, Reports::Answers);
         node.executors.iter_mut().for_each(|t| {
             (t.entry.stable_id, t.share) = (t.entry.tgt as u32, 1.0 + (t.entry.tgt % 3) as f64)
         });
@@ -1261,7 +1260,7 @@
     for i in 1..30 {
         node.handle(
             1.0 + 0.1 * f64::from(i),
-            Input::Timer(if i % 2 == 0 { SOLVE_TIMER } else { LOOK }),
+            Input::Timer(if i % 2 == 0 { SOLVE_TIMER } else { DISPATCH_TIMER }),
             &mut out,
         );
     }
@@ -1270,7 +1269,7 @@
     node.handle(4.0, Input::Unacknowledged { id: ID, forward: 0 }, &mut out);
     assert_eq!((sent(&out), out.contains(&Output::Withdraw { id: ID, forward: 0 })), (1, true));
     out.extend(settle_forward(&mut node, 4.1, Outcome::Cancelled));
-    node.handle(4.1, Input::Timer(LOOK), &mut out);
+    node.handle(4.1, Input::Timer(DISPATCH_TIMER), &mut out);
     assert_eq!(sent(&out), 2);
 }
 
@@ -1355,7 +1354,7 @@
     node.handle(1.0, Input::Submitted(submission(9.0, 0)), &mut Vec::new());
     assert_eq!((node.accepted.0.len(), node.further_sent.0.len()), (2, 0));
     settle_forward(&mut node, 1.1, Outcome::Full);
-    node.handle(1.2, Input::Timer(LOOK), &mut Vec::new());
+    node.handle(1.2, Input::Timer(DISPATCH_TIMER), &mut Vec::new());
     assert_eq!((node.invocations[&ID].forwards.len(), node.further_sent.0.len()), (2, 1));
 }
 
@@ -1525,7 +1524,7 @@
     (node.settings.second_copies, node.never_started_rate, node.typical_priority) = (true, 0.9, -1.0);
     node.settings.budget = Some(Budget { floor: 1.0, share: 0.0, span: 5.0 });
     add_expected_start(&mut node, false);
-    node.handle(1.6, Input::Timer(LOOK), &mut Vec::new());
+    node.handle(1.6, Input::Timer(DISPATCH_TIMER), &mut Vec::new());
     assert_eq!(
         (node.invocations[&ID].forwards.len(), node.invocations[&ID].state),
         (2, InvocationState::InFlightUncertain)
@@ -1533,7 +1532,7 @@
     let out = settle_forward(&mut node, 1.8, Outcome::Succeeded);
     assert!(out.contains(&Output::Withdraw { id: ID, forward: 1 }), "{out:?}");
     add_expected_start(&mut node, false);
-    node.handle(2.6, Input::Timer(LOOK), &mut Vec::new());
+    node.handle(2.6, Input::Timer(DISPATCH_TIMER), &mut Vec::new());
     assert_eq!(node.invocations[&ID].forwards.len(), 1, "no budget is left");
 }
 
--- a/src/chance.rs
+++ b/src/random.rs
@@ -1,13 +1,13 @@
-//! Random numbers and hashes. `Chance` is the only source of random numbers, seeded by the caller.
+//! Random numbers and hashes. `Rng` is the only source of random numbers, seeded by the caller.
 
 /// Random number generator: multiply-with-carry (Marsaglia, lag 1, 32 bits).
 #[derive(Clone, Debug, Default)]
-pub struct Chance(u64);
+pub struct Rng(u64);
 
-impl Chance {
+impl Rng {
     /// Mixes the seed, as the first draws of consecutive seeds in a fleet would be almost equal otherwise.
     pub fn new(seed: u64) -> Self {
-        Chance((mix(seed ^ 0x9e37_79b9_7f4a_7c15) % 0x7fff_ffff_ffff) | 1)
+        Rng((mix(seed ^ 0x9e37_79b9_7f4a_7c15) % 0x7fff_ffff_ffff) | 1)
     }
 
     /// A uniform number in [0, 1).
--- a/src/adopt.rs
+++ b/src/reconfigure.rs
@@ -6,7 +6,7 @@
 
 /// A new entry of the operations (`to`), and the entry whose name it takes over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Moved {
+pub struct OperationMapping {
     pub from: Option<usize>,
     pub to: usize,
 }
@@ -14,10 +14,15 @@
 impl Node {
     /// Replaces the settings; jobs in progress keep their entries. `tenants`: the previous index of each
     /// tenant.
-    pub fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]) {
+    pub fn replace_settings(
+        &mut self,
+        settings: Settings,
+        mappings: &[OperationMapping],
+        tenants: &[Option<usize>],
+    ) {
         self.operation_stats
             .resize(self.operation_stats.len().max(settings.operations.len()), TrafficStats::default());
-        for &Moved { from, to } in moved {
+        for &OperationMapping { from, to } in mappings {
             self.operation_stats[to] = from.map_or(TrafficStats::default(), |from| {
                 let old = &mut self.operation_stats[from];
                 // New invocations use the new entry, which has seen no client timeout yet.
@@ -46,12 +51,12 @@
     }
 
     /// Whether a job, or a forward in flight, uses this entry of the operations.
-    pub fn has(&self, operation: usize) -> bool {
+    pub fn uses_operation(&self, operation: usize) -> bool {
         self.invocations.values().any(|invocation| invocation.op == operation)
     }
 
     /// The number of ready executors that draws exclude now because they are not trusted.
-    pub fn avoided(&self, now: f64) -> usize {
+    pub fn untrusted_count(&self, now: f64) -> usize {
         self.executors.iter().filter(|t| t.is_ready() && !t.is_trusted(now, self.degraded_until)).count()
     }
 }
--- a/src/notes.rs
+++ b/src/recording.rs
@@ -1,7 +1,7 @@
 //! Updates of a node's state from answers and load reports, and its initial state. `policy` decides by them.
-use crate::chance::Chance;
 use crate::node::Node;
 use crate::policy::{MAX_RACED_RATE, MAX_SUCCESSES};
+use crate::random::Rng;
 use crate::types::*;
 
 /// The fraction of remembered successes that a failure leaves, so that two failures in a row outweigh them.
@@ -28,8 +28,8 @@
 
 impl Record {
     /// Draws a success probability from the posterior.
-    pub(crate) fn draw_from_posterior(&self, chance: &mut Chance) -> f64 {
-        chance.beta(1 + self.successes.round() as usize, 1 + self.failures.round().min(12.0) as usize)
+    pub(crate) fn draw_from_posterior(&self, rng: &mut Rng) -> f64 {
+        rng.beta(1 + self.successes.round() as usize, 1 + self.failures.round().min(12.0) as usize)
     }
 
     /// Adds a failure of the given weight.
@@ -51,7 +51,7 @@
 
     pub fn new(set: Settings, seed: u64) -> Self {
         Node {
-            rng: Chance::new(seed),
+            rng: Rng::new(seed),
             operation_stats: vec![TrafficStats::default(); set.operations.len()],
             tenant_stats: vec![TrafficStats::default(); set.quotas.len()],
             peer_last_heard: vec![0.0; set.nodes.max(set.node_index + 1)],
--- a/src/sampler.rs
+++ b/src/sampler.rs
@@ -3,7 +3,7 @@
 //! docs/design/size.md compares the alternatives.
 use std::collections::BTreeMap;
 
-use crate::chance::{mix, sums, unit, Chance};
+use crate::random::{mix, sums, unit, Rng};
 use crate::types::*;
 
 /// Fleets up to this size are scanned whole; of a larger one, at most this many executors are scanned at a
@@ -44,12 +44,11 @@
     pub fn draw(
         &self,
         times: usize,
-        chance: &mut Chance,
+        rng: &mut Rng,
         from: usize,
         open: &impl Fn(&ExecutorIndex) -> bool,
     ) -> Vec<ExecutorIndex> {
-        let mut pick =
-            |sampler: &Sampler| sampler.members.get(chance.pick(&sampler.cumulative_shares)).copied();
+        let mut pick = |sampler: &Sampler| sampler.members.get(rng.pick(&sampler.cumulative_shares)).copied();
         let mut one = || (0..MAX_TRIES).filter_map(|_| pick(self)).find(open);
         let drawn: Vec<ExecutorIndex> =
             (0..if self.members.is_empty() { 0 } else { times }).filter_map(|_| one()).collect();
@@ -86,12 +85,12 @@
     }
 
     /// Appends a bounded number of them: all, or a random sample.
-    fn sample_into(&self, chance: &mut Chance, out: &mut Vec<ExecutorIndex>) {
+    fn sample_into(&self, rng: &mut Rng, out: &mut Vec<ExecutorIndex>) {
         let count = self.members.len();
         if count <= MAX_LISTED {
             return out.extend(&self.members);
         }
-        out.extend((0..MAX_LISTED).map(|_| self.members[(chance.draw() * count as f64) as usize]));
+        out.extend((0..MAX_LISTED).map(|_| self.members[(rng.draw() * count as f64) as usize]));
     }
 }
 
@@ -224,13 +223,13 @@
     /// with `reuse_only`, those that may have an idle connection.
     pub fn preferred_executors(
         &self,
-        chance: &mut Chance,
+        rng: &mut Rng,
         no_reports: bool,
         reuse_only: bool,
     ) -> Vec<ExecutorIndex> {
         let mut found = Vec::new();
         let lists = [(no_reports, &self.cold), (no_reports, &self.started_at_once), (reuse_only, &self.idle)];
-        lists.iter().filter(|list| list.0).for_each(|list| list.1.sample_into(chance, &mut found));
+        lists.iter().filter(|list| list.0).for_each(|list| list.1.sample_into(rng, &mut found));
         found.sort_unstable();
         found.dedup();
         found
--- a/src/sampler/tests.rs
+++ b/src/sampler/tests.rs
@@ -26,12 +26,12 @@
 #[test]
 fn draws_open_executors_by_share() {
     // Closed executors must not distort the shares of the others.
-    let (sampler, mut chance) = (sampler(12), Chance::new(3));
+    let (sampler, mut rng) = (sampler(12), Rng::new(3));
     let open = |i: &ExecutorIndex| i % 4 != 1;
     let mut counts = [0.0; 12];
     let draws = 24_000;
     for _ in 0..draws / 2 {
-        sampler.draw(2, &mut chance, 0, &open).into_iter().for_each(|i| counts[i] += 1.0);
+        sampler.draw(2, &mut rng, 0, &open).into_iter().for_each(|i| counts[i] += 1.0);
     }
     let sum: f64 = (0..12).filter(open).map(|i| (1 + i % 3) as f64).sum();
     let part = |i: usize| draws as f64 * (1 + i % 3) as f64 / sum;
@@ -50,19 +50,19 @@
     // Draws must find open executors if there are few, as after the loss of a zone, and must terminate.
     let (sampler, windows) = (sampler(many), many.div_ceil(MAX_SCANNED));
     for seed in 0..8 {
-        let (mut chance, examined) = (Chance::new(seed), Cell::new(0));
+        let (mut rng, examined) = (Rng::new(seed), Cell::new(0));
         let is_open = |i: &ExecutorIndex| {
             examined.set(examined.get() + 1);
             i % (many / open) == many / open - 1
         };
-        let draw = |at: usize| sampler.draw(2, &mut chance, 7 + at * MAX_SCANNED, &is_open);
+        let draw = |at: usize| sampler.draw(2, &mut rng, 7 + at * MAX_SCANNED, &is_open);
         let found: Vec<ExecutorIndex> = (0..windows).flat_map(draw).collect();
         assert!(examined.get() <= windows * (2 * MAX_TRIES + MAX_SCANNED), "{}", examined.get());
         assert!(!found.is_empty() && found.iter().all(is_open), "{found:?}");
     }
-    let (mut chance, none) = (Chance::new(3), Sampler::default());
-    assert!(sampler.draw(2, &mut chance, 0, &|_| false).is_empty(), "none open");
-    assert!(none.draw(1, &mut chance, 9, &|_| true).is_empty(), "no executors");
+    let (mut rng, none) = (Rng::new(3), Sampler::default());
+    assert!(sampler.draw(2, &mut rng, 0, &|_| false).is_empty(), "none open");
+    assert!(none.draw(1, &mut rng, 9, &|_| true).is_empty(), "no executors");
 }
 
 #[test]
@@ -97,7 +97,7 @@
     held: Vec<f64>,
     received: Vec<f64>,
     failed: usize,
-    chance: Chance,
+    rng: Rng,
     sent: BTreeMap<InvocationId, f64>,
     /// Executors examined outside solves.
     examined: usize,
@@ -126,7 +126,7 @@
             held,
             received,
             failed: 0,
-            chance: Chance::new(9),
+            rng: Rng::new(9),
             sent,
             examined: 0,
         };
@@ -158,7 +158,7 @@
                     self.received[tgt] += 1.0;
                     self.held[tgt] += 1.0;
                     self.sent.insert(id, now);
-                    let took = 0.05 * (0.05 * (self.chance.draw() + self.chance.draw() - 1.0) * 2.4).exp();
+                    let took = 0.05 * (0.05 * (self.rng.draw() + self.rng.draw() - 1.0) * 2.4).exp();
                     let report = self.report(tgt);
                     let (outcome, ended, forward) = (Outcome::Succeeded, true, 0);
                     self.schedule(now + 0.001, Input::Started { id, forward });
@@ -166,7 +166,7 @@
                     self.schedule(now + took, Input::Settled(settled));
                 }
                 Output::Probe(tgt) => {
-                    let (report, way) = (self.report(tgt), 0.0005 + 0.001 * self.chance.draw());
+                    let (report, way) = (self.report(tgt), 0.0005 + 0.001 * self.rng.draw());
                     self.schedule(now + way, Input::Probed { tgt, outcome: Outcome::Succeeded, report });
                 }
                 Output::SetTimer { after, timer } => self.schedule(now + after, Input::Timer(timer)),
--- a/src/parcel.rs
+++ b/src/transfer.rs
@@ -6,7 +6,7 @@
 impl Node {
     /// Removes the invocation without an answer or a message to executors; its forwards stay in flight and go
     /// with it.
-    pub fn part_with(&mut self, id: InvocationId) -> Option<Invocation> {
+    pub fn export_invocation(&mut self, id: InvocationId) -> Option<Invocation> {
         if self.invocations.get(&id).is_none_or(|invocation| invocation.state == InvocationState::Ended) {
             return None;
         }
@@ -23,7 +23,7 @@
     }
 
     /// Continues the invocation; its operation and executors are indexed as at this node.
-    pub fn take_in(&mut self, id: InvocationId, invocation: Invocation) {
+    pub fn import_invocation(&mut self, id: InvocationId, invocation: Invocation) {
         for forward in invocation.in_flight().map(|at| &invocation.forwards[at]) {
             self.executors.extend((self.executors.len()..=forward.tgt).map(Executor::unlisted));
             let t = &mut self.executors[forward.tgt];
@@ -42,7 +42,7 @@
     }
 
     /// Extends the operations; earlier entries must be unchanged.
-    pub fn extend(&mut self, operations: Vec<Operation>) {
+    pub fn extend_operations(&mut self, operations: Vec<Operation>) {
         self.operation_stats.resize_with(self.operation_stats.len().max(operations.len()), Default::default);
         self.settings.operations = operations;
     }
