--- a/crates/coveroute-emu/src/settings.rs
+++ b/crates/coveroute-emu/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings object and the configuration that a node gets for a scenario, the same for engines in
 //! virtual time and for processes.
-use coveroute_engine::{Listing, Setup, Tuning};
+use coveroute_engine::{Listing, ReloadedSettings, Setup};
 use coveroute_shared::decode;
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
@@ -101,7 +101,12 @@
 }
 
 /// The decoded settings for an engine.
-pub fn tuning(scenario: &Scenario, node: NodeId, zone: &str, alternate: bool) -> Result<Tuning, String> {
+pub fn tuning(
+    scenario: &Scenario,
+    node: NodeId,
+    zone: &str,
+    alternate: bool,
+) -> Result<ReloadedSettings, String> {
     let text = retuned(scenario, node, zone, alternate).to_string();
     let raw: Box<RawValue> = serde_json::from_str(&text).map_err(|e| e.to_string())?;
     let (settings, names) = decode(&raw)?;
@@ -109,7 +114,7 @@
     if alternate {
         timeouts.reverse();
     }
-    Ok(Tuning { settings, names, timeouts })
+    Ok(ReloadedSettings { settings, names, timeouts })
 }
 
 /// The initial setup of an engine.
@@ -120,7 +125,7 @@
     seed: u64,
     known: Listing,
 ) -> Result<Setup, String> {
-    let Tuning { settings, names, timeouts } = tuning(scenario, node, zone, false)?;
+    let ReloadedSettings { settings, names, timeouts } = tuning(scenario, node, zone, false)?;
     Ok(Setup { settings, names, seed, timeouts, known: Some(known), memory: None })
 }
 
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -11,7 +11,7 @@
     Budget, ExecutorIndex, InvocationId, Outcome as Ended, PeerMessageKind, Report, Settings,
 };
 use coveroute_engine::{
-    Action, Answer, Call, Decide, Engine, Event, Listing, News, Phase, Reply, Watched, Word as Heard,
+    Action, Answer, Call, Decide, Engine, Event, JobReport, JobStatus, Listing, Phase, Reply, WatchEvent,
 };
 use coveroute_shared::mark;
 
@@ -158,7 +158,7 @@
     },
     Watched {
         watch: u64,
-        watched: Watched,
+        watched: WatchEvent,
     },
     Heard {
         from: NodeId,
@@ -417,7 +417,7 @@
             Err(message) => return self.fault = Some(message),
         };
         let (decisions, mut actions) = (self.decisions(&setup), Vec::new());
-        let engine = Engine::deciding(CLOCK_BASE + now, decisions, setup, &mut actions);
+        let engine = Engine::with_decisions(CLOCK_BASE + now, decisions, setup, &mut actions);
         let (invocations, pending, connections, probes) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (process, wake) = (self.processes, f64::INFINITY);
@@ -482,13 +482,19 @@
                 self.notify(now, node, Event::Stop);
             }
             Order::Stop => {}
-            Order::Reload => self.notify(now, node, Event::Reread { tuning: None, moved: true }),
+            Order::Reload => {
+                self.notify(now, node, Event::Reloaded { settings: None, list_source_changed: true })
+            }
             Order::Retune => {
                 let world = &self.world;
                 let tuning = settings::tuning(&world.scenario, node, &world.nodes[node].zone, true);
-                self.notify(now, node, Event::NotReread); // The truncated file.
+                self.notify(now, node, Event::ReloadFailed); // The truncated file.
                 if let Ok(tuning) = tuning {
-                    self.notify(now, node, Event::Reread { tuning: Some(Box::new(tuning)), moved: false });
+                    self.notify(
+                        now,
+                        node,
+                        Event::Reloaded { settings: Some(Box::new(tuning)), list_source_changed: false },
+                    );
                 }
             }
             // Rejected before the run starts.
@@ -533,13 +539,13 @@
                 self.news(now, node, HostEvent::News { tri, worker, word, report, tries: 0 });
             }
             Output::Begun { node, watch, .. } => {
-                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Begun });
+                self.schedule(at, node, HostEvent::Watched { watch, watched: WatchEvent::Established });
             }
             Output::Listed { node, watch, listing } => {
-                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Listed(listing) });
+                self.schedule(at, node, HostEvent::Watched { watch, watched: WatchEvent::Listed(listing) });
             }
             Output::Lost { node, watch, loss } => {
-                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Lost(loss) });
+                self.schedule(at, node, HostEvent::Watched { watch, watched: WatchEvent::Lost(loss) });
             }
             Output::Node { node, order } => self.order(now, node, order),
         }
@@ -633,11 +639,11 @@
             }
             HostEvent::Follow { watch, version } => self.world.watch(now, node, watch, version, &mut outputs),
             HostEvent::Watched { watch, watched } => {
-                if let Watched::Listed(listing) = &watched {
+                if let WatchEvent::Listed(listing) = &watched {
                     self.world.listed(now, node, listing);
                 }
                 let watched = match watched {
-                    Watched::Listed(listing) => Watched::Listed(on_engine_clock(listing)),
+                    WatchEvent::Listed(listing) => WatchEvent::Listed(on_engine_clock(listing)),
                     other => other,
                 };
                 self.notify(now, node, Event::Watch(watch, watched));
@@ -683,7 +689,7 @@
             again: false,
             came: CLOCK_BASE + now,
         };
-        self.notify(now, node, Event::Taken(id, &new_call));
+        self.notify(now, node, Event::CallReceived(id, &new_call));
     }
 
     fn leave(&mut self, now: f64, node: NodeId, tri: TryId) {
@@ -691,7 +697,7 @@
         let id = host.invocations.iter().find(|(_, held)| **held == tri).map(|(id, _)| *id);
         if let Some(id) = id {
             host.invocations.remove(&id);
-            self.notify(now, node, Event::Left(id));
+            self.notify(now, node, Event::ClientDisconnected(id));
         }
     }
 
@@ -729,7 +735,7 @@
         let pending = self.hosts[node].as_ref().and_then(|host| host.pending.get(&(tri, worker))).copied();
         let Some(pending) = pending.filter(|pending| pending.forward == forward) else { return };
         if !last {
-            return self.notify(now, node, Event::Replied(pending.id, forward, Reply::Unheard));
+            return self.notify(now, node, Event::Replied(pending.id, forward, Reply::NotAcknowledged));
         }
         self.schedule(now + self.world.scenario.network.latency.0, node, HostEvent::GiveUp { tri, worker });
         let reply = Reply::Ended(Ended::TimedOut, Report::default());
@@ -747,16 +753,16 @@
     ) {
         let done = call(self.world.seed, tri);
         let update = match word {
-            JobUpdate::Started | JobUpdate::Running => Heard::Alive,
-            JobUpdate::Done => Heard::Succeeded(Bytes::copy_from_slice(done.as_bytes())),
-            JobUpdate::Returned => Heard::Ended(Ended::Full),
-            JobUpdate::Lost => Heard::Ended(Ended::Reset),
+            JobUpdate::Started | JobUpdate::Running => JobStatus::Running,
+            JobUpdate::Done => JobStatus::Succeeded(Bytes::copy_from_slice(done.as_bytes())),
+            JobUpdate::Returned => JobStatus::Ended(Ended::Full),
+            JobUpdate::Lost => JobStatus::Ended(Ended::Reset),
         };
-        if let Heard::Ended(outcome) = update {
+        if let JobStatus::Ended(outcome) = update {
             self.world.outcome(now, tri, worker, outcome.never_ran());
         }
-        let news = News { call: done, from: name(worker), word: update, report };
-        self.notify(now, node, Event::News(news));
+        let report = JobReport { call: done, from: name(worker), status: update, report };
+        self.notify(now, node, Event::JobReport(report));
     }
 
     fn probe(&mut self, now: f64, node: NodeId, worker: WorkerId, tgt: ExecutorIndex, asked: u64) {
@@ -835,7 +841,7 @@
             Action::Abort { id, forward } => self.abort(now, node, id, forward),
             // A connection takes two one-way latencies here, far less than any grace period.
             Action::Recall { .. } => {}
-            Action::GiveUp { tgt, call } => {
+            Action::Cancel { tgt, call } => {
                 let (worker, tri) = (self.worker(node, tgt), tri_of(&call));
                 if let Some((worker, tri)) = worker.zip(tri) {
                     self.world.invariants.given_up(now, tri, worker);
@@ -850,13 +856,13 @@
                     worker.and_then(|worker| self.hosts[node].as_mut()?.connections.get_mut(&worker));
                 connections.into_iter().for_each(|connections| connections.open = connections.in_use);
             }
-            Action::At(..) => {}
-            Action::Gone(tgt) => {
+            Action::SetAddress(..) => {}
+            Action::RemoveExecutor(tgt) => {
                 let worker = self.worker(node, tgt);
                 let host = self.hosts[node].as_mut();
                 worker.zip(host).map(|(worker, host)| host.connections.remove(&worker));
             }
-            Action::Follow { watch, version } => {
+            Action::WatchList { watch, version } => {
                 self.schedule(now + latency, node, HostEvent::Follow { watch, version })
             }
             Action::SendToPeer { to, kind: told, mark, count } => {
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -1,6 +1,7 @@
 //! The engine: takes each event together with its time and returns the actions that the host has to carry out, in
 //! order.
 use std::collections::BTreeSet;
+use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -29,7 +30,7 @@
 
 /// The part of a reloaded configuration that concerns decisions.
 #[derive(Clone, Debug)]
-pub struct Tuning {
+pub struct ReloadedSettings {
     pub settings: Settings,
     pub names: Names,
     /// Client timeout of each operation, in seconds.
@@ -53,16 +54,16 @@
 #[derive(Debug)]
 pub enum Event<'a> {
     /// A front has read a call.
-    Taken(InvocationId, &'a Call),
+    CallReceived(InvocationId, &'a Call),
     /// The client has disconnected.
-    Left(InvocationId),
+    ClientDisconnected(InvocationId),
     /// The executor's first response to a forward, or its absence.
     Replied(InvocationId, usize, Reply),
     /// An executor reports on a job that it has taken.
-    News(News),
+    JobReport(JobReport),
     Probed(ExecutorIndex, Outcome, Report),
     /// An event of the watch with this number on the list of executors.
-    Watch(u64, Watched),
+    Watch(u64, WatchEvent),
     /// Another node, given by its number, sent a message about the executor with this mark.
     PeerMessage {
         from: usize,
@@ -72,66 +73,93 @@
     },
     /// A valid configuration was reloaded: its settings, if they apply, and whether the list now has another
     /// source.
-    Reread {
-        tuning: Option<Box<Tuning>>,
-        moved: bool,
+    Reloaded {
+        settings: Option<Box<ReloadedSettings>>,
+        list_source_changed: bool,
     },
     /// The reloaded configuration is invalid; the current one stays in force.
-    NotReread,
+    ReloadFailed,
     /// This process's share of the cold executors' capacity while another process of this node runs.
-    Part(f64),
+    CapacityShare(f64),
     /// This node's current part of the tenants' fleet-wide quotas: invocations per second, by tenant name.
     Quotas(Vec<(String, f64)>),
     /// A front has ended a job of this operation that never reached the engine.
-    Ended(&'a str, Verdict),
+    AnsweredByFront(&'a str, Verdict),
     /// The platform requests a stop.
     Stop,
     /// All open jobs have moved to another process, so there is nothing left to wait for.
-    Relieved,
+    JobsHandedOver,
     /// No request is open: every answer has been written.
     Idle,
 }
 
 /// Progress of a forward, as its connection to the executor shows it.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, PartialEq)]
 pub enum Reply {
     /// The last byte of the request has been written.
     Written,
     /// The executor has accepted the job and will report its result later.
     Taken,
     /// The executor has not accepted the job in time; it still may.
-    Unheard,
+    NotAcknowledged,
     Ended(Outcome, Report),
     /// The executor rejected the request as invalid, with this status of the protocol.
-    Unfit(u16, Report),
+    Rejected(u16, Report),
     /// The job ran and returned this result.
     Succeeded(Bytes, Report),
 }
 
+/// Recorded runs of the emulator contain this text, so it keeps the variants' former names.
+impl fmt::Debug for Reply {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Reply::Written => f.write_str("Written"),
+            Reply::Taken => f.write_str("Taken"),
+            Reply::NotAcknowledged => f.write_str("Unheard"),
+            Reply::Ended(outcome, report) => f.debug_tuple("Ended").field(outcome).field(report).finish(),
+            Reply::Rejected(status, report) => f.debug_tuple("Unfit").field(status).field(report).finish(),
+            Reply::Succeeded(result, report) => {
+                f.debug_tuple("Succeeded").field(result).field(report).finish()
+            }
+        }
+    }
+}
+
 /// An event of a watch on the list of executors.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Watched {
+#[derive(Clone, PartialEq)]
+pub enum WatchEvent {
     /// The watch is established, and all earlier changes have been delivered.
-    Begun,
+    Established,
     Listed(Listing),
     Lost(Loss),
 }
 
+/// Recorded runs of the emulator contain this text, so it keeps the variants' former names.
+impl fmt::Debug for WatchEvent {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            WatchEvent::Established => f.write_str("Begun"),
+            WatchEvent::Listed(listing) => f.debug_tuple("Listed").field(listing).finish(),
+            WatchEvent::Lost(loss) => f.debug_tuple("Lost").field(loss).finish(),
+        }
+    }
+}
+
 /// The content of an executor's report on a job.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum JobStatus {
     /// The job has started or is still running.
-    Alive,
+    Running,
     Succeeded(Bytes),
     Ended(Outcome),
 }
 
 /// An executor's report on a job that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct JobReport {
     pub call: String,
     pub from: String,
-    pub word: Word,
+    pub status: JobStatus,
     pub report: Report,
 }
 
@@ -158,7 +186,7 @@
         forward: usize,
     },
     /// Tell the executor to cancel a job that it has accepted.
-    GiveUp {
+    Cancel {
         tgt: ExecutorIndex,
         call: Arc<str>,
     },
@@ -170,11 +198,11 @@
     /// Close the idle connections to the executor.
     Release(ExecutorIndex),
     /// The executor listens at this address. If the address is new, connections to the old one are dropped.
-    At(ExecutorIndex, SocketAddr),
+    SetAddress(ExecutorIndex, SocketAddr),
     /// The executor has left the list.
-    Gone(ExecutorIndex),
+    RemoveExecutor(ExecutorIndex),
     /// Start a watch with this number on the list, from after this version; any earlier watch is dropped.
-    Follow {
+    WatchList {
         watch: u64,
         version: u64,
     },
@@ -199,7 +227,7 @@
 }
 
 /// The watch number of a list that was pushed to the node without a watch.
-pub const UNASKED: u64 = 0;
+pub const NO_WATCH: u64 = 0;
 /// Delay in seconds before a lost watch on a pushed list is started again. The agent that keeps such a list belongs to this
 /// node, and what it holds counts as delivered. The delay is a few round trips, enough for a call to fail by itself, and
 /// well below the shortest drain grace period observed (0.1 s).
@@ -264,13 +292,13 @@
 impl Engine<Node> {
     pub fn new(now: f64, setup: Setup, out: &mut Vec<Action>) -> Self {
         let node = Node::new(setup.settings.clone(), setup.seed);
-        Engine::deciding(now, node, setup, out)
+        Engine::with_decisions(now, node, setup, out)
     }
 }
 
 impl<D: Decide> Engine<D> {
     /// Creates an engine with the given implementation of the decisions.
-    pub fn deciding(now: f64, decide: D, mut setup: Setup, out: &mut Vec<Action>) -> Self {
+    pub fn with_decisions(now: f64, decide: D, mut setup: Setup, out: &mut Vec<Action>) -> Self {
         let names = std::mem::take(&mut setup.names.operations);
         let mut engine = Engine {
             timers: Timers::new(),
@@ -385,7 +413,7 @@
 
     /// Removes a job so that another process can continue it, without answering the client or notifying executors.
     /// Returns `None` while a forward is unacknowledged, because its connection belongs to this process.
-    pub fn part_with(&mut self, id: InvocationId) -> Option<Parcel> {
+    pub fn hand_over_job(&mut self, id: InvocationId) -> Option<Parcel> {
         let record = self.records.get(id).filter(|record| record.unanswered)?;
         if record.forwards.iter().any(|forward| forward.stage == Stage::Sending) {
             return None;
@@ -409,7 +437,7 @@
     }
 
     /// Continues a job of another process, under an id of this one.
-    pub fn take_in(&mut self, now: f64, id: InvocationId, parcel: Parcel, out: &mut Vec<Action>) {
+    pub fn take_over_job(&mut self, now: f64, id: InvocationId, parcel: Parcel, out: &mut Vec<Action>) {
         let Parcel { call, operation, mut entry, timeout, kind, end, mut invocation, forwards } = parcel;
         entry.kind = kind.map(|kind| self.fleet.kind_number(&kind));
         let known = self.entries.len();
@@ -445,10 +473,10 @@
 
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Taken(id, call) => self.accept_call(now, id, call, out),
-            Event::Left(id) => self.client_left(now, id, out),
+            Event::CallReceived(id, call) => self.accept_call(now, id, call, out),
+            Event::ClientDisconnected(id) => self.client_left(now, id, out),
             Event::Replied(id, forward, reply) => self.handle_reply(now, id, forward, reply, out),
-            Event::News(news) => self.handle_report(now, news, out),
+            Event::JobReport(report) => self.handle_report(now, report, out),
             Event::Probed(tgt, outcome, report) => self.queue.push(Input::Probed { tgt, outcome, report }),
             Event::Watch(number, watched) => self.handle_watch(now, number, watched, out),
             Event::PeerMessage { from, kind, mark, count } => {
@@ -456,8 +484,10 @@
                 let input = tgt.map(|tgt| Input::PeerMessage { from, kind, tgt, count });
                 input.into_iter().for_each(|input| self.queue.push(input));
             }
-            Event::Reread { tuning, moved } => self.reload(now, tuning, moved, out),
-            Event::Part(part) => {
+            Event::Reloaded { settings, list_source_changed } => {
+                self.reload(now, settings, list_source_changed, out)
+            }
+            Event::CapacityShare(part) => {
                 self.process_share = part;
                 let budget = self.process_budget();
                 self.queue.decide_mut().set_process_share(part * self.cold_factor, budget);
@@ -468,10 +498,10 @@
                 let quotas: Vec<(usize, f64)> = quotas.into_iter().filter_map(at).collect();
                 self.queue.decide_mut().set_quotas(&quotas);
             }
-            Event::NotReread => self.counts.rejected += 1,
-            Event::Ended(operation, verdict) => self.counts.count(operation, verdict),
+            Event::ReloadFailed => self.counts.rejected += 1,
+            Event::AnsweredByFront(operation, verdict) => self.counts.count(operation, verdict),
             Event::Stop => self.stop(now),
-            Event::Relieved => {
+            Event::JobsHandedOver => {
                 self.step(Step::FrontNotified);
                 self.exit_from = now;
             }
@@ -562,26 +592,26 @@
         self.discovery_heard = Some([self.discovery_heard.map_or(now, |[first, _]| first), now]);
     }
 
-    fn handle_watch(&mut self, now: f64, number: u64, watched: Watched, out: &mut Vec<Action>) {
-        if !matches!(watched, Watched::Lost(_)) && (number == UNASKED || number == self.watch) {
+    fn handle_watch(&mut self, now: f64, number: u64, watched: WatchEvent, out: &mut Vec<Action>) {
+        if !matches!(watched, WatchEvent::Lost(_)) && (number == NO_WATCH || number == self.watch) {
             self.record_discovery_contact(now);
         }
         match watched {
             // A push older than what the watch has delivered is ignored: jobs would go to executors that are draining by now.
-            Watched::Listed(listing) if number == UNASKED => {
+            WatchEvent::Listed(listing) if number == NO_WATCH => {
                 if !self.followed || listing.version >= self.version {
                     self.apply_current_list(now, &listing, out);
                 }
             }
             _ if number != self.watch => {}
-            Watched::Listed(listing) => self.apply_current_list(now, &listing, out),
-            Watched::Begun => {
+            WatchEvent::Listed(listing) => self.apply_current_list(now, &listing, out),
+            WatchEvent::Established => {
                 self.followed = true;
                 self.step(Step::ListFollowed);
                 self.become_ready_if_listed();
                 self.queue.push(Input::List(List::Changes(Vec::new())));
             }
-            Watched::Lost(loss) => {
+            WatchEvent::Lost(loss) => {
                 self.followed = false;
                 match self.list_pushed {
                     true => self.timers.schedule(now + PUSHED_LIST_RETRY_DELAY, Timer::Follow(number)),
@@ -607,7 +637,7 @@
     fn follow(&mut self, out: &mut Vec<Action>) {
         self.followed = false;
         self.watch += 1;
-        out.push(Action::Follow { watch: self.watch, version: self.version });
+        out.push(Action::WatchList { watch: self.watch, version: self.version });
     }
 
     pub(crate) fn accept_call(&mut self, now: f64, id: InvocationId, call: &Call, out: &mut Vec<Action>) {
@@ -717,11 +747,11 @@
     ) {
         match reply {
             Reply::Ended(outcome, report) => self.settle_forward(now, id, forward, outcome, report),
-            Reply::Unheard => {
+            Reply::NotAcknowledged => {
                 debug!("forward {forward} of {id} is not acknowledged");
                 self.queue.push(Input::Unacknowledged { id, forward });
             }
-            Reply::Unfit(status, report) => {
+            Reply::Rejected(status, report) => {
                 // Every other executor would reject it too, and each rejection would count against that executor.
                 info!("invocation {id} was rejected by its executor with status {status}");
                 self.send_final_answer(id, Answer::Unfit(Unfit::TurnedAway(status)), out);
@@ -759,29 +789,31 @@
         self.records.remove_if_finished(id);
     }
 
-    fn handle_report(&mut self, now: f64, news: News, out: &mut Vec<Action>) {
-        let tgt = self.fleet.known(&news.from);
-        let Some((id, forward)) = tgt.and_then(|tgt| self.records.find(&news.call, tgt)) else {
-            return debug!("report on call {} from {} matches no forward", news.call, news.from);
+    fn handle_report(&mut self, now: f64, job_report: JobReport, out: &mut Vec<Action>) {
+        let tgt = self.fleet.known(&job_report.from);
+        let Some((id, forward)) = tgt.and_then(|tgt| self.records.find(&job_report.call, tgt)) else {
+            return debug!("report on call {} from {} matches no forward", job_report.call, job_report.from);
         };
-        match news.word {
-            Word::Ended(Outcome::Full) if self.records.has_earlier_return(id, forward) => {
+        match job_report.status {
+            JobStatus::Ended(Outcome::Full) if self.records.has_earlier_return(id, forward) => {
                 // Prevents a second effect: a repeated return of an earlier forward to this executor would be taken
                 // as proof that the current one never ran.
-                debug!("call {} returned again by {}", news.call, news.from);
+                debug!("call {} returned again by {}", job_report.call, job_report.from);
             }
-            Word::Alive => {
+            JobStatus::Running => {
                 // The report may arrive before the executor's acknowledgement.
                 self.handle_reply(now, id, forward, Reply::Taken, out);
                 self.queue.push(Input::Started { id, forward });
             }
-            Word::Ended(outcome) => {
-                self.settle_forward(now, id, forward, outcome, news.report);
+            JobStatus::Ended(outcome) => {
+                self.settle_forward(now, id, forward, outcome, job_report.report);
                 if outcome == Outcome::Full {
                     self.records.mark_returned(id, forward);
                 }
             }
-            Word::Succeeded(result) => self.handle_success(now, id, forward, result, news.report, out),
+            JobStatus::Succeeded(result) => {
+                self.handle_success(now, id, forward, result, job_report.report, out)
+            }
         }
     }
 
@@ -812,7 +844,7 @@
             Stage::Sending => out.push(Action::Abort { id, forward }),
             Stage::Taken if self.cancelling => {
                 let call = record.call.clone();
-                out.push(Action::GiveUp { tgt, call });
+                out.push(Action::Cancel { tgt, call });
             }
             Stage::Taken | Stage::Returned | Stage::Ended => {}
         }
@@ -843,7 +875,9 @@
         let drains =
             entries.iter().filter(|entry| entry.standing == Standing::Draining).map(|entry| entry.tgt);
         let gone =
-            changes.iter().filter_map(|to| if let AddressChange::Gone(tgt) = to { Some(*tgt) } else { None });
+            changes
+                .iter()
+                .filter_map(|to| if let AddressChange::Removed(tgt) = to { Some(*tgt) } else { None });
         let closed: Vec<ExecutorIndex> = drains.chain(gone).collect();
         let recalls = self
             .records
@@ -852,30 +886,36 @@
             .map(|(id, forward)| Action::Recall { id, forward });
         out.extend(recalls);
         out.extend(changes.into_iter().map(|to| match to {
-            AddressChange::At(tgt, addr) => Action::At(tgt, addr),
-            AddressChange::Gone(tgt) => Action::Gone(tgt),
+            AddressChange::Set(tgt, addr) => Action::SetAddress(tgt, addr),
+            AddressChange::Removed(tgt) => Action::RemoveExecutor(tgt),
         }));
         self.queue.push(Input::List(list(listing, entries)));
     }
 
     /// Applies a reloaded configuration in one step; requests, connections and learned state stay. A stopping node ignores it.
-    fn reload(&mut self, now: f64, tuning: Option<Box<Tuning>>, moved: bool, out: &mut Vec<Action>) {
+    fn reload(
+        &mut self,
+        now: f64,
+        settings: Option<Box<ReloadedSettings>>,
+        list_source_changed: bool,
+        out: &mut Vec<Action>,
+    ) {
         if !self.phase.takes_settings() {
             self.counts.rejected += 1;
             return info!("not reloaded: the node is about to stop");
         }
         self.counts.applied += 1;
-        tuning.into_iter().for_each(|tuning| self.apply_settings(now, *tuning));
+        settings.into_iter().for_each(|settings| self.apply_settings(now, *settings));
         // The old discovery service may close at any moment, so the node must not stay on its list. The new service
         // may number versions differently, so the whole list is requested.
-        if moved && self.step(Step::Reload) {
+        if list_source_changed && self.step(Step::Reload) {
             self.version = 0;
             self.follow(out);
         }
     }
 
-    fn apply_settings(&mut self, now: f64, tuning: Tuning) {
-        let Tuning { mut settings, mut names, timeouts } = tuning;
+    fn apply_settings(&mut self, now: f64, reloaded: ReloadedSettings) {
+        let ReloadedSettings { mut settings, mut names, timeouts } = reloaded;
         let operations = std::mem::take(&mut names.operations);
         let old = &self.fleet.names().tenants;
         let tenants: Vec<_> =
--- a/crates/coveroute-engine/src/lib.rs
+++ b/crates/coveroute-engine/src/lib.rs
@@ -20,7 +20,9 @@
 pub use answer::{Answer, Unfit};
 pub use counts::{Figures, ListFigures, Tally, Verdict};
 pub use decide::Decide;
-pub use engine::{Action, Engine, Event, News, Reply, Setup, Tuning, Watched, Word, UNASKED};
+pub use engine::{
+    Action, Engine, Event, JobReport, JobStatus, ReloadedSettings, Reply, Setup, WatchEvent, NO_WATCH,
+};
 pub use list::{Host, Listing};
 pub use memory::Memory;
 pub use parcel::Parcel;
--- a/crates/coveroute-engine/src/list.rs
+++ b/crates/coveroute-engine/src/list.rs
@@ -46,8 +46,8 @@
 /// A change to the address of an executor.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AddressChange {
-    At(ExecutorIndex, SocketAddr),
-    Gone(ExecutorIndex),
+    Set(ExecutorIndex, SocketAddr),
+    Removed(ExecutorIndex),
 }
 
 /// The executors that the node knows.
@@ -194,7 +194,7 @@
             self.addrs.resize(tgt + 1, None);
         }
         if self.addrs[tgt].replace(addr) != Some(addr) {
-            changes.push(AddressChange::At(tgt, addr));
+            changes.push(AddressChange::Set(tgt, addr));
         }
     }
 
@@ -206,7 +206,7 @@
         }
         self.addrs.iter_mut().skip(tgt).take(1).for_each(|addr| *addr = None);
         self.gone.insert(tgt, now);
-        changes.push(AddressChange::Gone(tgt));
+        changes.push(AddressChange::Removed(tgt));
     }
 
     /// Releases the numbers of executors that were removed long ago, so that memory does not grow without bound where
--- a/crates/coveroute-engine/src/operations.rs
+++ b/crates/coveroute-engine/src/operations.rs
@@ -99,7 +99,7 @@
                 entry.state = EntryState::Removed(now + entry.timeout);
             }
         }
-        let mut moved = Vec::new();
+        let mut mappings = Vec::new();
         for ((name, timeout, operation), from) in new.into_iter().zip(before) {
             if let Some(at) = from.filter(|&at| held[at] == operation && self.entries[at].timeout == timeout)
             {
@@ -116,9 +116,9 @@
             } else {
                 (self.entries[to], held[to]) = (entry, operation);
             }
-            moved.push(OperationMapping { from, to });
+            mappings.push(OperationMapping { from, to });
         }
-        moved
+        mappings
     }
 
     /// An entry with exactly this name and content, for a job that comes from another process: an existing one, or a
--- a/crates/coveroute-engine/src/tests.rs
+++ b/crates/coveroute-engine/src/tests.rs
@@ -41,7 +41,7 @@
 /// An engine with an established watch on a list of two executors, and its actions at the start.
 fn engine() -> (Engine, Vec<Action>) {
     let (mut engine, out) = started();
-    engine.handle(NOW, Event::Watch(1, Watched::Begun), &mut Vec::new());
+    engine.handle(NOW, Event::Watch(1, WatchEvent::Established), &mut Vec::new());
     (engine, out)
 }
 
@@ -110,20 +110,25 @@
     engine.records.get(ID).map(|record| record.forwards.iter().map(|forward| forward.stage).collect())
 }
 
-fn report(from: ExecutorIndex, word: Word) -> Event<'static> {
-    Event::News(News { call: CALL.into(), from: format!("s-{from}"), word, report: Report::default() })
+fn report(from: ExecutorIndex, status: JobStatus) -> Event<'static> {
+    Event::JobReport(JobReport {
+        call: CALL.into(),
+        from: format!("s-{from}"),
+        status,
+        report: Report::default(),
+    })
 }
 
-fn done() -> Word {
-    Word::Succeeded("r".into())
+fn done() -> JobStatus {
+    JobStatus::Succeeded("r".into())
 }
 
 const SENDING: (ExecutorIndex, Stage) = (0, Stage::Sending);
 const TAKEN: (ExecutorIndex, Stage) = (0, Stage::Taken);
 const ENDED: (ExecutorIndex, Stage) = (0, Stage::Ended);
 const RETURNED: (ExecutorIndex, Stage) = (0, Stage::Returned);
-const FULL: Word = Word::Ended(Outcome::Full);
-const FAILED: Word = Word::Ended(Outcome::Errored);
+const FULL: JobStatus = JobStatus::Ended(Outcome::Full);
+const FAILED: JobStatus = JobStatus::Ended(Outcome::Errored);
 
 // Each kind of report, whether it answers the client, and the stages of the forwards afterwards.
 #[test_case(&[TAKEN], 0, done(), true, None; "done")]
@@ -131,8 +136,8 @@
 #[test_case(&[ENDED, (1, Stage::Taken)], 0, done(), true, Some(&[ENDED.1, TAKEN.1]); "done by a forward that had ended")]
 #[test_case(&[TAKEN], 1, done(), false, Some(&[TAKEN.1]); "done by an executor without a forward")]
 #[test_case(&[TAKEN], 9, done(), false, Some(&[TAKEN.1]); "done by an unknown executor")]
-#[test_case(&[TAKEN], 0, Word::Alive, false, Some(&[TAKEN.1]); "progress")]
-#[test_case(&[SENDING], 0, Word::Alive, false, Some(&[TAKEN.1]); "progress before the acknowledgement")]
+#[test_case(&[TAKEN], 0, JobStatus::Running, false, Some(&[TAKEN.1]); "progress")]
+#[test_case(&[SENDING], 0, JobStatus::Running, false, Some(&[TAKEN.1]); "progress before the acknowledgement")]
 #[test_case(&[TAKEN], 0, FAILED, false, Some(&[ENDED.1]); "failed")]
 #[test_case(&[TAKEN], 0, FULL, false, Some(&[RETURNED.1]); "returned")]
 #[test_case(&[RETURNED, TAKEN], 0, FULL, false, Some(&[RETURNED.1, TAKEN.1]); "returned, reported again later")]
@@ -140,12 +145,12 @@
 fn reports_are_applied_once(
     forwards: &[(ExecutorIndex, Stage)],
     from: ExecutorIndex,
-    word: Word,
+    status: JobStatus,
     answered: bool,
     left: Option<&[Stage]>,
 ) {
     let mut engine = with_forwards("look", forwards);
-    let out = handle(&mut engine, NOW, report(from, word));
+    let out = handle(&mut engine, NOW, report(from, status));
     assert_eq!(!answers(&out).is_empty(), answered);
     assert_eq!(stages(&mut engine).as_deref(), left);
 }
@@ -154,7 +159,7 @@
 fn a_repeated_result_answers_once() {
     let mut engine = with_forwards("look", &[TAKEN]);
     let first = handle(&mut engine, NOW, report(0, done()));
-    let second = handle(&mut engine, NOW, report(0, Word::Succeeded("other".into())));
+    let second = handle(&mut engine, NOW, report(0, JobStatus::Succeeded("other".into())));
     assert_eq!((answers(&first), answers(&second).len()), (vec![&Answer::Succeeded("r".into())], 0));
     assert_eq!(engine.held(), 0, "the record has ended");
 }
@@ -174,7 +179,7 @@
 #[test]
 fn a_rejection_as_invalid_is_passed_to_the_client() {
     let mut engine = with_forwards("look", &[SENDING]);
-    let out = handle(&mut engine, NOW, Event::Replied(ID, 0, Reply::Unfit(400, Report::default())));
+    let out = handle(&mut engine, NOW, Event::Replied(ID, 0, Reply::Rejected(400, Report::default())));
     assert_eq!(answers(&out), [&Answer::Unfit(Unfit::TurnedAway(400))]);
     assert_eq!(engine.held(), 0, "it is not tried elsewhere");
 }
@@ -186,7 +191,7 @@
     if ended {
         handle(&mut engine, NOW, report(0, done()));
     }
-    let out = handle(&mut engine, NOW, Event::Taken(ID + 1, &call(CALL, "look", 5.0)));
+    let out = handle(&mut engine, NOW, Event::CallReceived(ID + 1, &call(CALL, "look", 5.0)));
     assert_eq!(answers(&out), [&Answer::Unfit(Unfit::Again)]);
     assert_eq!(engine.held(), usize::from(!ended), "the first one continues");
 }
@@ -196,7 +201,7 @@
     let mut engine = with_forwards("look", &[TAKEN]);
     handle(&mut engine, NOW, report(0, done()));
     for id in 0..9000 {
-        handle(&mut engine, NOW, Event::Taken(ID + 2 + id, &call(&id.to_string(), "pay", 5.0)));
+        handle(&mut engine, NOW, Event::CallReceived(ID + 2 + id, &call(&id.to_string(), "pay", 5.0)));
         engine.answer(ID + 2 + id, Answer::Errored, &mut Vec::new());
     }
     assert!(!engine.records.knows(CALL) && engine.records.knows("8999"), "only the latest ones are kept");
@@ -207,19 +212,19 @@
 fn nothing_is_sent_for_a_client_that_has_left(no_cancelling: bool) {
     let mut engine = with_forwards("pay", &[SENDING]);
     engine.cancelling = !no_cancelling;
-    let out = handle(&mut engine, NOW, Event::Left(ID));
+    let out = handle(&mut engine, NOW, Event::ClientDisconnected(ID));
     assert_eq!((out, engine.held()), (vec![Action::Abort { id: ID, forward: 0 }], 0));
 }
 
 #[test]
 fn the_record_of_a_client_that_has_left_is_removed_once_its_forwards_end() {
     let mut engine = with_forwards("look", &[TAKEN]);
-    handle(&mut engine, NOW, Event::Left(ID));
+    handle(&mut engine, NOW, Event::ClientDisconnected(ID));
     assert_eq!(engine.held(), 1, "a forward is still open");
     let mut out = Vec::new();
     engine.withdraw(NOW, ID, 0, &mut out);
-    assert_eq!((out, engine.held()), (vec![Action::GiveUp { tgt: 0, call: CALL.into() }], 0));
-    assert!(handle(&mut engine, NOW, Event::Left(ID)).is_empty());
+    assert_eq!((out, engine.held()), (vec![Action::Cancel { tgt: 0, call: CALL.into() }], 0));
+    assert!(handle(&mut engine, NOW, Event::ClientDisconnected(ID)).is_empty());
     assert!(answers(&handle(&mut engine, NOW, report(0, done()))).is_empty());
 }
 
@@ -242,7 +247,7 @@
 #[test_case("pay", false; "a call that may have run is not refused")]
 fn every_call_gets_an_answer_in_time(class: &str, refused: bool) {
     let mut engine = engine().0;
-    let sent = handle(&mut engine, NOW, Event::Taken(ID, &call(CALL, class, 2.0)));
+    let sent = handle(&mut engine, NOW, Event::CallReceived(ID, &call(CALL, class, 2.0)));
     let send = sent.iter().find(|action| matches!(action, Action::Send { .. }));
     let Some(&Action::Send { forward, end, .. }) = send else { panic!("not sent: {sent:?}") };
     handle(&mut engine, NOW, Event::Replied(ID, forward, Reply::Taken));
@@ -261,11 +266,11 @@
 fn numbers_of_removed_executors_are_reused(since: f64, number: ExecutorIndex) {
     let mut engine = engine().0;
     let gone = listing(2, false, vec![host(0, Standing::Gone)]);
-    let out = handle(&mut engine, NOW, Event::Watch(1, Watched::Listed(gone)));
-    assert!(out.contains(&Action::Gone(0)) && engine.fleet().addr(0).is_none());
+    let out = handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Listed(gone)));
+    assert!(out.contains(&Action::RemoveExecutor(0)) && engine.fleet().addr(0).is_none());
     let new = listing(3, false, vec![host(9, Standing::Ready)]);
-    let out = handle(&mut engine, NOW + since, Event::Watch(1, Watched::Listed(new)));
-    assert!(out.contains(&Action::At(number, ([127, 0, 0, 1], 9009).into())), "{out:?}");
+    let out = handle(&mut engine, NOW + since, Event::Watch(1, WatchEvent::Listed(new)));
+    assert!(out.contains(&Action::SetAddress(number, ([127, 0, 0, 1], 9009).into())), "{out:?}");
     assert_eq!((engine.fleet().known("s-9"), engine.fleet().addr(1).is_some()), (Some(number), true));
 }
 
@@ -284,9 +289,9 @@
 fn executors_missing_from_a_whole_list_are_removed() {
     let mut engine = engine().0;
     let whole = listing(2, true, vec![host(1, Standing::Draining)]);
-    let out = handle(&mut engine, NOW, Event::Watch(1, Watched::Listed(whole)));
-    assert!(out.contains(&Action::Gone(0)) && !out.contains(&Action::Gone(1)), "{out:?}");
-    let out = handle(&mut engine, NOW, Event::Taken(ID, &call(CALL, "look", 5.0)));
+    let out = handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Listed(whole)));
+    assert!(out.contains(&Action::RemoveExecutor(0)) && !out.contains(&Action::RemoveExecutor(1)), "{out:?}");
+    let out = handle(&mut engine, NOW, Event::CallReceived(ID, &call(CALL, "look", 5.0)));
     assert!(!out.iter().any(|action| matches!(action, Action::Send { .. })), "no new job is sent there");
 }
 
@@ -297,25 +302,25 @@
     const MANY: usize = 7_800;
     let mut engine = engine().0;
     let whole = |version| listing(version, true, (0..MANY).map(|at| host(at, Standing::Ready)).collect());
-    handle(&mut engine, NOW, Event::Watch(1, Watched::Listed(whole(2))));
-    let sent = handle(&mut engine, NOW, Event::Taken(ID, &call(CALL, "pay", 9.0)));
+    handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Listed(whole(2))));
+    let sent = handle(&mut engine, NOW, Event::CallReceived(ID, &call(CALL, "pay", 9.0)));
     let send = sent.iter().find(|action| matches!(action, Action::Send { .. }));
     let Some(&Action::Send { forward, tgt, .. }) = send else { panic!("not sent: {sent:?}") };
     handle(&mut engine, NOW, Event::Replied(ID, forward, Reply::Taken));
     let line = engine.fleet().emptied_warning(&listing(3, true, Vec::new())).expect("a line");
     assert!(line.contains("list 3 is empty, 7800 executors") && !line.contains('\n'), "{line}");
-    let out = handle(&mut engine, NOW, Event::Watch(1, Watched::Listed(listing(3, true, Vec::new()))));
+    let out = handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Listed(listing(3, true, Vec::new()))));
     assert!(
         answers(&out).is_empty() && !out.contains(&Action::Abort { id: ID, forward }),
         "it keeps running"
     );
     assert_eq!(engine.fleet().emptied_warning(&listing(4, true, Vec::new())), None, "warned once");
-    let out = handle(&mut engine, NOW, Event::Taken(ID + 1, &call("d", "look", 5.0)));
+    let out = handle(&mut engine, NOW, Event::CallReceived(ID + 1, &call("d", "look", 5.0)));
     assert!(!out.iter().any(|action| matches!(action, Action::Send { .. })), "no new job is sent");
     let out = handle(&mut engine, NOW + 1.0, report(tgt, done()));
     assert!(matches!(answers(&out)[..], [Answer::Succeeded(_)]), "{out:?}");
     // All are listed again under their old numbers, and the waiting job is sent.
-    let out = handle(&mut engine, NOW + 2.0, Event::Watch(1, Watched::Listed(whole(5))));
+    let out = handle(&mut engine, NOW + 2.0, Event::Watch(1, WatchEvent::Listed(whole(5))));
     assert_eq!((engine.fleet().listed_count(), engine.fleet().known("s-7799")), (MANY, Some(MANY - 1)));
     assert!(
         out.iter().any(|action| matches!(action, Action::Send { id, .. } if *id == ID + 1)),
@@ -326,16 +331,16 @@
 #[test]
 fn a_new_list_source_restarts_the_watch_and_keeps_jobs() {
     let mut engine = with_forwards("look", &[TAKEN]);
-    let out = handle(&mut engine, NOW, Event::Reread { tuning: None, moved: true });
-    assert_eq!(out, [Action::Follow { watch: 2, version: 0 }]);
+    let out = handle(&mut engine, NOW, Event::Reloaded { settings: None, list_source_changed: true });
+    assert_eq!(out, [Action::WatchList { watch: 2, version: 0 }]);
     assert_eq!(engine.phase(), Phase::Reloading);
     // Events of the old service's watch are ignored.
-    let old = Watched::Listed(listing(9, false, vec![host(9, Standing::Ready)]));
+    let old = WatchEvent::Listed(listing(9, false, vec![host(9, Standing::Ready)]));
     assert!(
         handle(&mut engine, NOW, Event::Watch(1, old)).is_empty() && engine.fleet().known("s-9").is_none()
     );
-    assert!(handle(&mut engine, NOW, Event::Watch(1, Watched::Lost(Loss::Closed))).is_empty());
-    handle(&mut engine, NOW, Event::Watch(2, Watched::Begun));
+    assert!(handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Lost(Loss::Closed))).is_empty());
+    handle(&mut engine, NOW, Event::Watch(2, WatchEvent::Established));
     assert_eq!((engine.phase(), engine.held()), (Phase::Serving, 1));
 }
 
@@ -343,17 +348,19 @@
 fn a_reload_during_a_stop_changes_nothing() {
     let mut engine = with_forwards("look", &[TAKEN]);
     handle(&mut engine, NOW, Event::Stop);
-    assert!(handle(&mut engine, NOW, Event::Reread { tuning: None, moved: true }).is_empty());
+    assert!(
+        handle(&mut engine, NOW, Event::Reloaded { settings: None, list_source_changed: true }).is_empty()
+    );
     assert_eq!(engine.phase(), Phase::Leaving);
 }
 
 #[test]
 fn a_lost_list_is_requested_again_and_kept_meanwhile() {
     let (mut engine, out) = engine();
-    assert!(out.contains(&Action::Follow { watch: 1, version: 1 }));
-    handle(&mut engine, NOW, Event::Watch(1, Watched::Lost(Loss::Closed)));
+    assert!(out.contains(&Action::WatchList { watch: 1, version: 1 }));
+    handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Lost(Loss::Closed)));
     let (mut out, mut now) = (Vec::new(), NOW);
-    while !out.contains(&Action::Follow { watch: 2, version: 1 }) {
+    while !out.contains(&Action::WatchList { watch: 2, version: 1 }) {
         now = engine.next_due().expect("something is due");
         engine.advance(now, &mut out);
     }
@@ -375,14 +382,18 @@
 #[test]
 fn the_watch_on_a_pushed_list_starts_at_once_and_is_restarted() {
     let (mut engine, out) = pushed();
-    assert_eq!(out.iter().filter(|a| **a == Action::Follow { watch: 1, version: 1 }).count(), 1, "{out:?}");
+    assert_eq!(
+        out.iter().filter(|a| **a == Action::WatchList { watch: 1, version: 1 }).count(),
+        1,
+        "{out:?}"
+    );
     for watch in 1..9 {
         let now = NOW + watch as f64;
-        let lost = handle(&mut engine, now, Event::Watch(watch, Watched::Lost(Loss::Closed)));
-        assert!(!lost.iter().any(|a| matches!(a, Action::Follow { .. })), "not immediately: {lost:?}");
+        let lost = handle(&mut engine, now, Event::Watch(watch, WatchEvent::Lost(Loss::Closed)));
+        assert!(!lost.iter().any(|a| matches!(a, Action::WatchList { .. })), "not immediately: {lost:?}");
         let mut out = Vec::new();
         engine.advance(now + 0.1, &mut out);
-        assert!(out.contains(&Action::Follow { watch: watch + 1, version: 1 }), "{watch}: {out:?}");
+        assert!(out.contains(&Action::WatchList { watch: watch + 1, version: 1 }), "{watch}: {out:?}");
     }
 }
 
@@ -390,12 +401,12 @@
 #[test]
 fn a_retry_from_before_a_reload_does_not_replace_the_new_watch() {
     let mut engine = pushed().0;
-    handle(&mut engine, NOW, Event::Watch(1, Watched::Lost(Loss::Closed)));
-    let out = handle(&mut engine, NOW, Event::Reread { tuning: None, moved: true });
-    assert_eq!(out, [Action::Follow { watch: 2, version: 0 }]);
+    handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Lost(Loss::Closed)));
+    let out = handle(&mut engine, NOW, Event::Reloaded { settings: None, list_source_changed: true });
+    assert_eq!(out, [Action::WatchList { watch: 2, version: 0 }]);
     let mut out = Vec::new();
     engine.advance(NOW + 0.2, &mut out);
-    assert!(!out.iter().any(|a| matches!(a, Action::Follow { .. })), "{out:?}");
+    assert!(!out.iter().any(|a| matches!(a, Action::WatchList { .. })), "{out:?}");
 }
 
 // A list that was pushed before a drain, and is read after the watch has reported the drain, must not undo it (rule 3).
@@ -404,14 +415,14 @@
 fn a_push_older_than_the_watch_is_ignored(watched: bool, expected: Standing) {
     let mut engine = pushed().0;
     let push_list = |engine: &mut Engine, watch, version, standing| {
-        let list = Watched::Listed(listing(version, true, vec![host(0, standing)]));
+        let list = WatchEvent::Listed(listing(version, true, vec![host(0, standing)]));
         handle(engine, NOW, Event::Watch(watch, list));
     };
     if watched {
-        handle(&mut engine, NOW, Event::Watch(1, Watched::Begun));
+        handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Established));
     }
     push_list(&mut engine, 1, 5, Standing::Draining);
-    push_list(&mut engine, UNASKED, 4, Standing::Ready);
+    push_list(&mut engine, NO_WATCH, 4, Standing::Ready);
     assert_eq!(engine.fleet().listing(0).hosts[0].standing, expected);
 }
 
@@ -461,27 +472,32 @@
     assert_eq!(admit(7, &odd, &operations(), &names(), NOW).map(|sub| sub.hint), Ok(expected));
 }
 
-fn tuning(names: &[&str], entries: &[Operation], timeouts: &[f64], max_forwards: usize) -> Box<Tuning> {
+fn reloaded_settings(
+    names: &[&str],
+    entries: &[Operation],
+    timeouts: &[f64],
+    max_forwards: usize,
+) -> Box<ReloadedSettings> {
     let settings = Settings { nodes: 1, operations: entries.to_vec(), max_forwards, ..Settings::default() };
     let settings = Settings { cancelling: true, probing: true, polls_list: true, ..settings };
     let operations = names.iter().map(|name| (*name).to_owned()).collect();
     let names = Names { operations, zones: vec![String::new()], ..Names::default() };
-    Box::new(Tuning { settings, names, timeouts: timeouts.to_vec() })
+    Box::new(ReloadedSettings { settings, names, timeouts: timeouts.to_vec() })
 }
 
-fn retuned(engine: &mut Engine, now: f64, tuning: Box<Tuning>) -> Vec<Action> {
-    handle(engine, now, Event::Reread { tuning: Some(tuning), moved: false })
+fn reload(engine: &mut Engine, now: f64, reloaded_settings: Box<ReloadedSettings>) -> Vec<Action> {
+    handle(engine, now, Event::Reloaded { settings: Some(reloaded_settings), list_source_changed: false })
 }
 
 // A reload must not change the effect, deadline or index of a job that was admitted before.
 #[test]
 fn running_jobs_keep_their_operation_and_new_ones_get_the_new_settings() {
     let mut engine = engine().0;
-    handle(&mut engine, NOW, Event::Taken(1, &call("a", "look", 5.0)));
+    handle(&mut engine, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     let strict = [operation(Effect::NonIdempotent), operation(Effect::NonIdempotent)];
-    let out = retuned(&mut engine, NOW, tuning(&["pay", "look"], &strict, &[10.0, 3.0], 4));
+    let out = reload(&mut engine, NOW, reloaded_settings(&["pay", "look"], &strict, &[10.0, 3.0], 4));
     assert!(out.is_empty() && engine.phase() == Phase::Serving, "no action: {out:?}");
-    handle(&mut engine, NOW, Event::Taken(2, &call("b", "look", 5.0)));
+    handle(&mut engine, NOW, Event::CallReceived(2, &call("b", "look", 5.0)));
     let ends: Vec<f64> = [1, 2]
         .map(|id| engine.records.get(id).expect("a record").end - NOW)
         .map(|s| (s * 100.0).round())
@@ -496,9 +512,9 @@
 fn a_lower_limit_of_forwards_applies_to_running_jobs() {
     let mut engine = engine().0;
     let (entries, now) = ([operation(Effect::Idempotent), operation(Effect::NonIdempotent)], NOW + 0.01);
-    let out = handle(&mut engine, NOW, Event::Taken(1, &call("a", "look", 5.0)));
+    let out = handle(&mut engine, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     assert!(out.iter().any(|action| matches!(action, Action::Send { id: 1, forward: 0, .. })), "{out:?}");
-    retuned(&mut engine, now, tuning(&["look", "pay"], &entries, &[5.0, 10.0], 1));
+    reload(&mut engine, now, reloaded_settings(&["look", "pay"], &entries, &[5.0, 10.0], 1));
     let ended = Reply::Ended(Outcome::Unreachable, Report::default());
     let out = handle(&mut engine, now, Event::Replied(1, 0, ended));
     assert!(matches!(answers(&out)[..], [Answer::Throttled { .. }]), "none is left: {out:?}");
@@ -510,9 +526,9 @@
 #[test_case(5.5, false; "unknown afterwards")]
 fn a_removed_operation_is_served_for_one_timeout(after: f64, served: bool) {
     let mut engine = engine().0;
-    retuned(&mut engine, NOW, tuning(&["pay"], &[operation(Effect::NonIdempotent)], &[10.0], 4));
+    reload(&mut engine, NOW, reloaded_settings(&["pay"], &[operation(Effect::NonIdempotent)], &[10.0], 4));
     let late = Call { came: NOW + after, ..call("a", "look", 5.0) };
-    let out = handle(&mut engine, NOW + after, Event::Taken(1, &late));
+    let out = handle(&mut engine, NOW + after, Event::CallReceived(1, &late));
     let unknown = Answer::Unfit(Unfit::Operation);
     assert_eq!(!answers(&out).contains(&&unknown), served, "{out:?}");
     let look = engine.figures(NOW).operations.into_iter().find(|op| &*op.0 == "look").expect("its figures");
@@ -522,12 +538,12 @@
 #[test]
 fn repeated_reloads_do_not_add_entries() {
     let mut engine = engine().0;
-    handle(&mut engine, NOW, Event::Taken(1, &call("a", "look", 5.0)));
+    handle(&mut engine, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     for round in 0..1000 {
         let entry = Operation { value: f64::from(round), ..operation(Effect::Idempotent) };
         let entries = [entry, operation(Effect::NonIdempotent)];
         let now = NOW + f64::from(round);
-        retuned(&mut engine, now, tuning(&["look", "pay"], &entries, &[5.0, 10.0], 4));
+        reload(&mut engine, now, reloaded_settings(&["look", "pay"], &entries, &[5.0, 10.0], 4));
     }
     let many = engine.decisions().settings().operations.len();
     assert!(many <= 5, "{many} entries");
@@ -549,16 +565,16 @@
 #[test]
 fn each_job_is_counted_once_where_it_gets_its_answer() {
     let mut engine = with_forwards("look", &[TAKEN]);
-    handle(&mut engine, NOW, Event::Taken(8, &call("left", "pay", 5.0)));
+    handle(&mut engine, NOW, Event::CallReceived(8, &call("left", "pay", 5.0)));
     assert_eq!(engine.figures(NOW).outstanding, 2);
     handle(&mut engine, NOW, report(0, done()));
     handle(&mut engine, NOW, report(0, done()));
-    handle(&mut engine, NOW, Event::Left(8));
-    handle(&mut engine, NOW, Event::Taken(9, &call(CALL, "look", 5.0)));
-    handle(&mut engine, NOW, Event::Taken(10, &call("x", "made-up", 5.0)));
-    handle(&mut engine, NOW, Event::Ended("pay", Verdict::Throttled));
+    handle(&mut engine, NOW, Event::ClientDisconnected(8));
+    handle(&mut engine, NOW, Event::CallReceived(9, &call(CALL, "look", 5.0)));
+    handle(&mut engine, NOW, Event::CallReceived(10, &call("x", "made-up", 5.0)));
+    handle(&mut engine, NOW, Event::AnsweredByFront("pay", Verdict::Throttled));
     handle(&mut engine, NOW, Event::Replied(ID, 0, Reply::Written));
-    handle(&mut engine, NOW, Event::NotReread);
+    handle(&mut engine, NOW, Event::ReloadFailed);
     let figures = engine.figures(NOW);
     let tallies: Vec<(&str, Tally)> = figures.operations.iter().map(|op| (&*op.0, op.1)).collect();
     let look = Tally { succeeded: 1, throttled: 0, errored: 1 };
@@ -577,7 +593,7 @@
     }
     let drained = listing(2, false, vec![host(1, Standing::Draining)]);
     assert_eq!(engine.figures(NOW).avoided, 1);
-    handle(&mut engine, NOW, Event::Watch(1, Watched::Listed(drained)));
+    handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Listed(drained)));
     let figures = engine.figures(NOW);
     assert_eq!((figures.avoided, figures.listed), (0, 2), "a draining executor does not count as avoided");
 }
@@ -598,19 +614,19 @@
         handle(&mut old, NOW, Event::Probed(1, Outcome::Unreachable, Report::default()));
     }
     let drained = listing(5, false, vec![host(0, Standing::Draining)]);
-    handle(&mut old, NOW, Event::Watch(1, Watched::Listed(drained)));
+    handle(&mut old, NOW, Event::Watch(1, WatchEvent::Listed(drained)));
     let mut new = successor(&old);
     assert_eq!((new.phase(), new.figures(NOW).listed, new.figures(NOW).avoided), (Phase::Serving, 2, 1));
-    let out = handle(&mut new, NOW, Event::Taken(1, &call("a", "look", 5.0)));
+    let out = handle(&mut new, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     assert!(!out.iter().any(|action| matches!(action, Action::Send { tgt: 0, .. })), "it drains: {out:?}");
 }
 
 #[test]
 fn a_call_that_the_previous_process_serves_is_not_taken_again() {
     let mut old = engine().0;
-    handle(&mut old, NOW, Event::Taken(1, &call("a", "look", 5.0)));
+    handle(&mut old, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     let mut new = successor(&old);
-    let out = handle(&mut new, NOW, Event::Taken(1, &call("a", "look", 5.0)));
+    let out = handle(&mut new, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     assert_eq!(answers(&out), [&Answer::Unfit(Unfit::Again)]);
     assert!(!new.knows("a"), "reports on it are passed on to the old process");
 }
@@ -619,24 +635,25 @@
 #[test]
 fn a_job_continues_in_the_next_process() {
     let mut old = engine().0;
-    let out = handle(&mut old, NOW, Event::Taken(1, &call("a", "pay", 9.0)));
+    let out = handle(&mut old, NOW, Event::CallReceived(1, &call("a", "pay", 9.0)));
     let sent = |out: &[Action]| {
         out.iter().find_map(|a| if let Action::Send { tgt, .. } = a { Some(*tgt) } else { None })
     };
     let tgt = sent(&out).expect("a forward");
     let mut new = successor(&old);
-    assert!(old.part_with(1).is_none(), "its connection to the executor is still in use here");
+    assert!(old.hand_over_job(1).is_none(), "its connection to the executor is still in use here");
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Taken));
-    let parcel = old.part_with(1).expect("a parcel");
+    let parcel = old.hand_over_job(1).expect("a parcel");
     assert!(parcel.survives_round_trip() && !old.knows("a") && old.held() == 0);
     let mut out = Vec::new();
     old.advance(NOW + 20.0, &mut out);
-    assert!(answers(&out).is_empty() && !out.iter().any(|a| matches!(a, Action::GiveUp { .. })), "{out:?}");
+    assert!(answers(&out).is_empty() && !out.iter().any(|a| matches!(a, Action::Cancel { .. })), "{out:?}");
     let mut out = Vec::new();
-    new.take_in(NOW, 7, parcel, &mut out);
+    new.take_over_job(NOW, 7, parcel, &mut out);
     assert!(new.knows("a") && sent(&out).is_none(), "it is sent already: {out:?}");
-    let done = News { call: "a".into(), from: format!("s-{tgt}"), word: done(), report: Report::default() };
-    let out = handle(&mut new, NOW + 1.0, Event::News(done));
+    let done =
+        JobReport { call: "a".into(), from: format!("s-{tgt}"), status: done(), report: Report::default() };
+    let out = handle(&mut new, NOW + 1.0, Event::JobReport(done));
     assert_eq!(answers(&out), [&Answer::Succeeded("r".into())]);
     let pay = new.figures(NOW).operations.into_iter().find(|op| &*op.0 == "pay").expect("figures");
     assert_eq!((pay.1.succeeded, new.held()), (1, 0));
@@ -646,13 +663,13 @@
 #[test]
 fn a_job_handed_over_keeps_its_operation() {
     let mut old = engine().0;
-    handle(&mut old, NOW, Event::Taken(1, &call("a", "pay", 9.0)));
+    handle(&mut old, NOW, Event::CallReceived(1, &call("a", "pay", 9.0)));
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Taken));
     let mut new = successor(&old);
     let free = [operation(Effect::Idempotent), operation(Effect::Idempotent)];
-    retuned(&mut new, NOW, tuning(&["look", "pay"], &free, &[5.0, 3.0], 4));
-    let parcel = old.part_with(1).expect("a parcel");
-    new.take_in(NOW, 7, parcel, &mut Vec::new());
+    reload(&mut new, NOW, reloaded_settings(&["look", "pay"], &free, &[5.0, 3.0], 4));
+    let parcel = old.hand_over_job(1).expect("a parcel");
+    new.take_over_job(NOW, 7, parcel, &mut Vec::new());
     let reset = Reply::Ended(Outcome::Reset, Report::default());
     let out = handle(&mut new, NOW + 5.0, Event::Replied(7, 0, reset));
     assert_eq!(answers(&out), [&Answer::Errored], "it may have run, and may not run again");
@@ -662,35 +679,35 @@
 fn the_overload_factor_of_cold_executors_is_split_between_processes() {
     let mut engine = engine().0;
     let factor = |engine: &Engine| engine.decisions().settings().cold.factor;
-    let mut with = tuning(&["look"], &[operation(Effect::Idempotent)], &[5.0], 4);
+    let mut with = reloaded_settings(&["look"], &[operation(Effect::Idempotent)], &[5.0], 4);
     with.settings.cold.factor = 4.0;
-    handle(&mut engine, NOW, Event::Part(0.25));
-    retuned(&mut engine, NOW, with);
+    handle(&mut engine, NOW, Event::CapacityShare(0.25));
+    reload(&mut engine, NOW, with);
     assert_eq!(factor(&engine), 1.0, "also after a reload");
-    handle(&mut engine, NOW, Event::Part(1.0));
+    handle(&mut engine, NOW, Event::CapacityShare(1.0));
     assert_eq!(factor(&engine), 4.0);
 }
 
 #[test]
 fn two_processes_of_a_node_share_one_budget_of_forwards() {
     let budgeted = |old: Option<&Engine>| {
-        let mut with = tuning(&["look"], &[operation(Effect::Idempotent)], &[5.0], 4);
+        let mut with = reloaded_settings(&["look"], &[operation(Effect::Idempotent)], &[5.0], 4);
         with.settings.budget = Some(Budget { floor: 2.0, share: 0.5, span: 5.0 });
         let mut engine = old.map_or_else(|| engine().0, successor);
-        retuned(&mut engine, NOW, with);
+        reload(&mut engine, NOW, with);
         engine
     };
     let left = |engine: &Engine| engine.decisions().settings().budget.map(|b| (b.floor, b.share));
     let mut old = budgeted(None);
-    let out = handle(&mut old, NOW, Event::Taken(1, &call("a", "look", 5.0)));
+    let out = handle(&mut old, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     assert!(out.iter().any(|action| matches!(action, Action::Send { .. })));
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Ended(Outcome::Full, Report::default())));
     assert!(old.memory().further.len() <= 1 && old.memory().taken.len() == 1);
     let new = budgeted(Some(&old));
     assert_eq!((new.memory().taken, new.memory().further), (old.memory().taken, old.memory().further));
-    handle(&mut old, NOW, Event::Part(0.25));
+    handle(&mut old, NOW, Event::CapacityShare(0.25));
     assert_eq!((left(&old), left(&new)), (Some((0.0, 0.0)), Some((2.0, 0.5))));
-    handle(&mut old, NOW, Event::Part(1.0));
+    handle(&mut old, NOW, Event::CapacityShare(1.0));
     assert_eq!(left(&old), Some((2.0, 0.5)), "alone again");
 }
 
@@ -725,14 +742,14 @@
         Settings { nodes: 1, operations: vec![operation(Effect::Idempotent)], ..Settings::default() };
     let known = Some(listing(1, true, (0..2).map(|at| host(at, Standing::Ready)).collect()));
     let setup = Setup { settings, names: names(), seed: 1, timeouts: vec![5.0], known, memory: None };
-    let mut engine = Engine::deciding(NOW, SendToBoth, setup, &mut Vec::new());
+    let mut engine = Engine::with_decisions(NOW, SendToBoth, setup, &mut Vec::new());
     let mut handle = |now, event: Event| {
         let mut out = Vec::new();
         engine.handle(now, event, &mut out);
         out
     };
     let taken = call("a", "look", 5.0);
-    let sent = handle(NOW, Event::Taken(1, &taken));
+    let sent = handle(NOW, Event::CallReceived(1, &taken));
     assert_eq!(sent.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 2);
     handle(NOW, Event::Replied(1, 0, Reply::Taken));
     handle(NOW, Event::Replied(1, 1, Reply::Taken));
@@ -745,10 +762,10 @@
 #[test]
 fn a_stop_does_not_shorten_the_deadline_in_the_next_process() {
     let mut old = engine().0;
-    handle(&mut old, NOW, Event::Taken(1, &call("a", "pay", 9.0)));
+    handle(&mut old, NOW, Event::CallReceived(1, &call("a", "pay", 9.0)));
     handle(&mut old, NOW, Event::Stop);
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Taken));
-    let parcel = old.part_with(1).expect("a parcel");
+    let parcel = old.hand_over_job(1).expect("a parcel");
     assert!(
         parcel.end > NOW + 8.0 && parcel.invocation.deadline == parcel.end,
         "{} {}",
--- a/crates/coveroute-node/src/callbacks.rs
+++ b/crates/coveroute-node/src/callbacks.rs
@@ -1,6 +1,6 @@
 //! Callbacks: the status updates that executors send for jobs that they have accepted.
 use coveroute::types::Outcome;
-use coveroute_engine::{News, Word};
+use coveroute_engine::{JobReport, JobStatus};
 use coveroute_shared::Gauge;
 use serde::Deserialize;
 
@@ -26,15 +26,20 @@
 }
 
 /// Parses a status update.
-pub fn parse(body: &[u8]) -> Result<News, String> {
+pub fn parse(body: &[u8]) -> Result<JobReport, String> {
     let update: StatusUpdate = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let word = match (update.state, update.result) {
-        (State::Started | State::Running, _) => Word::Alive,
-        (State::Done, Some(result)) => Word::Succeeded(result.into()),
+    let status = match (update.state, update.result) {
+        (State::Started | State::Running, _) => JobStatus::Running,
+        (State::Done, Some(result)) => JobStatus::Succeeded(result.into()),
         (State::Done, None) => return Err("state \"done\" without a result".into()),
-        (State::Failed, _) => Word::Ended(Outcome::Errored),
-        (State::Returned, _) => Word::Ended(Outcome::Full),
-        (State::Lost, _) => Word::Ended(Outcome::Reset),
+        (State::Failed, _) => JobStatus::Ended(Outcome::Errored),
+        (State::Returned, _) => JobStatus::Ended(Outcome::Full),
+        (State::Lost, _) => JobStatus::Ended(Outcome::Reset),
     };
-    Ok(News { call: update.id, from: update.from, word, report: update.load.unwrap_or_default().into() })
+    Ok(JobReport {
+        call: update.id,
+        from: update.from,
+        status,
+        report: update.load.unwrap_or_default().into(),
+    })
 }
--- a/crates/coveroute-node/src/config.rs
+++ b/crates/coveroute-node/src/config.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coveroute::types::{Reports, Settings};
-use coveroute_engine::{Listing, Tuning};
+use coveroute_engine::{Listing, ReloadedSettings};
 use coveroute_shared::{decode, Names};
 use log::warn;
 use serde::Deserialize;
@@ -202,9 +202,9 @@
     }
 
     /// The part that the engine uses for its decisions.
-    pub fn tuning(&self) -> Tuning {
+    pub fn reloaded_settings(&self) -> ReloadedSettings {
         let (settings, names, timeouts) = (self.settings.clone(), self.names.clone(), self.timeouts.clone());
-        Tuning { settings, names, timeouts }
+        ReloadedSettings { settings, names, timeouts }
     }
 }
 
--- a/crates/coveroute-node/src/discovery.rs
+++ b/crates/coveroute-node/src/discovery.rs
@@ -7,7 +7,7 @@
 use awc::{Client, Connector};
 use bytes::{Buf, BytesMut};
 use coveroute::types::Loss;
-use coveroute_engine::{Listing, Watched};
+use coveroute_engine::{Listing, WatchEvent};
 use futures_util::StreamExt;
 use log::info;
 use tokio::time::timeout_at;
@@ -66,7 +66,7 @@
             let report = |watched| drop(events.send(DriverEvent::Watch(number, watched)));
             let (why, loss) = watch(&client, &uri, report).await;
             info!("watch {number} ended: {why}");
-            report(Watched::Lost(loss));
+            report(WatchEvent::Lost(loss));
         });
         if let Some(old) = self.watch.replace(watch) {
             old.abort();
@@ -80,7 +80,7 @@
 }
 
 /// Reports lists until the watch ends. Returns why it ended, and what that implies for the list that the node holds.
-async fn watch(client: &Client, uri: &str, report: impl Fn(Watched)) -> (String, Loss) {
+async fn watch(client: &Client, uri: &str, report: impl Fn(WatchEvent)) -> (String, Loss) {
     let called = Instant::now();
     let missed = |since: Instant| Loss::Missed(since.elapsed().as_secs_f64());
     let was_queued = || called.elapsed() >= IMMEDIATE_FAILURE;
@@ -120,13 +120,13 @@
             // changes before the request. After the second empty line, one interval later, no list can be pending.
             match item {
                 WatchItem::List(listing) => {
-                    report(Watched::Listed(listing));
+                    report(WatchEvent::Listed(listing));
                     empty_lines = EMPTY_LINES_WITHOUT_LIST;
                 }
                 WatchItem::KeepAlive => empty_lines += 1,
             }
             if empty_lines >= EMPTY_LINES_WITHOUT_LIST && !std::mem::replace(&mut begun, true) {
-                report(Watched::Begun);
+                report(WatchEvent::Established);
             }
             heard = if begun { Instant::now() } else { heard };
         }
--- a/crates/coveroute-node/src/discovery_tests.rs
+++ b/crates/coveroute-node/src/discovery_tests.rs
@@ -10,7 +10,7 @@
 use actix_rt::time::{interval, sleep};
 use bytes::Bytes;
 use coveroute::types::Report;
-use coveroute_engine::{News, Word};
+use coveroute_engine::{JobReport, JobStatus};
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::oneshot;
@@ -141,10 +141,10 @@
                 };
                 sent.borrow_mut().push((at, Instant::now()));
                 let _ = stream.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").await;
-                let word = Word::Succeeded(Bytes::new());
+                let status = JobStatus::Succeeded(Bytes::new());
                 let (call, from) = (call.to_owned(), format!("s-{at}"));
-                let news = News { call, from, word, report: Report::default() };
-                let _ = events.send(DriverEvent::News(news, Bytes::new(), None));
+                let report = JobReport { call, from, status, report: Report::default() };
+                let _ = events.send(DriverEvent::JobReport(report, Bytes::new(), None));
             }
         });
     }
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -10,7 +10,7 @@
 use actix_rt::task::JoinHandle;
 use bytes::Bytes;
 use coveroute::types::{ExecutorIndex, InvocationId, Outcome, Report, Reports};
-use coveroute_engine::{Action, Engine, Event, News, Phase, Reply, Setup};
+use coveroute_engine::{Action, Engine, Event, JobReport, Phase, Reply, Setup};
 use coveroute_fleet::Plan;
 use log::{debug, error, info, warn};
 use tokio::sync::{mpsc, oneshot};
@@ -250,22 +250,24 @@
                     .for_each(|fleet_member| fleet_member.record_invocation(job.call.caller.as_deref()));
                 let job: Rc<Job> = job.into();
                 self.jobs.insert(id, PendingJob { job: job.clone(), client });
-                self.dispatch(Event::Taken(id, &job.call));
+                self.dispatch(Event::CallReceived(id, &job.call));
             }
             DriverEvent::Disconnected(id) => {
                 self.jobs.remove(&id);
-                self.dispatch(Event::Left(id));
+                self.dispatch(Event::ClientDisconnected(id));
             }
             DriverEvent::Replied(id, forward, reply) => {
-                if !matches!(reply, Reply::Unheard | Reply::Written) {
+                if !matches!(reply, Reply::NotAcknowledged | Reply::Written) {
                     self.forwards.remove(&(id, forward));
                 }
                 self.dispatch(Event::Replied(id, forward, reply));
             }
-            DriverEvent::News(news, body, ack) => self.handle_news(news, body, ack, None),
-            DriverEvent::ReportRelayed(news, ack, settled) => {
-                let settled = settled || self.engine.knows(&news.call);
-                self.dispatch(Event::News(news));
+            DriverEvent::JobReport(job_report, body, ack) => {
+                self.handle_job_report(job_report, body, ack, None)
+            }
+            DriverEvent::ReportRelayed(job_report, ack, settled) => {
+                let settled = settled || self.engine.knows(&job_report.call);
+                self.dispatch(Event::JobReport(job_report));
                 ack.map(|ack| ack.send(settled));
             }
             DriverEvent::HandoverRequested(reply) => {
@@ -284,7 +286,9 @@
             }
             DriverEvent::Reload(Ok(config), plan) => self.reload(&config, plan),
             DriverEvent::Reload(Err(reason), _) => self.reject_reload(&reason),
-            DriverEvent::Ended(operation, verdict) => self.dispatch(Event::Ended(&operation, verdict)),
+            DriverEvent::Ended(operation, verdict) => {
+                self.dispatch(Event::AnsweredByFront(&operation, verdict))
+            }
             DriverEvent::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
             DriverEvent::FiguresRequested(reply) => {
                 let (engine, attempts) = (self.engine.figures(self.clock.now()), self.attempts.figures());
@@ -305,7 +309,7 @@
 
     fn reject_reload(&mut self, reason: &str) {
         error!("not reloaded, all stays as it is: {reason}");
-        self.dispatch(Event::NotReread);
+        self.dispatch(Event::ReloadFailed);
     }
 
     /// Applies a new configuration entirely or not at all.
@@ -326,8 +330,8 @@
         if self.applied.fixed != new.fixed {
             warn!("changed addresses and process limits take effect at the next start");
         }
-        let moved = self.applied.discovery != new.discovery;
-        if moved {
+        let list_source_changed = self.applied.discovery != new.discovery;
+        if list_source_changed {
             info!("now following the executor list at {}", new.discovery);
             self.discovery.set_addr(new.discovery);
         }
@@ -336,7 +340,10 @@
         self.node_state.set_max_pause(config.settings.max_pause);
         self.executor_connections.set_timeouts(config.dial, config.idle);
         self.reports = config.settings.reports != Reports::Never;
-        self.dispatch(Event::Reread { tuning: Some(Box::new(config.tuning())), moved });
+        self.dispatch(Event::Reloaded {
+            settings: Some(Box::new(config.reloaded_settings())),
+            list_source_changed,
+        });
     }
 
     /// Executes pending actions. A failed action is reported to the engine, which may return further actions.
@@ -374,7 +381,7 @@
             (true, true) => COLD_SHARE,
             (true, false) => 1.0 - COLD_SHARE,
         };
-        self.dispatch(Event::Part(part));
+        self.dispatch(Event::CapacityShare(part));
     }
 
     fn listen_for_successors(&mut self) {
@@ -424,7 +431,7 @@
                 warn!("unexpected handover of a connection from the successor")
             }
             (side, LinkEvent::ExecutorReport(body, ack)) => match callbacks::parse(&body) {
-                Ok(news) => self.handle_news(news, body, Some(ack), Some(side)),
+                Ok(job_report) => self.handle_job_report(job_report, body, Some(ack), Some(side)),
                 Err(e) => warn!("invalid executor report on the process link: {e}"),
             },
             (Side::Predecessor, LinkEvent::Ended) => {
@@ -472,7 +479,7 @@
         if !self.adopt_connection(socket, |stream| AdoptedConnection::Waiting(stream, mine, id, answered)) {
             connection.set_closed();
         }
-        self.engine.take_in(self.clock.now(), id, transferred.parcel, &mut self.actions);
+        self.engine.take_over_job(self.clock.now(), id, transferred.parcel, &mut self.actions);
         self.execute_actions();
     }
 
@@ -491,7 +498,7 @@
                 Handover::Idle => successor.send_connection(socket),
                 Handover::Waiting(id) => {
                     let Some(job) = self.jobs.get(&id).map(|pending| pending.job.clone()) else { continue };
-                    let Some(parcel) = self.engine.part_with(id) else { continue };
+                    let Some(parcel) = self.engine.hand_over_job(id) else { continue };
                     self.jobs.remove(&id);
                     successor.send_job(TransferredJob::of(parcel, &job), socket);
                 }
@@ -499,7 +506,7 @@
             connection.set_handed_over();
         }
         if connections.is_empty() && successor.is_flushed() && self.node_state.phase() == Phase::Leaving {
-            self.dispatch(Event::Relieved);
+            self.dispatch(Event::JobsHandedOver);
         }
     }
 
@@ -512,19 +519,19 @@
     /// Handles an executor's report, which arrives at whichever process the executor's connection leads to. A report on
     /// a job that is unknown here is relayed to the other processes, and acknowledged once one of them knows the job or
     /// all of them have denied it.
-    fn handle_news(
+    fn handle_job_report(
         &mut self,
-        news: News,
+        job_report: JobReport,
         body: Bytes,
         ack: Option<oneshot::Sender<bool>>,
         from: Option<Side>,
     ) {
         let others: Vec<Rc<Link>> = self.predecessor.iter().chain(&self.successor).cloned().collect();
         let others: Vec<_> = others.into_iter().filter(|link| Some(link.side) != from).collect();
-        let known_here = self.engine.knows(&news.call);
+        let known_here = self.engine.knows(&job_report.call);
         if known_here || others.is_empty() {
             ack.map(|ack| ack.send(known_here || from.is_none()));
-            return self.dispatch(Event::News(news));
+            return self.dispatch(Event::JobReport(job_report));
         }
         let events = self.events.clone();
         actix_rt::spawn(async move {
@@ -541,7 +548,7 @@
             }
             // No process knows the job, so there is nothing to wait for, unless one did not reply. The job may have
             // arrived here in the meantime.
-            let _ = events.send(DriverEvent::ReportRelayed(news, ack, known && from.is_none()));
+            let _ = events.send(DriverEvent::ReportRelayed(job_report, ack, known && from.is_none()));
         });
     }
 
@@ -555,7 +562,7 @@
                 self.forwards.remove(&(id, forward)).into_iter().for_each(|forward| forward.task.abort());
             }
             Action::Recall { id, forward } => return self.recall(id, forward),
-            Action::GiveUp { tgt, call } => {
+            Action::Cancel { tgt, call } => {
                 let time_limit = self.executor_connections.request_timeout();
                 let lease = self.executor_connections.lease(tgt);
                 lease.map(|lease| actix_rt::spawn(give_up(lease, call, time_limit)));
@@ -566,9 +573,9 @@
             }
             Action::Probe(tgt) => return self.probe(tgt),
             Action::Release(tgt) => self.executor_connections.close_idle(tgt),
-            Action::At(tgt, addr) => self.executor_connections.set_address(tgt, addr),
-            Action::Gone(tgt) => self.executor_connections.remove(tgt),
-            Action::Follow { watch, version } => self.discovery.follow(watch, version),
+            Action::SetAddress(tgt, addr) => self.executor_connections.set_address(tgt, addr),
+            Action::RemoveExecutor(tgt) => self.executor_connections.remove(tgt),
+            Action::WatchList { watch, version } => self.discovery.follow(watch, version),
             Action::SendToPeer { to, kind, mark, count } => {
                 self.peers.iter().for_each(|peers| peers.send(to, kind, mark, count));
             }
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -176,7 +176,7 @@
             "{{\"version\":9,\"full\":true,\"servers\":[{{\"id\":\"s-0\",\"addr\":\"{addr}\",\"state\":\"draining\"}}]}}"
         );
         let hosts: crate::hosts::Hosts = serde_json::from_str(&drains).expect("a list");
-        driver.handle_event(DriverEvent::Watch(0, coveroute_engine::Watched::Listed(hosts.into())));
+        driver.handle_event(DriverEvent::Watch(0, coveroute_engine::WatchEvent::Listed(hosts.into())));
         assert_eq!(driver.forwards.contains_key(&(ID, 0)), !late, "withdrawn if nothing of it was written");
         // Drains the queue so that any connection still waiting is established, and counts the requests written.
         let heard = actix_rt::task::spawn_blocking(move || {
@@ -217,7 +217,7 @@
         let (answer, _answered) = oneshot::channel();
         let now = before.clock.now();
         before.handle_event(DriverEvent::Accepted(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
-        let parcel = before.engine.part_with(ID).expect("a waiting job");
+        let parcel = before.engine.hand_over_job(ID).expect("a waiting job");
         let transferred = TransferredJob::of(parcel, &job(CALL, "look", 9.0, now));
         let server = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let client =
--- a/crates/coveroute-node/src/event.rs
+++ b/crates/coveroute-node/src/event.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use coveroute::types::{ExecutorIndex, InvocationId, Outcome, PeerMessageKind, Report};
-use coveroute_engine::{Figures, News, Reply, Verdict, Watched};
+use coveroute_engine::{Figures, JobReport, Reply, Verdict, WatchEvent};
 use coveroute_fleet::Plan;
 use tokio::sync::{mpsc, oneshot};
 
@@ -33,10 +33,10 @@
     Replied(InvocationId, usize, Reply),
     /// An executor's job status update, parsed and as received, and where to report whether a process of this
     /// node accepted it.
-    News(News, Bytes, Option<oneshot::Sender<bool>>),
+    JobReport(JobReport, Bytes, Option<oneshot::Sender<bool>>),
     /// A job status update that no other process of this node recognized as its own, and whether it is
     /// acknowledged even if this process does not recognize it either.
-    ReportRelayed(News, Option<oneshot::Sender<bool>>, bool),
+    ReportRelayed(JobReport, Option<oneshot::Sender<bool>>, bool),
     /// A successor process asks for the state that it starts with.
     HandoverRequested(oneshot::Sender<HandoverState>),
     /// The successor has received that state.
@@ -46,7 +46,7 @@
     /// The result of a probe of an executor.
     Probed(ExecutorIndex, Outcome, Report),
     /// An update of the list of executors, for the watch with this number.
-    Watch(u64, Watched),
+    Watch(u64, WatchEvent),
     /// A message from another node.
     PeerMessage { from: usize, kind: PeerMessageKind, mark: u32, count: u8 },
     /// The operators requested a reload: the new configuration or why it is invalid, and the fleet file, if
--- a/crates/coveroute-node/src/large_input_tests.rs
+++ b/crates/coveroute-node/src/large_input_tests.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use actix_rt::time::timeout;
-use coveroute_engine::{Listing, Watched};
+use coveroute_engine::{Listing, WatchEvent};
 use test_case::test_case;
 use tokio::sync::mpsc::unbounded_channel;
 
@@ -157,7 +157,7 @@
         let mut told = Vec::new();
         let lost = timeout(seconds(10.0), async {
             while let Some(DriverEvent::Watch(1, watched)) = event_receiver.recv().await {
-                let lost = matches!(watched, Watched::Lost(_));
+                let lost = matches!(watched, WatchEvent::Lost(_));
                 told.push(watched);
                 if lost {
                     return;
@@ -170,7 +170,7 @@
     let versions: Vec<u64> = told
         .iter()
         .filter_map(
-            |watched| if let Watched::Listed(listing) = watched { Some(listing.version) } else { None },
+            |watched| if let WatchEvent::Listed(listing) = watched { Some(listing.version) } else { None },
         )
         .collect();
     assert_eq!(versions, [4]);
--- a/crates/coveroute-node/src/send.rs
+++ b/crates/coveroute-node/src/send.rs
@@ -45,7 +45,7 @@
     let mut sent = pin!(exchange(&lease, job, &attempt, || on_reply(Reply::Written)));
     let mut response = timeout(timeouts.report_after, &mut sent).await;
     if response.is_err() {
-        on_reply(Reply::Unheard);
+        on_reply(Reply::NotAcknowledged);
         response = timeout(timeouts.give_up_after.saturating_sub(timeouts.report_after), sent).await;
     }
     match response {
@@ -187,7 +187,7 @@
         // Only the executor's own statement proves that the job never ran.
         (503 | 504, true) => Outcome::Full,
         (500, _) => Outcome::Errored,
-        (400..=499, _) => return Reply::Unfit(status.as_u16(), report(load)),
+        (400..=499, _) => return Reply::Rejected(status.as_u16(), report(load)),
         _ => {
             warn!("unexpected status {status} from an executor in response to a job");
             Outcome::Errored
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -15,7 +15,7 @@
 use actix_service::{fn_service, Service, ServiceFactory};
 use bytes::Bytes;
 use coveroute::types::InvocationId;
-use coveroute_engine::{Phase, Verdict, Watched, UNASKED};
+use coveroute_engine::{Phase, Verdict, WatchEvent, NO_WATCH};
 use log::{debug, warn};
 use nix::errno::Errno;
 use tokio::io::{AsyncWriteExt, Interest};
@@ -245,8 +245,9 @@
     async fn news(&self, request: &mut Request) -> Answer {
         let (acknowledge, acknowledged) = self.node_state.paired().then(oneshot::channel).unzip();
         let acknowledge = Cell::new(acknowledge);
-        let news =
-            |body: &Bytes| Ok(DriverEvent::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
+        let news = |body: &Bytes| {
+            Ok(DriverEvent::JobReport(callbacks::parse(body)?, body.clone(), acknowledge.take()))
+        };
         let answer = self.forward_body(request, wire::MAX_BODY_BYTES, "a job status update", news).await;
         match (answer, acknowledged) {
             (Answer::Succeeded(body), Some(acknowledged)) => match acknowledged.await {
@@ -268,7 +269,7 @@
         }
         let list = |body: &Bytes| {
             let hosts = serde_json::from_slice::<Hosts>(body).map_err(|e| e.to_string())?;
-            Ok(DriverEvent::Watch(UNASKED, Watched::Listed(hosts.into())))
+            Ok(DriverEvent::Watch(NO_WATCH, WatchEvent::Listed(hosts.into())))
         };
         self.forward_body(&mut request, discovery::MAX_LIST_BYTES, "a list of executors", list).await
     }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -13,7 +13,7 @@
 use actix_rt::time::{sleep, timeout};
 use coveroute::types::{Outcome, PeerMessageKind, Report, Reports, Sizes, Standing};
 use coveroute_engine::{
-    Call, Figures, ListFigures, Listing, Memory, Phase, Reply, Tally, Watched, Word, UNASKED,
+    Call, Figures, JobStatus, ListFigures, Listing, Memory, Phase, Reply, Tally, WatchEvent, NO_WATCH,
 };
 use coveroute_fleet::Plan;
 use test_case::test_case;
@@ -103,7 +103,7 @@
 
 /// Discovery responds, so the list that the driver knows from before its start is current.
 pub fn discovery_connected() -> DriverEvent {
-    DriverEvent::Watch(UNASKED, Watched::Begun)
+    DriverEvent::Watch(NO_WATCH, WatchEvent::Established)
 }
 
 /// A driver that follows a list of executors `s-0`, `s-1`, ... at these addresses.
@@ -150,7 +150,7 @@
     forwarded(executor_connections, AckTimeouts { report_after: give_up_after, give_up_after })
         .await
         .into_iter()
-        .rfind(|told| *told != Reply::Unheard)
+        .rfind(|told| *told != Reply::NotAcknowledged)
 }
 
 /// A deadline in one second.
@@ -200,7 +200,7 @@
     let (addr, _executor) = executor("body", &["HTTP/1.1 20"]);
     let timeouts = AckTimeouts { report_after: 50 * MS, give_up_after: 100 * MS };
     let told = block(async { forwarded(&mut executor_connections(addr), timeouts).await });
-    assert_eq!(told, [Reply::Written, Reply::Unheard, ended(Outcome::TimedOut)]);
+    assert_eq!(told, [Reply::Written, Reply::NotAcknowledged, ended(Outcome::TimedOut)]);
 }
 
 const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
@@ -345,7 +345,7 @@
 #[test_case(503, false, ended(Outcome::Errored); "a 503 without the header may have run")]
 #[test_case(500, true, ended(Outcome::Errored); "an error may have run")]
 #[test_case(200, false, ended(Outcome::Errored); "a result is not expected there")]
-#[test_case(400, false, Reply::Unfit(400, Report::default()); "an invalid request")]
+#[test_case(400, false, Reply::Rejected(400, Report::default()); "an invalid request")]
 fn replies_follow_from_the_status(status: u16, rejected: bool, expected: Reply) {
     let mut headers = HeaderMap::new();
     let value = HeaderValue::from_static(if rejected { "1" } else { "0" });
@@ -586,16 +586,16 @@
 
 const DONE: &str = r#"{"id":"c","from":"s","state":"done","result":"\u00e9\n"}"#;
 
-#[test_case(r#"{"id":"c","from":"s","state":"running","share":0.4}"#, Some(Word::Alive); "progress")]
-#[test_case(DONE, Some(Word::Succeeded("é\n".into())); "done")]
-#[test_case(r#"{"id":"c","from":"s","state":"returned"}"#, Some(Word::Ended(Outcome::Full)); "given back")]
-#[test_case(r#"{"id":"c","from":"s","state":"lost","x":1}"#, Some(Word::Ended(Outcome::Reset)); "lost")]
-#[test_case(r#"{"id":"c","from":"s","state":"failed"}"#, Some(Word::Ended(Outcome::Errored)); "failed")]
+#[test_case(r#"{"id":"c","from":"s","state":"running","share":0.4}"#, Some(JobStatus::Running); "progress")]
+#[test_case(DONE, Some(JobStatus::Succeeded("é\n".into())); "done")]
+#[test_case(r#"{"id":"c","from":"s","state":"returned"}"#, Some(JobStatus::Ended(Outcome::Full)); "given back")]
+#[test_case(r#"{"id":"c","from":"s","state":"lost","x":1}"#, Some(JobStatus::Ended(Outcome::Reset)); "lost")]
+#[test_case(r#"{"id":"c","from":"s","state":"failed"}"#, Some(JobStatus::Ended(Outcome::Errored)); "failed")]
 #[test_case(r#"{"id":"c","from":"s","state":"done"}"#, None; "no result was made")]
 #[test_case(r#"{"id":"c","state":"done","result":""}"#, None; "without a sender")]
 #[test_case("[]", None; "not an object")]
-fn reports_are_parsed(text: &str, expected: Option<Word>) {
-    assert_eq!(callbacks::parse(text.as_bytes()).ok().map(|news| news.word), expected);
+fn reports_are_parsed(text: &str, expected: Option<JobStatus>) {
+    assert_eq!(callbacks::parse(text.as_bytes()).ok().map(|news| news.status), expected);
 }
 
 const LIST: &str = r#"{"version":3,"full":false,"servers":[{"id":"a","state":"draining"},
@@ -688,7 +688,7 @@
         Discovery::new(addr, events).follow(1, 0);
         let lost = timeout(seconds(4.0), async {
             while let Some(what) = event_receiver.recv().await {
-                if matches!(what, DriverEvent::Watch(1, coveroute_engine::Watched::Lost(_))) {
+                if matches!(what, DriverEvent::Watch(1, coveroute_engine::WatchEvent::Lost(_))) {
                     return;
                 }
             }
