--- a/crates/coveroute-drill/src/main.rs
+++ b/crates/coveroute-drill/src/main.rs
@@ -59,7 +59,7 @@
                 timeout: line.ttl.ok_or("no ttl")? / 1e3,
                 hint: line.hint.map(|hint| hint / 1e3),
                 memory: line.memory,
-                again: line.resent,
+                is_retry: line.resent,
                 key: line.partition_key.as_deref().and_then(|key| u64::from_str_radix(key, 16).ok()),
             }),
             Event::Settled => Input::Settled(Settled {
--- a/crates/coveroute-emu/src/baseline.rs
+++ b/crates/coveroute-emu/src/baseline.rs
@@ -10,7 +10,7 @@
     Budget, Effect, Entry, ExecutorIndex, Group, Input, InvocationId, List, Output, Settings, Settled,
     Standing, Submission,
 };
-use coveroute_engine::Decide;
+use coveroute_engine::Decisions;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -293,7 +293,7 @@
     }
 }
 
-impl Decide for Baseline {
+impl Decisions for Baseline {
     fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::List(list) => self.list(list, out),
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -11,7 +11,7 @@
     Budget, ExecutorIndex, InvocationId, Outcome as Ended, PeerMessageKind, Report, Settings,
 };
 use coveroute_engine::{
-    Action, Answer, Call, Decide, Engine, Event, JobReport, JobStatus, Listing, Phase, Reply, WatchEvent,
+    Action, Answer, Call, Decisions, Engine, Event, JobReport, JobStatus, Listing, Phase, Reply, WatchEvent,
 };
 use coveroute_shared::mark;
 
@@ -57,16 +57,16 @@
 }
 
 /// The decision logic of one engine.
-enum Decisions {
+enum DecisionLogic {
     Node(Box<Node>),
     Baseline(Box<Baseline>),
 }
 
-impl Decide for Decisions {
+impl Decisions for DecisionLogic {
     fn handle(&mut self, now: f64, input: coveroute::types::Input, out: &mut Vec<coveroute::types::Output>) {
         match self {
-            Decisions::Node(node) => Decide::handle(node.as_mut(), now, input, out),
-            Decisions::Baseline(baseline) => baseline.handle(now, input, out),
+            DecisionLogic::Node(node) => Decisions::handle(node.as_mut(), now, input, out),
+            DecisionLogic::Baseline(baseline) => baseline.handle(now, input, out),
         }
     }
 
@@ -77,29 +77,31 @@
         tenants: &[Option<usize>],
     ) {
         match self {
-            Decisions::Node(node) => Decide::apply_settings(node.as_mut(), settings, mappings, tenants),
-            Decisions::Baseline(baseline) => baseline.apply_settings(settings, mappings, tenants),
+            DecisionLogic::Node(node) => {
+                Decisions::apply_settings(node.as_mut(), settings, mappings, tenants)
+            }
+            DecisionLogic::Baseline(baseline) => baseline.apply_settings(settings, mappings, tenants),
         }
     }
 
     fn uses_operation(&self, operation: usize) -> bool {
         match self {
-            Decisions::Node(node) => Decide::uses_operation(node.as_ref(), operation),
-            Decisions::Baseline(baseline) => baseline.uses_operation(operation),
+            DecisionLogic::Node(node) => Decisions::uses_operation(node.as_ref(), operation),
+            DecisionLogic::Baseline(baseline) => baseline.uses_operation(operation),
         }
     }
 
     fn set_process_share(&mut self, factor: f64, budget: Option<Budget>) {
         match self {
-            Decisions::Node(node) => Decide::set_process_share(node.as_mut(), factor, budget),
-            Decisions::Baseline(baseline) => baseline.set_process_share(factor, budget),
+            DecisionLogic::Node(node) => Decisions::set_process_share(node.as_mut(), factor, budget),
+            DecisionLogic::Baseline(baseline) => baseline.set_process_share(factor, budget),
         }
     }
 
     fn untrusted_count(&self, now: f64) -> usize {
         match self {
-            Decisions::Node(node) => Decide::untrusted_count(node.as_ref(), now),
-            Decisions::Baseline(baseline) => baseline.untrusted_count(now),
+            DecisionLogic::Node(node) => Decisions::untrusted_count(node.as_ref(), now),
+            DecisionLogic::Baseline(baseline) => baseline.untrusted_count(now),
         }
     }
 }
@@ -210,7 +212,7 @@
 }
 
 struct NodeHost {
-    engine: Engine<Decisions>,
+    engine: Engine<DecisionLogic>,
     /// Number of the process: events for an earlier process are dropped.
     process: u64,
     wake: f64,
@@ -372,7 +374,7 @@
         let nodes = self.hosts.iter().flatten().count().max(1) as f64;
         let number: BTreeMap<u32, WorkerId> = (0..workers.len()).map(|at| (mark(&name(at)), at)).collect();
         for decisions in all_decisions {
-            if let Decisions::Node(node) = decisions {
+            if let DecisionLogic::Node(node) = decisions {
                 for (mark, share) in node.shares() {
                     number.get(&mark).into_iter().for_each(|&at| beta[at] += share / nodes);
                 }
@@ -388,17 +390,17 @@
         self.queue.push(at, Queued { node, process, ev });
     }
 
-    fn decisions(&self, setup: &coveroute_engine::Setup) -> Decisions {
+    fn decisions(&self, setup: &coveroute_engine::Setup) -> DecisionLogic {
         match self.policy {
-            Policy::Node => Decisions::Node(Box::new(Node::new(setup.settings.clone(), setup.seed))),
-            Policy::Violation(violation) => Decisions::Baseline(Box::new(Baseline::violation(
+            Policy::Node => DecisionLogic::Node(Box::new(Node::new(setup.settings.clone(), setup.seed))),
+            Policy::Violation(violation) => DecisionLogic::Baseline(Box::new(Baseline::violation(
                 setup.settings.clone(),
                 setup.seed,
                 violation,
             ))),
             Policy::Baseline(choice) => {
                 let baseline = Baseline::new(setup.settings.clone(), setup.seed, choice, self.oracle.clone());
-                Decisions::Baseline(Box::new(baseline))
+                DecisionLogic::Baseline(Box::new(baseline))
             }
         }
     }
@@ -678,7 +680,7 @@
         let deadline = self.world.clients.tries[tri as usize].deadline;
         let sent = self.world.clients.tries[tri as usize].at;
         let new_call = Call {
-            call: call(self.world.seed, tri).into(),
+            call_id: call(self.world.seed, tri).into(),
             class: op.name.clone(),
             caller: ask.tenant.map(|tenant| scenario.tenants[tenant].name.clone()),
             // Whole milliseconds, as in the protocol.
@@ -686,8 +688,8 @@
             hint: ask.hint,
             memory: Some(op.memory.0).filter(|memory| *memory > 0.0),
             key: None,
-            again: false,
-            came: CLOCK_BASE + now,
+            is_retry: false,
+            received_at: CLOCK_BASE + now,
         };
         self.notify(now, node, Event::CallReceived(id, &new_call));
     }
@@ -992,7 +994,7 @@
             }
             Answer::Throttled { pause } => (FinalAnswer::Refused, pause),
             Answer::Errored => (FinalAnswer::Failed, 0.0),
-            Answer::Unfit(_) => (FinalAnswer::Unfit, 0.0),
+            Answer::Rejected(_) => (FinalAnswer::Unfit, 0.0),
         };
         // The checker and the client both see the answer when it arrives, one latency later.
         self.schedule(
--- a/crates/coveroute-engine/src/answer.rs
+++ b/crates/coveroute-engine/src/answer.rs
@@ -3,13 +3,13 @@
 
 /// Why a call was rejected as invalid.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Unfit {
+pub enum Rejection {
     /// A call with the same id was received before.
-    Again,
+    DuplicateCall,
     /// The operation is unknown.
-    Operation,
+    UnknownOperation,
     /// An executor rejected it with this status.
-    TurnedAway(u16),
+    RejectedByExecutor(u16),
 }
 
 /// An invocation's final answer.
@@ -23,5 +23,5 @@
     },
     /// The job failed or may have run.
     Errored,
-    Unfit(Unfit),
+    Rejected(Rejection),
 }
--- a/crates/coveroute-engine/src/counts.rs
+++ b/crates/coveroute-engine/src/counts.rs
@@ -15,18 +15,18 @@
 
 /// The result of a job from the client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum JobResult {
     Succeeded,
     Throttled,
     Errored,
 }
 
-impl From<&Answer> for Verdict {
-    fn from(answer: &Answer) -> Verdict {
+impl From<&Answer> for JobResult {
+    fn from(answer: &Answer) -> JobResult {
         match answer {
-            Answer::Succeeded(_) => Verdict::Succeeded,
-            Answer::Throttled { .. } => Verdict::Throttled,
-            Answer::Errored | Answer::Unfit(_) => Verdict::Errored,
+            Answer::Succeeded(_) => JobResult::Succeeded,
+            Answer::Throttled { .. } => JobResult::Throttled,
+            Answer::Errored | Answer::Rejected(_) => JobResult::Errored,
         }
     }
 }
@@ -48,12 +48,12 @@
     }
 
     /// Counts a job. Operations that were not registered are ignored, as clients may invent names.
-    pub fn count(&mut self, operation: &str, verdict: Verdict) {
+    pub fn count(&mut self, operation: &str, result: JobResult) {
         let Some(tally) = self.operations.get_mut(operation) else { return };
-        match verdict {
-            Verdict::Succeeded => tally.succeeded += 1,
-            Verdict::Throttled => tally.throttled += 1,
-            Verdict::Errored => tally.errored += 1,
+        match result {
+            JobResult::Succeeded => tally.succeeded += 1,
+            JobResult::Throttled => tally.throttled += 1,
+            JobResult::Errored => tally.errored += 1,
         }
     }
 
@@ -62,9 +62,9 @@
     }
 }
 
-/// Figures on a node's list of executors.
+/// Metrics of a node's list of executors.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ListFigures {
+pub struct ListMetrics {
     pub version: u64,
     /// The name from `ListState::name`.
     pub state: &'static str,
@@ -76,9 +76,9 @@
     pub refused: u64,
 }
 
-/// Figures on a node for its operators.
+/// Metrics of a node for its operators.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct NodeMetrics {
     pub operations: Vec<(Arc<str>, Tally)>,
     pub forwards: u64,
     /// Jobs that are not answered yet.
@@ -86,7 +86,7 @@
     /// Listed executors, and how many of them the decisions currently avoid.
     pub listed: usize,
     pub avoided: usize,
-    pub list: ListFigures,
+    pub list: ListMetrics,
     pub applied: u64,
     pub rejected: u64,
 }
--- a/crates/coveroute-engine/src/decision_queue.rs
+++ b/crates/coveroute-engine/src/decision_queue.rs
@@ -3,16 +3,16 @@
 
 use coveroute::types::{Input, Output};
 
-use crate::decide::Decide;
+use crate::decisions::Decisions;
 
 pub struct DecisionQueue<D> {
-    decide: D,
+    decisions: D,
     inputs: VecDeque<Input>,
 }
 
-impl<D: Decide> DecisionQueue<D> {
-    pub fn new(decide: D) -> Self {
-        DecisionQueue { decide, inputs: VecDeque::new() }
+impl<D: Decisions> DecisionQueue<D> {
+    pub fn new(decisions: D) -> Self {
+        DecisionQueue { decisions, inputs: VecDeque::new() }
     }
 
     /// Queues an input. Inputs that arise while the outputs of an earlier one are applied wait until all of those are.
@@ -25,18 +25,18 @@
         self.inputs.drain(..).collect()
     }
 
-    pub fn decide(&self) -> &D {
-        &self.decide
+    pub fn decisions(&self) -> &D {
+        &self.decisions
     }
 
-    pub fn decide_mut(&mut self) -> &mut D {
-        &mut self.decide
+    pub fn decisions_mut(&mut self) -> &mut D {
+        &mut self.decisions
     }
 
     /// Handles the next input; returns whether there was one.
     pub fn handle_next(&mut self, now: f64, out: &mut Vec<Output>) -> bool {
         let Some(input) = self.inputs.pop_front() else { return false };
-        self.decide.handle(now, input, out);
+        self.decisions.handle(now, input, out);
         true
     }
 }
--- a/crates/coveroute-engine/src/decide.rs
+++ b/crates/coveroute-engine/src/decisions.rs
@@ -6,7 +6,7 @@
 use coveroute::types::{Budget, Input, Invocation, InvocationId, Operation, Output, Settings};
 
 /// The routing decisions. Nodes use `coveroute::node::Node`; other implementations exist only for comparison with it.
-pub trait Decide {
+pub trait Decisions {
     fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Output>);
 
     /// Applies new settings; `mappings` and `tenants` give the previous positions of their entries.
@@ -64,7 +64,7 @@
     fn set_process_share(&mut self, factor: f64, budget: Option<Budget>);
 }
 
-impl Decide for Node {
+impl Decisions for Node {
     fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Output>) {
         Node::handle(self, now, input, out);
     }
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -16,10 +16,10 @@
 use log::{debug, error, info, warn};
 
 use crate::admit::{admit, Call};
-use crate::answer::{Answer, Unfit};
-use crate::counts::{Counts, Figures, ListFigures, Verdict};
-use crate::decide::Decide;
+use crate::answer::{Answer, Rejection};
+use crate::counts::{Counts, JobResult, ListMetrics, NodeMetrics};
 use crate::decision_queue::DecisionQueue;
+use crate::decisions::Decisions;
 use crate::list::{AddressChange, Fleet, Listing};
 use crate::memory::Memory;
 use crate::operations::Operations;
@@ -84,7 +84,7 @@
     /// This node's current part of the tenants' fleet-wide quotas: invocations per second, by tenant name.
     Quotas(Vec<(String, f64)>),
     /// A front has ended a job of this operation that never reached the engine.
-    AnsweredByFront(&'a str, Verdict),
+    AnsweredByFront(&'a str, JobResult),
     /// The platform requests a stop.
     Stop,
     /// All open jobs have moved to another process, so there is nothing left to wait for.
@@ -296,14 +296,14 @@
     }
 }
 
-impl<D: Decide> Engine<D> {
+impl<D: Decisions> Engine<D> {
     /// Creates an engine with the given implementation of the decisions.
-    pub fn with_decisions(now: f64, decide: D, mut setup: Setup, out: &mut Vec<Action>) -> Self {
+    pub fn with_decisions(now: f64, decisions: D, mut setup: Setup, out: &mut Vec<Action>) -> Self {
         let names = std::mem::take(&mut setup.names.operations);
         let mut engine = Engine {
             timers: Timers::new(),
             phase: Phase::Starting,
-            queue: DecisionQueue::new(decide),
+            queue: DecisionQueue::new(decisions),
             fleet: Fleet::new(setup.names, setup.settings.only_draining),
             records: Records::default(),
             watch: 0,
@@ -354,7 +354,7 @@
     }
 
     pub fn decisions(&self) -> &D {
-        self.queue.decide()
+        self.queue.decisions()
     }
 
     /// Number of records held. It is bounded by what the fronts admit.
@@ -362,28 +362,28 @@
         self.records.len()
     }
 
-    /// The figures for the operators' interfaces.
-    pub fn figures(&self, now: f64) -> Figures {
-        Figures {
+    /// The metrics for the operators' interfaces.
+    pub fn metrics(&self, now: f64) -> NodeMetrics {
+        NodeMetrics {
             operations: self.counts.operations(),
             forwards: self.counts.forwards,
             outstanding: self.records.unanswered(),
             listed: self.fleet.listed_count(),
-            avoided: self.queue.decide().untrusted_count(now),
-            list: self.list_figures(now),
+            avoided: self.queue.decisions().untrusted_count(now),
+            list: self.list_metrics(now),
             applied: self.counts.applied,
             rejected: self.counts.rejected,
         }
     }
 
-    fn list_figures(&self, now: f64) -> ListFigures {
-        let decide = self.queue.decide();
-        ListFigures {
+    fn list_metrics(&self, now: f64) -> ListMetrics {
+        let decisions = self.queue.decisions();
+        ListMetrics {
             version: self.version,
-            state: decide.list_state().name(),
+            state: decisions.list_state().name(),
             first_heard: self.discovery_heard.map(|[first, _]| first - self.started_at),
             last_heard: self.discovery_heard.map(|[_, last]| now - last),
-            refused: decide.refused_without_list(),
+            refused: decisions.refused_without_list(),
         }
     }
 
@@ -397,17 +397,17 @@
     /// The state that is handed to the next process of this node.
     pub fn memory(&self) -> Memory {
         let calls = self.records.calls().map(|call| call.to_string()).collect();
-        let decide = self.queue.decide();
-        let current = decide.list_state().is_current();
+        let decisions = self.queue.decisions();
+        let current = decisions.list_state().is_current();
         Memory {
             current,
-            ..Memory::of(decide.measurements(), &self.fleet, &self.operations, self.version, calls)
+            ..Memory::of(decisions.measurements(), &self.fleet, &self.operations, self.version, calls)
         }
     }
 
     fn restore_memory(&mut self, now: f64, memory: Memory) {
         let measurements = memory.measurements(&self.fleet, &self.operations, now);
-        self.queue.decide_mut().restore_measurements(&measurements);
+        self.queue.decisions_mut().restore_measurements(&measurements);
         self.served_by_predecessor = memory.calls.into_iter().collect();
     }
 
@@ -421,7 +421,7 @@
         let (call, operation, end) = (record.call.to_string(), record.operation.to_string(), record.due);
         let ids = record.forwards.iter().map(|f| (self.fleet.id(f.tgt).to_owned(), f.sent, f.stage));
         let forwards: Vec<_> = ids.collect();
-        let mut invocation = self.queue.decide_mut().export_invocation(id)?;
+        let mut invocation = self.queue.decisions_mut().export_invocation(id)?;
         invocation.deadline = end; // The other process is not stopping, so the full deadline applies.
         let entry = self.entries[invocation.op].clone();
         let (timeout, kind) =
@@ -429,7 +429,7 @@
         let kind = kind.cloned();
         let parcel = Parcel { call, operation, entry, timeout, kind, end, invocation, forwards };
         if !parcel.is_sound() || !parcel.survives_round_trip() {
-            self.queue.decide_mut().import_invocation(id, parcel.invocation);
+            self.queue.decisions_mut().import_invocation(id, parcel.invocation);
             return None;
         }
         self.records.remove(id);
@@ -443,7 +443,7 @@
         let known = self.entries.len();
         invocation.op = self.operations.entry(&operation, timeout, &entry, &mut self.entries);
         if self.entries.len() > known {
-            self.queue.decide_mut().extend_operations(self.entries.clone());
+            self.queue.decisions_mut().extend_operations(self.entries.clone());
         }
         let forwards: Vec<Forward> = forwards
             .into_iter()
@@ -456,7 +456,7 @@
         let (due, end) = (end, end.min(self.answer_by));
         self.timers.schedule(end, Timer::Deadline(id));
         self.records.open(id, Record { call, operation, unanswered: true, end, due, forwards });
-        self.queue.decide_mut().import_invocation(id, invocation);
+        self.queue.decisions_mut().import_invocation(id, invocation);
         self.queue.push(Input::Timer(DISPATCH_TIMER));
         self.run_decisions(now, out);
     }
@@ -490,16 +490,16 @@
             Event::CapacityShare(part) => {
                 self.process_share = part;
                 let budget = self.process_budget();
-                self.queue.decide_mut().set_process_share(part * self.cold_factor, budget);
+                self.queue.decisions_mut().set_process_share(part * self.cold_factor, budget);
             }
             Event::Quotas(quotas) => {
                 let tenants = &self.fleet.names().tenants;
                 let at = |(name, quota)| Some((tenants.iter().position(|known| *known == name)?, quota));
                 let quotas: Vec<(usize, f64)> = quotas.into_iter().filter_map(at).collect();
-                self.queue.decide_mut().set_quotas(&quotas);
+                self.queue.decisions_mut().set_quotas(&quotas);
             }
             Event::ReloadFailed => self.counts.rejected += 1,
-            Event::AnsweredByFront(operation, verdict) => self.counts.count(operation, verdict),
+            Event::AnsweredByFront(operation, result) => self.counts.count(operation, result),
             Event::Stop => self.stop(now),
             Event::JobsHandedOver => {
                 self.step(Step::FrontNotified);
@@ -548,7 +548,7 @@
                 debug!(
                     "{id} is refused, list {} is {}",
                     self.version,
-                    self.queue.decide().list_state().name()
+                    self.queue.decisions().list_state().name()
                 );
                 self.answer(id, Answer::Throttled { pause }, out);
             }
@@ -641,22 +641,22 @@
     }
 
     pub(crate) fn accept_call(&mut self, now: f64, id: InvocationId, call: &Call, out: &mut Vec<Action>) {
-        let unfit = |why| Action::Answer { id, answer: Answer::Unfit(why) };
+        let rejected = |why| Action::Answer { id, answer: Answer::Rejected(why) };
         // Prevents a second effect of the same call, and clients from reusing the id of another one's call.
-        if self.records.knows(&call.call) || self.served_by_predecessor.contains(&*call.call) {
-            self.counts.count(&call.class, Verdict::Errored);
-            return out.push(unfit(Unfit::Again));
+        if self.records.knows(&call.call_id) || self.served_by_predecessor.contains(&*call.call_id) {
+            self.counts.count(&call.class, JobResult::Errored);
+            return out.push(rejected(Rejection::DuplicateCall));
         }
-        let age = now - call.came;
+        let age = now - call.received_at;
         debug!(
             "{id} accepted: call {}, {}, budget {:.3} s, received {age:.3} s ago",
-            call.call, call.class, call.budget
+            call.call_id, call.class, call.budget
         );
         match admit(id, call, &self.operations, self.fleet.names(), now) {
-            Ok(submission) => self.open(now, call.call.clone(), submission),
+            Ok(submission) => self.open(now, call.call_id.clone(), submission),
             Err(why) => {
-                self.counts.count(&call.class, Verdict::Errored);
-                out.push(unfit(why));
+                self.counts.count(&call.class, JobResult::Errored);
+                out.push(rejected(why));
             }
         }
     }
@@ -676,7 +676,7 @@
         let operation = self.records.mark_answered(id);
         if let Some(operation) = operation {
             debug!("{id} answered: {answer:?}");
-            self.counts.count(operation, Verdict::from(&answer));
+            self.counts.count(operation, JobResult::from(&answer));
             out.push(Action::Answer { id, answer });
         }
         operation.is_some()
@@ -730,10 +730,10 @@
             record.call,
             self.fleet.mark(tgt),
             self.version,
-            self.queue.decide().list_state().name()
+            self.queue.decisions().list_state().name()
         );
         record.forwards.push(Forward { tgt, sent: now, stage: Stage::Sending });
-        let write_until = self.queue.decide().write_until(id);
+        let write_until = self.queue.decisions().write_until(id);
         out.push(Action::Send { id, forward, tgt, end: record.end, write_until });
     }
 
@@ -754,7 +754,7 @@
             Reply::Rejected(status, report) => {
                 // Every other executor would reject it too, and each rejection would count against that executor.
                 info!("invocation {id} was rejected by its executor with status {status}");
-                self.send_final_answer(id, Answer::Unfit(Unfit::TurnedAway(status)), out);
+                self.send_final_answer(id, Answer::Rejected(Rejection::RejectedByExecutor(status)), out);
                 self.settle_forward(now, id, forward, Outcome::Rejected, report);
             }
             Reply::Written => self.counts.forwards += 1,
@@ -924,14 +924,15 @@
         self.cancelling = settings.cancelling;
         let entries = operations.into_iter().zip(timeouts).zip(std::mem::take(&mut settings.operations));
         let entries = entries.map(|((name, timeout), operation)| (name, timeout, operation)).collect();
-        let decide = self.queue.decide();
-        let mappings =
-            self.operations.apply_settings(now, entries, &mut self.entries, |at| decide.uses_operation(at));
+        let decisions = self.queue.decisions();
+        let mappings = self
+            .operations
+            .apply_settings(now, entries, &mut self.entries, |at| decisions.uses_operation(at));
         settings.operations = self.entries.clone();
         (self.cold_factor, self.budget) = (settings.cold.factor, settings.budget);
         settings.cold.factor *= self.process_share;
         settings.budget = self.process_budget();
-        self.queue.decide_mut().apply_settings(settings, &mappings, &tenants);
+        self.queue.decisions_mut().apply_settings(settings, &mappings, &tenants);
         self.register_operations();
         info!("settings applied: {} operations new or changed", mappings.len());
     }
--- a/crates/coveroute-engine/src/lib.rs
+++ b/crates/coveroute-engine/src/lib.rs
@@ -5,8 +5,8 @@
 mod admit;
 mod answer;
 mod counts;
-mod decide;
 mod decision_queue;
+mod decisions;
 mod engine;
 mod list;
 mod memory;
@@ -16,10 +16,10 @@
 mod records;
 mod timers;
 
-pub use admit::{Call, ANSWER_TAKES};
-pub use answer::{Answer, Unfit};
-pub use counts::{Figures, ListFigures, Tally, Verdict};
-pub use decide::Decide;
+pub use admit::{Call, ANSWER_RESERVE};
+pub use answer::{Answer, Rejection};
+pub use counts::{JobResult, ListMetrics, NodeMetrics, Tally};
+pub use decisions::Decisions;
 pub use engine::{
     Action, Engine, Event, JobReport, JobStatus, ReloadedSettings, Reply, Setup, WatchEvent, NO_WATCH,
 };
--- a/crates/coveroute-engine/src/tests.rs
+++ b/crates/coveroute-engine/src/tests.rs
@@ -69,15 +69,15 @@
 fn call(call: &str, class: &str, budget: f64) -> Call {
     let (call, class) = (call.into(), class.to_owned());
     Call {
-        call,
+        call_id: call,
         class,
         caller: Some("nobody".into()),
         budget,
         hint: None,
         memory: None,
         key: None,
-        again: false,
-        came: NOW,
+        is_retry: false,
+        received_at: NOW,
     }
 }
 
@@ -180,7 +180,7 @@
 fn a_rejection_as_invalid_is_passed_to_the_client() {
     let mut engine = with_forwards("look", &[SENDING]);
     let out = handle(&mut engine, NOW, Event::Replied(ID, 0, Reply::Rejected(400, Report::default())));
-    assert_eq!(answers(&out), [&Answer::Unfit(Unfit::TurnedAway(400))]);
+    assert_eq!(answers(&out), [&Answer::Rejected(Rejection::RejectedByExecutor(400))]);
     assert_eq!(engine.held(), 0, "it is not tried elsewhere");
 }
 
@@ -192,7 +192,7 @@
         handle(&mut engine, NOW, report(0, done()));
     }
     let out = handle(&mut engine, NOW, Event::CallReceived(ID + 1, &call(CALL, "look", 5.0)));
-    assert_eq!(answers(&out), [&Answer::Unfit(Unfit::Again)]);
+    assert_eq!(answers(&out), [&Answer::Rejected(Rejection::DuplicateCall)]);
     assert_eq!(engine.held(), usize::from(!ended), "the first one continues");
 }
 
@@ -455,9 +455,9 @@
 
 #[test_case("look", 2.0, 2.0, Ok(0.95); "elapsed time and the answer's delivery are subtracted")]
 #[test_case("look", 1e9, 2.0, Ok(3.95); "limited by the operation's timeout")]
-#[test_case("read", 2.0, 2.0, Err(Unfit::Operation); "an unknown operation")]
-fn calls_are_admitted(class: &str, budget: f64, now: f64, expected: Result<f64, Unfit>) {
-    let odd = Call { came: 1.0, ..call("c", class, budget) };
+#[test_case("read", 2.0, 2.0, Err(Rejection::UnknownOperation); "an unknown operation")]
+fn calls_are_admitted(class: &str, budget: f64, now: f64, expected: Result<f64, Rejection>) {
+    let odd = Call { received_at: 1.0, ..call("c", class, budget) };
     let admitted = admit(7, &odd, &operations(), &names(), now);
     assert_eq!(admitted.map(|sub| (sub.timeout * 1e3).round() / 1e3), expected);
 }
@@ -527,11 +527,11 @@
 fn a_removed_operation_is_served_for_one_timeout(after: f64, served: bool) {
     let mut engine = engine().0;
     reload(&mut engine, NOW, reloaded_settings(&["pay"], &[operation(Effect::NonIdempotent)], &[10.0], 4));
-    let late = Call { came: NOW + after, ..call("a", "look", 5.0) };
+    let late = Call { received_at: NOW + after, ..call("a", "look", 5.0) };
     let out = handle(&mut engine, NOW + after, Event::CallReceived(1, &late));
-    let unknown = Answer::Unfit(Unfit::Operation);
+    let unknown = Answer::Rejected(Rejection::UnknownOperation);
     assert_eq!(!answers(&out).contains(&&unknown), served, "{out:?}");
-    let look = engine.figures(NOW).operations.into_iter().find(|op| &*op.0 == "look").expect("its figures");
+    let look = engine.metrics(NOW).operations.into_iter().find(|op| &*op.0 == "look").expect("its figures");
     assert_eq!(look.1.errored, u64::from(!served));
 }
 
@@ -566,16 +566,16 @@
 fn each_job_is_counted_once_where_it_gets_its_answer() {
     let mut engine = with_forwards("look", &[TAKEN]);
     handle(&mut engine, NOW, Event::CallReceived(8, &call("left", "pay", 5.0)));
-    assert_eq!(engine.figures(NOW).outstanding, 2);
+    assert_eq!(engine.metrics(NOW).outstanding, 2);
     handle(&mut engine, NOW, report(0, done()));
     handle(&mut engine, NOW, report(0, done()));
     handle(&mut engine, NOW, Event::ClientDisconnected(8));
     handle(&mut engine, NOW, Event::CallReceived(9, &call(CALL, "look", 5.0)));
     handle(&mut engine, NOW, Event::CallReceived(10, &call("x", "made-up", 5.0)));
-    handle(&mut engine, NOW, Event::AnsweredByFront("pay", Verdict::Throttled));
+    handle(&mut engine, NOW, Event::AnsweredByFront("pay", JobResult::Throttled));
     handle(&mut engine, NOW, Event::Replied(ID, 0, Reply::Written));
     handle(&mut engine, NOW, Event::ReloadFailed);
-    let figures = engine.figures(NOW);
+    let figures = engine.metrics(NOW);
     let tallies: Vec<(&str, Tally)> = figures.operations.iter().map(|op| (&*op.0, op.1)).collect();
     let look = Tally { succeeded: 1, throttled: 0, errored: 1 };
     assert_eq!(tallies, [("look", look), ("pay", Tally { throttled: 1, ..Tally::default() })]);
@@ -586,15 +586,15 @@
 #[test]
 fn avoided_executors_are_those_excluded_by_the_decisions() {
     let mut engine = engine().0;
-    assert_eq!(engine.figures(NOW).avoided, 0);
+    assert_eq!(engine.metrics(NOW).avoided, 0);
     for _ in 0..2 {
         handle(&mut engine, NOW, Event::Probed(1, Outcome::Unreachable, Report::default()));
         handle(&mut engine, NOW, Event::Probed(1, Outcome::Unreachable, Report::default()));
     }
     let drained = listing(2, false, vec![host(1, Standing::Draining)]);
-    assert_eq!(engine.figures(NOW).avoided, 1);
+    assert_eq!(engine.metrics(NOW).avoided, 1);
     handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Listed(drained)));
-    let figures = engine.figures(NOW);
+    let figures = engine.metrics(NOW);
     assert_eq!((figures.avoided, figures.listed), (0, 2), "a draining executor does not count as avoided");
 }
 
@@ -616,7 +616,7 @@
     let drained = listing(5, false, vec![host(0, Standing::Draining)]);
     handle(&mut old, NOW, Event::Watch(1, WatchEvent::Listed(drained)));
     let mut new = successor(&old);
-    assert_eq!((new.phase(), new.figures(NOW).listed, new.figures(NOW).avoided), (Phase::Serving, 2, 1));
+    assert_eq!((new.phase(), new.metrics(NOW).listed, new.metrics(NOW).avoided), (Phase::Serving, 2, 1));
     let out = handle(&mut new, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     assert!(!out.iter().any(|action| matches!(action, Action::Send { tgt: 0, .. })), "it drains: {out:?}");
 }
@@ -627,7 +627,7 @@
     handle(&mut old, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     let mut new = successor(&old);
     let out = handle(&mut new, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
-    assert_eq!(answers(&out), [&Answer::Unfit(Unfit::Again)]);
+    assert_eq!(answers(&out), [&Answer::Rejected(Rejection::DuplicateCall)]);
     assert!(!new.knows("a"), "reports on it are passed on to the old process");
 }
 
@@ -655,7 +655,7 @@
         JobReport { call: "a".into(), from: format!("s-{tgt}"), status: done(), report: Report::default() };
     let out = handle(&mut new, NOW + 1.0, Event::JobReport(done));
     assert_eq!(answers(&out), [&Answer::Succeeded("r".into())]);
-    let pay = new.figures(NOW).operations.into_iter().find(|op| &*op.0 == "pay").expect("figures");
+    let pay = new.metrics(NOW).operations.into_iter().find(|op| &*op.0 == "pay").expect("figures");
     assert_eq!((pay.1.succeeded, new.held()), (1, 0));
 }
 
@@ -714,7 +714,7 @@
 /// Sends every submission to both executors at once and ignores the results.
 struct SendToBoth;
 
-impl Decide for SendToBoth {
+impl Decisions for SendToBoth {
     fn handle(&mut self, _: f64, input: Input, out: &mut Vec<Output>) {
         if let Input::Submitted(sub) = input {
             out.extend([0, 1].map(|tgt| Output::Forward { id: sub.id, tgt }));
--- a/crates/coveroute-node/src/answer.rs
+++ b/crates/coveroute-node/src/answer.rs
@@ -4,7 +4,7 @@
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 use coveroute_engine as engine;
-use coveroute_engine::Unfit;
+use coveroute_engine::Rejection;
 
 /// The final answer to a client's request.
 #[derive(Debug, PartialEq)]
@@ -25,13 +25,13 @@
             engine::Answer::Succeeded(result) => Answer::Succeeded(result),
             engine::Answer::Throttled { pause } => Answer::Throttled { pause },
             engine::Answer::Errored => Answer::Errored,
-            engine::Answer::Unfit(Unfit::Again) => {
+            engine::Answer::Rejected(Rejection::DuplicateCall) => {
                 Answer::Invalid(StatusCode::CONFLICT, "this call has come before")
             }
-            engine::Answer::Unfit(Unfit::Operation) => {
+            engine::Answer::Rejected(Rejection::UnknownOperation) => {
                 Answer::Invalid(StatusCode::NOT_FOUND, "no such operation")
             }
-            engine::Answer::Unfit(Unfit::TurnedAway(status)) => {
+            engine::Answer::Rejected(Rejection::RejectedByExecutor(status)) => {
                 let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
                 Answer::Invalid(status, "turned away by the executor")
             }
--- a/crates/coveroute-node/src/attempt.rs
+++ b/crates/coveroute-node/src/attempt.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use coveroute::types::InvocationId;
-use coveroute_engine::ANSWER_TAKES;
+use coveroute_engine::ANSWER_RESERVE;
 use log::{debug, warn};
 
 use crate::client_connection::ClientConnection;
@@ -46,7 +46,7 @@
 
     /// The time that the client has left.
     fn client_left(self, now: Instant) -> Duration {
-        (self.answer_by + seconds(ANSWER_TAKES)).saturating_duration_since(now)
+        (self.answer_by + seconds(ANSWER_RESERVE)).saturating_duration_since(now)
     }
 }
 
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -286,12 +286,12 @@
             }
             DriverEvent::Reload(Ok(config), plan) => self.reload(&config, plan),
             DriverEvent::Reload(Err(reason), _) => self.reject_reload(&reason),
-            DriverEvent::Ended(operation, verdict) => {
-                self.dispatch(Event::AnsweredByFront(&operation, verdict))
+            DriverEvent::Ended(operation, result) => {
+                self.dispatch(Event::AnsweredByFront(&operation, result))
             }
             DriverEvent::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
             DriverEvent::FiguresRequested(reply) => {
-                let (engine, attempts) = (self.engine.figures(self.clock.now()), self.attempts.figures());
+                let (engine, attempts) = (self.engine.metrics(self.clock.now()), self.attempts.figures());
                 let _ = reply.send(NodeFigures { engine, attempts });
             }
             DriverEvent::Stop => {
--- a/crates/coveroute-node/src/event.rs
+++ b/crates/coveroute-node/src/event.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use coveroute::types::{ExecutorIndex, InvocationId, Outcome, PeerMessageKind, Report};
-use coveroute_engine::{Figures, JobReport, Reply, Verdict, WatchEvent};
+use coveroute_engine::{JobReport, JobResult, NodeMetrics, Reply, WatchEvent};
 use coveroute_fleet::Plan;
 use tokio::sync::{mpsc, oneshot};
 
@@ -19,7 +19,7 @@
 /// The figures reported in the metrics: the engine's and those of attempts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeFigures {
-    pub engine: Figures,
+    pub engine: NodeMetrics,
     pub attempts: AttemptFigures,
 }
 
@@ -53,7 +53,7 @@
     /// there is one.
     Reload(Result<Box<Config>, String>, Option<Plan>),
     /// The server answered a request for this operation itself.
-    Ended(String, Verdict),
+    Ended(String, JobResult),
     /// Operators requested the metrics.
     FiguresRequested(oneshot::Sender<NodeFigures>),
     /// This node's current part of the tenants' shares.
--- a/crates/coveroute-node/src/handover.rs
+++ b/crates/coveroute-node/src/handover.rs
@@ -69,15 +69,15 @@
             headers.append(name, HeaderValue::from_bytes(value).ok()?);
         }
         let call = Call {
-            call: self.parcel.call.as_str().into(),
+            call_id: self.parcel.call.as_str().into(),
             class: self.parcel.operation.clone(),
             caller: None,
             budget: self.parcel.timeout,
             hint: None,
             memory: None,
             key: None,
-            again: false,
-            came: 0.0,
+            is_retry: false,
+            received_at: 0.0,
         };
         let method = Method::from_bytes(self.method.as_bytes()).ok()?;
         Some(Job { call, method, target: self.target.parse().ok()?, headers, body: self.body.clone().into() })
--- a/crates/coveroute-node/src/management.rs
+++ b/crates/coveroute-node/src/management.rs
@@ -11,7 +11,6 @@
 use actix_rt::task::JoinHandle;
 use actix_rt::time::{sleep, timeout};
 use actix_service::{Service, ServiceFactory};
-use coveroute_engine::ListFigures;
 use log::{debug, warn};
 use serde::Serialize;
 use tokio::sync::oneshot;
@@ -62,8 +61,8 @@
     refused_without: u64,
 }
 
-impl From<ListFigures> for ListMetrics {
-    fn from(list: ListFigures) -> ListMetrics {
+impl From<coveroute_engine::ListMetrics> for ListMetrics {
+    fn from(list: coveroute_engine::ListMetrics) -> ListMetrics {
         ListMetrics {
             version: list.version,
             state: list.state,
--- a/crates/coveroute-node/src/request.rs
+++ b/crates/coveroute-node/src/request.rs
@@ -28,9 +28,9 @@
     pub body: Bytes,
 }
 
-/// Reads the whole request; `came` is when its head had arrived. A request with an invalid head is rejected
+/// Reads the whole request; `received_at` is when its head had arrived. A request with an invalid head is rejected
 /// before its body is read, so that clients can't make the node read large bodies that it can't use.
-pub async fn read_job(mut request: Request, came: f64) -> Result<Job, Answer> {
+pub async fn read_job(mut request: Request, received_at: f64) -> Result<Job, Answer> {
     let invalid = |words| Answer::Invalid(StatusCode::BAD_REQUEST, words);
     if request.method() != Method::POST {
         return Err(Answer::Invalid(StatusCode::METHOD_NOT_ALLOWED, "jobs come by POST"));
@@ -66,15 +66,15 @@
     }
     let body = read_body(payload, &headers, wire::MAX_BODY_BYTES).await?;
     let call = Call {
-        call: call.into(),
+        call_id: call.into(),
         class: class.to_owned(),
         caller: text(wire::CALLER).map(str::to_owned),
         budget,
         hint: number(wire::CALL_COST).map(|us| us / 1e6),
         memory: text(wire::CALL_INFO).and_then(|info| info_value(info, "memory")),
-        again: text(wire::AGAIN) == Some("1"),
+        is_retry: text(wire::AGAIN) == Some("1"),
         key: text(wire::ROUTE_HASH).map(|key| random::hash(key.as_bytes())),
-        came,
+        received_at,
     };
     Ok(Job { call, method: head.method.clone(), target, headers, body })
 }
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -15,7 +15,7 @@
 use actix_service::{fn_service, Service, ServiceFactory};
 use bytes::Bytes;
 use coveroute::types::InvocationId;
-use coveroute_engine::{Phase, Verdict, WatchEvent, NO_WATCH};
+use coveroute_engine::{JobResult, Phase, WatchEvent, NO_WATCH};
 use log::{debug, warn};
 use nix::errno::Errno;
 use tokio::io::{AsyncWriteExt, Interest};
@@ -211,7 +211,7 @@
         mut request: Request,
         connection: Option<&Rc<ClientConnection>>,
     ) -> (Answer, AfterResponse) {
-        let came = connection
+        let received_at = connection
             .map_or_else(|| self.clock.now(), |connection| self.clock.at(connection.newest_arrival()));
         let answer = match (request.path(), request.method()) {
             (wire::UP, &Method::GET | &Method::HEAD) if self.node_state.is_up() => {
@@ -223,14 +223,14 @@
             (wire::HOSTS, _) => self.pushed_list(request).await,
             _ => {
                 let class = request::operation(request.path()).to_owned();
-                match request::read_job(request, came).await {
+                match request::read_job(request, received_at).await {
                     Ok(job) => {
                         connection.iter().for_each(|connection| connection.set_waiting());
                         return self.job(job, connection).await;
                     }
                     Err(invalid) => {
                         if !matches!(invalid, Answer::Invalid(_, request::BODY_INCOMPLETE)) {
-                            let _ = self.events.send(DriverEvent::Ended(class, Verdict::Errored));
+                            let _ = self.events.send(DriverEvent::Ended(class, JobResult::Errored));
                         }
                         invalid
                     }
@@ -311,7 +311,7 @@
         if self.connections.borrow().values().filter(is_waiting).count()
             > self.node_state.share_of(self.max_waiting)
         {
-            let _ = self.events.send(DriverEvent::Ended(job.call.class, Verdict::Throttled));
+            let _ = self.events.send(DriverEvent::Ended(job.call.class, JobResult::Throttled));
             return (
                 Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.node_state.max_pause()) },
                 AfterResponse::Close,
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -13,7 +13,7 @@
 use actix_rt::time::{sleep, timeout};
 use coveroute::types::{Outcome, PeerMessageKind, Report, Reports, Sizes, Standing};
 use coveroute_engine::{
-    Call, Figures, JobStatus, ListFigures, Listing, Memory, Phase, Reply, Tally, WatchEvent, NO_WATCH,
+    Call, JobStatus, ListMetrics, Listing, Memory, NodeMetrics, Phase, Reply, Tally, WatchEvent, NO_WATCH,
 };
 use coveroute_fleet::Plan;
 use test_case::test_case;
@@ -53,12 +53,12 @@
     Config::parse(&text, config::Environment::default()).expect("a valid configuration")
 }
 
-pub fn job(call: &str, class: &str, budget: f64, came: f64) -> Job {
+pub fn job(call: &str, class: &str, budget: f64, received_at: f64) -> Job {
     let target = wire::UP.parse().expect("a path");
     let (headers, method, body) = (HeaderMap::new(), Method::POST, "body".into());
-    let (call, class) = (call.into(), class.to_owned());
+    let (call_id, class) = (call.into(), class.to_owned());
     let (caller, hint, memory) = (Some("nobody".to_owned()), None, None);
-    let call = Call { call, class, caller, budget, hint, memory, key: None, again: false, came };
+    let call = Call { call_id, class, caller, budget, hint, memory, key: None, is_retry: false, received_at };
     Job { call, method, target, headers, body }
 }
 
@@ -389,7 +389,7 @@
     let headers = [ID, BUDGET, ("x-call-cost", "1500"), ("x-call-info", "slots=1, memory=0.5")];
     let job = block(request::read_job(request(&headers, b"\xff\0"), 3.0)).expect("a job");
     assert_eq!((job.target.as_str(), &job.body[..]), ("/look/a%20b?c=%2F", &b"\xff\0"[..]));
-    assert_eq!((&*job.call.class, job.call.budget, job.call.came), ("look", 0.48, 3.0));
+    assert_eq!((&*job.call.class, job.call.budget, job.call.received_at), ("look", 0.48, 3.0));
     assert_eq!((job.call.hint, job.call.memory), (Some(0.0015), Some(0.5)));
 }
 
@@ -1002,7 +1002,7 @@
     let told = |extra: &[(&'static str, &'static str)]| {
         let headers = [&[ID, BUDGET], extra].concat();
         let job = block(request::read_job(request(&headers, b""), 0.0)).expect("valid");
-        (job.call.key, job.call.again)
+        (job.call.key, job.call.is_retry)
     };
     let [one, same, another] =
         ["track-7", "track-7", "track-8"].map(|key| told(&[("x-route-hash", key), ("x-again", "1")]));
@@ -1141,15 +1141,21 @@
         actix_rt::spawn(async move {
             let tally = Tally { succeeded: 3, throttled: 2, errored: 1 };
             let operations = vec![("look".into(), tally)];
-            let list = ListFigures {
+            let list = ListMetrics {
                 version: 8,
                 state: "unheard",
                 last_heard: Some(2.5),
                 refused: 7,
-                ..ListFigures::default()
+                ..ListMetrics::default()
+            };
+            let engine = NodeMetrics {
+                operations,
+                forwards: 4,
+                outstanding: 5,
+                listed: 6,
+                list,
+                ..NodeMetrics::default()
             };
-            let engine =
-                Figures { operations, forwards: 4, outstanding: 5, listed: 6, list, ..Figures::default() };
             let attempts =
                 AttemptFigures { written: 4, overstated: 1, longest_excess: 0.25, ..Default::default() };
             let figures = NodeFigures { engine, attempts };
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -263,7 +263,7 @@
         // A retrying client has less of its timeout left, and its objective counts from the first attempt.
         // Where clients mark retries, an unmarked one is late by at most the time this node was stalled.
         stats.longest_timeout = stats.longest_timeout.max(sub.timeout);
-        let stall = if self.settings.clients_mark_retries && !sub.again {
+        let stall = if self.settings.clients_mark_retries && !sub.is_retry {
             now - self.last_inputs[0]
         } else {
             f64::INFINITY
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -59,7 +59,16 @@
 }
 
 fn submission(timeout: f64, operation: usize) -> Submission {
-    Submission { id: ID, operation, tenant: None, timeout, hint: None, memory: None, key: None, again: false }
+    Submission {
+        id: ID,
+        operation,
+        tenant: None,
+        timeout,
+        hint: None,
+        memory: None,
+        key: None,
+        is_retry: false,
+    }
 }
 
 #[test_case(&[8.0, 5.0, 2.0], 7.0, &[5.0, 2.0, 0.0]; "the paper's example two: the slowest is dropped")]
@@ -353,7 +362,7 @@
             hint: None,
             memory: None,
             key: None,
-            again: false,
+            is_retry: false,
         };
         node.handle(now, Input::Submitted(sub), &mut out);
         out.drain(..).filter(|o| matches!(o, Output::Forward { .. })).count()
@@ -1223,7 +1232,7 @@
     node.handle(1.0, Input::Submitted(Submission { id: 1, ..submission(9.0, 0) }), &mut out);
     node.last_inputs = [1.9, 1.95];
     out.clear();
-    node.on_submitted(2.0, Submission { again, ..submission(0.8, 0) }, &mut out);
+    node.on_submitted(2.0, Submission { is_retry: again, ..submission(0.8, 0) }, &mut out);
     assert_eq!((node.invocations.contains_key(&ID), out.is_empty()), (taken, taken));
 }
 
--- a/src/sampler/tests.rs
+++ b/src/sampler/tests.rs
@@ -209,7 +209,7 @@
                 hint: None,
                 memory: None,
                 key: None,
-                again: false,
+                is_retry: false,
             };
             self.deliver(due, Input::Submitted(sub));
         }
--- a/src/types.rs
+++ b/src/types.rs
@@ -259,7 +259,7 @@
     /// The data it works on, which an executor caches for a while.
     pub key: Option<u64>,
     /// Whether the client marks it as a retry.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// How a forward or a probe ended.
