--- a/crates/coveroute-emu/src/settings.rs
+++ b/crates/coveroute-emu/src/settings.rs
@@ -126,7 +126,7 @@
     known: Listing,
 ) -> Result<Setup, String> {
     let ReloadedSettings { settings, names, timeouts } = tuning(scenario, node, zone, false)?;
-    Ok(Setup { settings, names, seed, timeouts, known: Some(known), memory: None })
+    Ok(Setup { settings, names, seed, timeouts, known: Some(known), previous_state: None })
 }
 
 /// A listing in discovery's format; `base` is the list's clock at the scenario's start.
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -20,10 +20,10 @@
 use crate::counts::{Counts, JobResult, ListMetrics, NodeMetrics};
 use crate::decision_queue::DecisionQueue;
 use crate::decisions::Decisions;
+use crate::engine_state::EngineState;
+use crate::job_handover::JobHandover;
 use crate::list::{AddressChange, Fleet, Listing};
-use crate::memory::Memory;
 use crate::operations::Operations;
-use crate::parcel::Parcel;
 use crate::phase::{Phase, Step};
 use crate::records::{Forward, Record, Records, Stage};
 use crate::timers::Timers;
@@ -48,7 +48,7 @@
     /// The list of executors that this node last stored.
     pub known: Option<Listing>,
     /// State handed over by the previous process of this node, if any. Its list takes precedence over `known`.
-    pub memory: Option<Memory>,
+    pub previous_state: Option<EngineState>,
 }
 
 #[derive(Debug)]
@@ -325,15 +325,15 @@
             outputs: Vec::new(),
         };
         engine.register_operations();
-        let memory = setup.memory;
-        let age = match &memory {
-            Some(memory) if memory.current => InitialListAge::Current,
+        let previous_state = setup.previous_state;
+        let age = match &previous_state {
+            Some(state) if state.current => InitialListAge::Current,
             _ => InitialListAge::Unknown,
         };
-        let known = memory.as_ref().map(|memory| memory.listing.clone()).or(setup.known);
+        let known = previous_state.as_ref().map(|state| state.listing.clone()).or(setup.known);
         engine.apply_initial_list(now, age, known.unwrap_or_default(), out);
         engine.run_decisions(now, out);
-        memory.into_iter().for_each(|memory| engine.restore_memory(now, memory));
+        previous_state.into_iter().for_each(|state| engine.restore_state(now, state));
         if engine.list_pushed {
             engine.follow(out);
         }
@@ -395,50 +395,57 @@
     }
 
     /// The state that is handed to the next process of this node.
-    pub fn memory(&self) -> Memory {
+    pub fn state(&self) -> EngineState {
         let calls = self.records.calls().map(|call| call.to_string()).collect();
         let decisions = self.queue.decisions();
         let current = decisions.list_state().is_current();
-        Memory {
+        EngineState {
             current,
-            ..Memory::of(decisions.measurements(), &self.fleet, &self.operations, self.version, calls)
+            ..EngineState::new(decisions.measurements(), &self.fleet, &self.operations, self.version, calls)
         }
     }
 
-    fn restore_memory(&mut self, now: f64, memory: Memory) {
-        let measurements = memory.measurements(&self.fleet, &self.operations, now);
+    fn restore_state(&mut self, now: f64, state: EngineState) {
+        let measurements = state.measurements(&self.fleet, &self.operations, now);
         self.queue.decisions_mut().restore_measurements(&measurements);
-        self.served_by_predecessor = memory.calls.into_iter().collect();
+        self.served_by_predecessor = state.calls.into_iter().collect();
     }
 
     /// Removes a job so that another process can continue it, without answering the client or notifying executors.
     /// Returns `None` while a forward is unacknowledged, because its connection belongs to this process.
-    pub fn hand_over_job(&mut self, id: InvocationId) -> Option<Parcel> {
+    pub fn hand_over_job(&mut self, id: InvocationId) -> Option<JobHandover> {
         let record = self.records.get(id).filter(|record| record.unanswered)?;
         if record.forwards.iter().any(|forward| forward.stage == Stage::Sending) {
             return None;
         }
-        let (call, operation, end) = (record.call.to_string(), record.operation.to_string(), record.due);
+        let (call, operation, deadline) = (record.call.to_string(), record.operation.to_string(), record.due);
         let ids = record.forwards.iter().map(|f| (self.fleet.id(f.tgt).to_owned(), f.sent, f.stage));
         let forwards: Vec<_> = ids.collect();
         let mut invocation = self.queue.decisions_mut().export_invocation(id)?;
-        invocation.deadline = end; // The other process is not stopping, so the full deadline applies.
+        invocation.deadline = deadline; // The other process is not stopping, so the full deadline applies.
         let entry = self.entries[invocation.op].clone();
         let (timeout, kind) =
             (self.operations.timeout(invocation.op), entry.kind.and_then(|kind| self.fleet.kind(kind)));
         let kind = kind.cloned();
-        let parcel = Parcel { call, operation, entry, timeout, kind, end, invocation, forwards };
-        if !parcel.is_sound() || !parcel.survives_round_trip() {
-            self.queue.decisions_mut().import_invocation(id, parcel.invocation);
+        let handover = JobHandover { call, operation, entry, timeout, kind, deadline, invocation, forwards };
+        if !handover.is_consistent() || !handover.survives_round_trip() {
+            self.queue.decisions_mut().import_invocation(id, handover.invocation);
             return None;
         }
         self.records.remove(id);
-        Some(parcel)
+        Some(handover)
     }
 
     /// Continues a job of another process, under an id of this one.
-    pub fn take_over_job(&mut self, now: f64, id: InvocationId, parcel: Parcel, out: &mut Vec<Action>) {
-        let Parcel { call, operation, mut entry, timeout, kind, end, mut invocation, forwards } = parcel;
+    pub fn take_over_job(
+        &mut self,
+        now: f64,
+        id: InvocationId,
+        handover: JobHandover,
+        out: &mut Vec<Action>,
+    ) {
+        let JobHandover { call, operation, mut entry, timeout, kind, deadline, mut invocation, forwards } =
+            handover;
         entry.kind = kind.map(|kind| self.fleet.kind_number(&kind));
         let known = self.entries.len();
         invocation.op = self.operations.entry(&operation, timeout, &entry, &mut self.entries);
@@ -453,7 +460,7 @@
         self.served_by_predecessor.remove(&call);
         let (call, operation) = (Arc::from(call), self.operations.name(invocation.op).clone());
         self.counts.register(&operation);
-        let (due, end) = (end, end.min(self.answer_by));
+        let (due, end) = (deadline, deadline.min(self.answer_by));
         self.timers.schedule(end, Timer::Deadline(id));
         self.records.open(id, Record { call, operation, unanswered: true, end, due, forwards });
         self.queue.decisions_mut().import_invocation(id, invocation);
--- a/crates/coveroute-engine/src/memory.rs
+++ b/crates/coveroute-engine/src/engine_state.rs
@@ -10,7 +10,7 @@
 type Rows = Vec<(String, Row)>;
 
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Memory {
+pub struct EngineState {
     pub listing: Listing,
     /// The list was watched until the handover. State from older versions of the program lacks this field.
     #[serde(default)]
@@ -22,10 +22,10 @@
     pub tenants: Rows,
     pub kinds: Rows,
     pub node: Row,
-    #[serde(default)]
-    pub taken: Row,
-    #[serde(default)]
-    pub further: Row,
+    #[serde(default, rename = "taken")]
+    pub arrivals: Row,
+    #[serde(default, rename = "further")]
+    pub further_forwards: Row,
 }
 
 /// Converts rows by number to rows by name; rows without a name are left out.
@@ -38,8 +38,8 @@
     rows.iter().filter_map(|(name, row)| Some((number(name)?, row.clone()))).collect()
 }
 
-impl Memory {
-    pub fn of(
+impl EngineState {
+    pub fn new(
         measurements: Measurements,
         fleet: &Fleet,
         operations: &Operations,
@@ -47,7 +47,7 @@
         calls: Vec<String>,
     ) -> Self {
         let names = fleet.names();
-        Memory {
+        EngineState {
             listing: fleet.listing(version),
             current: false,
             calls,
@@ -56,8 +56,8 @@
             tenants: by_name(measurements.tenants, |at| names.tenants.get(at).map(String::as_str)),
             kinds: by_name(measurements.kinds, |at| names.kinds.get(at).map(String::as_str)),
             node: measurements.node,
-            taken: measurements.arrivals,
-            further: measurements.further_forwards,
+            arrivals: measurements.arrivals,
+            further_forwards: measurements.further_forwards,
         }
     }
 
@@ -70,8 +70,8 @@
             tenants: by_number(&self.tenants, |name| at(tenants, name)),
             kinds: by_number(&self.kinds, |name| at(kinds, name)),
             node: self.node.clone(),
-            arrivals: self.taken.clone(),
-            further_forwards: self.further.clone(),
+            arrivals: self.arrivals.clone(),
+            further_forwards: self.further_forwards.clone(),
         }
     }
 }
--- a/crates/coveroute-engine/src/parcel.rs
+++ b/crates/coveroute-engine/src/job_handover.rs
@@ -6,7 +6,7 @@
 use crate::records::Stage;
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Parcel {
+pub struct JobHandover {
     pub call: String,
     /// The operation as of the job's admission: name, settings, client timeout and required kind of executor.
     pub operation: String,
@@ -14,22 +14,23 @@
     pub timeout: f64,
     pub kind: Option<String>,
     /// Deadline of the client.
-    pub end: f64,
+    #[serde(rename = "end")]
+    pub deadline: f64,
     #[serde(rename = "inv")]
     pub invocation: Invocation,
     /// Executor, time of sending and stage of each forward.
     pub forwards: Vec<(String, f64, Stage)>,
 }
 
-impl Parcel {
-    /// Whether the parts are consistent. A parcel received over a link may not come from an engine.
-    pub fn is_sound(&self) -> bool {
+impl JobHandover {
+    /// Whether the parts are consistent. A handover received over a link may not come from an engine.
+    pub fn is_consistent(&self) -> bool {
         self.invocation.forwards.len() == self.forwards.len() && self.timeout > 0.0
     }
 
-    /// Whether the parcel can be read back from its JSON form. A job with a number that JSON cannot represent stays here.
+    /// Whether the handover can be read back from its JSON form. A job with a number that JSON cannot represent stays here.
     pub fn survives_round_trip(&self) -> bool {
         let json = serde_json::to_vec(self);
-        json.is_ok_and(|json| serde_json::from_slice::<Parcel>(&json).is_ok())
+        json.is_ok_and(|json| serde_json::from_slice::<JobHandover>(&json).is_ok())
     }
 }
--- a/crates/coveroute-engine/src/lib.rs
+++ b/crates/coveroute-engine/src/lib.rs
@@ -8,10 +8,10 @@
 mod decision_queue;
 mod decisions;
 mod engine;
+mod engine_state;
+mod job_handover;
 mod list;
-mod memory;
 mod operations;
-mod parcel;
 mod phase;
 mod records;
 mod timers;
@@ -23,9 +23,9 @@
 pub use engine::{
     Action, Engine, Event, JobReport, JobStatus, ReloadedSettings, Reply, Setup, WatchEvent, NO_WATCH,
 };
+pub use engine_state::EngineState;
+pub use job_handover::JobHandover;
 pub use list::{Host, Listing};
-pub use memory::Memory;
-pub use parcel::Parcel;
 pub use phase::{Phase, Step};
 pub use records::Stage;
 
--- a/crates/coveroute-engine/src/tests.rs
+++ b/crates/coveroute-engine/src/tests.rs
@@ -59,7 +59,8 @@
         ..Settings::default()
     };
     let known = Some(listing(1, true, (0..2).map(|at| host(at, Standing::Ready)).collect()));
-    let setup = Setup { settings, names: names(), seed: 1, timeouts: vec![5.0, 10.0], known, memory: None };
+    let setup =
+        Setup { settings, names: names(), seed: 1, timeouts: vec![5.0, 10.0], known, previous_state: None };
     let mut out = Vec::new();
     let mut engine = Engine::new(NOW - 0.1, setup, &mut out);
     engine.advance(NOW, &mut out);
@@ -372,7 +373,8 @@
     let settings =
         Settings { nodes: 1, operations: vec![operation(Effect::Idempotent); 2], ..Settings::default() };
     let known = Some(listing(1, true, vec![host(0, Standing::Ready)]));
-    let setup = Setup { settings, names: names(), seed: 1, timeouts: vec![5.0, 10.0], known, memory: None };
+    let setup =
+        Setup { settings, names: names(), seed: 1, timeouts: vec![5.0, 10.0], known, previous_state: None };
     let mut out = Vec::new();
     (Engine::new(NOW, setup, &mut out), out)
 }
@@ -602,8 +604,8 @@
 fn successor(old: &Engine) -> Engine {
     let operations = vec![operation(Effect::Idempotent), operation(Effect::NonIdempotent)];
     let settings = Settings { nodes: 1, operations, max_forwards: 4, ..Settings::default() };
-    let (names, memory) = (names(), Some(old.memory()));
-    let setup = Setup { settings, names, seed: 2, timeouts: vec![5.0, 10.0], known: None, memory };
+    let (names, previous_state) = (names(), Some(old.state()));
+    let setup = Setup { settings, names, seed: 2, timeouts: vec![5.0, 10.0], known: None, previous_state };
     Engine::new(NOW, setup, &mut Vec::new())
 }
 
@@ -643,13 +645,13 @@
     let mut new = successor(&old);
     assert!(old.hand_over_job(1).is_none(), "its connection to the executor is still in use here");
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Taken));
-    let parcel = old.hand_over_job(1).expect("a parcel");
-    assert!(parcel.survives_round_trip() && !old.knows("a") && old.held() == 0);
+    let handover = old.hand_over_job(1).expect("a handover");
+    assert!(handover.survives_round_trip() && !old.knows("a") && old.held() == 0);
     let mut out = Vec::new();
     old.advance(NOW + 20.0, &mut out);
     assert!(answers(&out).is_empty() && !out.iter().any(|a| matches!(a, Action::Cancel { .. })), "{out:?}");
     let mut out = Vec::new();
-    new.take_over_job(NOW, 7, parcel, &mut out);
+    new.take_over_job(NOW, 7, handover, &mut out);
     assert!(new.knows("a") && sent(&out).is_none(), "it is sent already: {out:?}");
     let done =
         JobReport { call: "a".into(), from: format!("s-{tgt}"), status: done(), report: Report::default() };
@@ -668,8 +670,8 @@
     let mut new = successor(&old);
     let free = [operation(Effect::Idempotent), operation(Effect::Idempotent)];
     reload(&mut new, NOW, reloaded_settings(&["look", "pay"], &free, &[5.0, 3.0], 4));
-    let parcel = old.hand_over_job(1).expect("a parcel");
-    new.take_over_job(NOW, 7, parcel, &mut Vec::new());
+    let handover = old.hand_over_job(1).expect("a handover");
+    new.take_over_job(NOW, 7, handover, &mut Vec::new());
     let reset = Reply::Ended(Outcome::Reset, Report::default());
     let out = handle(&mut new, NOW + 5.0, Event::Replied(7, 0, reset));
     assert_eq!(answers(&out), [&Answer::Errored], "it may have run, and may not run again");
@@ -702,9 +704,12 @@
     let out = handle(&mut old, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
     assert!(out.iter().any(|action| matches!(action, Action::Send { .. })));
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Ended(Outcome::Full, Report::default())));
-    assert!(old.memory().further.len() <= 1 && old.memory().taken.len() == 1);
+    assert!(old.state().further_forwards.len() <= 1 && old.state().arrivals.len() == 1);
     let new = budgeted(Some(&old));
-    assert_eq!((new.memory().taken, new.memory().further), (old.memory().taken, old.memory().further));
+    assert_eq!(
+        (new.state().arrivals, new.state().further_forwards),
+        (old.state().arrivals, old.state().further_forwards)
+    );
     handle(&mut old, NOW, Event::CapacityShare(0.25));
     assert_eq!((left(&old), left(&new)), (Some((0.0, 0.0)), Some((2.0, 0.5))));
     handle(&mut old, NOW, Event::CapacityShare(1.0));
@@ -741,7 +746,7 @@
     let settings =
         Settings { nodes: 1, operations: vec![operation(Effect::Idempotent)], ..Settings::default() };
     let known = Some(listing(1, true, (0..2).map(|at| host(at, Standing::Ready)).collect()));
-    let setup = Setup { settings, names: names(), seed: 1, timeouts: vec![5.0], known, memory: None };
+    let setup = Setup { settings, names: names(), seed: 1, timeouts: vec![5.0], known, previous_state: None };
     let mut engine = Engine::with_decisions(NOW, SendToBoth, setup, &mut Vec::new());
     let mut handle = |now, event: Event| {
         let mut out = Vec::new();
@@ -765,11 +770,54 @@
     handle(&mut old, NOW, Event::CallReceived(1, &call("a", "pay", 9.0)));
     handle(&mut old, NOW, Event::Stop);
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Taken));
-    let parcel = old.hand_over_job(1).expect("a parcel");
+    let handover = old.hand_over_job(1).expect("a handover");
     assert!(
-        parcel.end > NOW + 8.0 && parcel.invocation.deadline == parcel.end,
+        handover.deadline > NOW + 8.0 && handover.invocation.deadline == handover.deadline,
         "{} {}",
-        parcel.end,
-        parcel.invocation.deadline
+        handover.deadline,
+        handover.invocation.deadline
+    );
+}
+
+// The two processes of a replacement may be of different releases, which must agree on these names.
+#[test]
+fn handed_over_state_keeps_its_serialized_names() {
+    let keys = |value: &serde_json::Value| -> String {
+        let keys: Vec<&str> = value.as_object().expect("an object").keys().map(String::as_str).collect();
+        keys.join(" ")
+    };
+    let mut old = engine().0;
+    handle(&mut old, NOW, Event::CallReceived(1, &call("a", "pay", 9.0)));
+    handle(&mut old, NOW, Event::Replied(1, 0, Reply::Taken));
+    let state = serde_json::to_value(old.state()).expect("JSON");
+    assert_eq!(keys(&state), "calls current executors further kinds listing node operations taken tenants");
+    let handover = serde_json::to_value(old.hand_over_job(1).expect("a handover")).expect("JSON");
+    assert_eq!(keys(&handover), "call end entry forwards inv kind operation timeout");
+    assert_eq!(
+        keys(&handover["inv"]),
+        "again aim cross end forwards gap hasty hint hopeless key life load memory op press sample spare until worth"
+    );
+    assert_eq!(keys(&handover["inv"]["forwards"][0]), "errored fate kept late sent sure tgt told vain wait");
+    assert_eq!(
+        (&handover["inv"]["life"], &handover["inv"]["forwards"][0]["fate"]),
+        (&"Out".into(), &"Out".into())
     );
 }
+
+// Recorded runs of the emulator contain these texts.
+#[test]
+fn replies_and_watch_events_keep_their_debug_text() {
+    let text = |value: &dyn std::fmt::Debug| format!("{value:?}");
+    let report = Report::default();
+    let body = "Report { free: None, queue: None, inflight: None, util: None, memory: None }";
+    assert_eq!(text(&Reply::NotAcknowledged), "Unheard");
+    assert_eq!(text(&Reply::Rejected(400, report)), format!("Unfit(400, {body})"));
+    assert_eq!(text(&Reply::Ended(Outcome::NotWritten, report)), format!("Ended(Moot, {body})"));
+    assert_eq!(text(&Reply::Ended(Outcome::Rejected, report)), format!("Ended(Unfit, {body})"));
+    assert_eq!(text(&Reply::Succeeded("r".into(), report)), format!("Succeeded(b\"r\", {body})"));
+    assert_eq!(text(&WatchEvent::Established), "Begun");
+    assert_eq!(text(&WatchEvent::Lost(Loss::Missed(1.5))), "Lost(Missed(1.5))");
+    assert_eq!(text(&WatchEvent::Lost(Loss::Unspecified)), "Lost(Unsaid)");
+    let kinds = [PeerMessageKind::Held, PeerMessageKind::Query, PeerMessageKind::FreeSlots];
+    assert_eq!(text(&kinds), "[Held, Asks, Room]");
+}
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -165,9 +165,9 @@
         };
         let peers = datagrams.map(listen).transpose()?;
         let (predecessor, handover_state) = predecessor.unzip();
-        let memory = handover_state.map(|state| state.memory(discovery));
+        let previous_state = handover_state.map(|state| state.memory(discovery));
         let reports = settings.reports != Reports::Never;
-        let setup = Setup { settings, names, seed, timeouts, known, memory };
+        let setup = Setup { settings, names, seed, timeouts, known, previous_state };
         let mut actions = Vec::new();
         let mut driver = Driver {
             clock,
@@ -273,7 +273,7 @@
             DriverEvent::HandoverRequested(reply) => {
                 let _ = reply.send(HandoverState::of(
                     self.applied.discovery,
-                    self.engine.memory(),
+                    self.engine.state(),
                     self.clock.reading(),
                 ));
             }
@@ -468,7 +468,7 @@
 
     /// Continues a job that the predecessor handed over.
     fn adopt_job(&mut self, transferred: TransferredJob, socket: OwnedFd) {
-        let job = transferred.job().filter(|_| transferred.parcel.is_sound());
+        let job = transferred.job().filter(|_| transferred.parcel.is_consistent());
         let Some(job) = job else { return error!("invalid job handed over by the predecessor") };
         let (id, (answer, answered)) = (self.node_state.next_id(), oneshot::channel());
         // The client may have disconnected during the handover, so the socket is checked before anything is sent.
@@ -498,9 +498,9 @@
                 Handover::Idle => successor.send_connection(socket),
                 Handover::Waiting(id) => {
                     let Some(job) = self.jobs.get(&id).map(|pending| pending.job.clone()) else { continue };
-                    let Some(parcel) = self.engine.hand_over_job(id) else { continue };
+                    let Some(handover) = self.engine.hand_over_job(id) else { continue };
                     self.jobs.remove(&id);
-                    successor.send_job(TransferredJob::of(parcel, &job), socket);
+                    successor.send_job(TransferredJob::of(handover, &job), socket);
                 }
             }
             connection.set_handed_over();
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -217,8 +217,8 @@
         let (answer, _answered) = oneshot::channel();
         let now = before.clock.now();
         before.handle_event(DriverEvent::Accepted(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
-        let parcel = before.engine.hand_over_job(ID).expect("a waiting job");
-        let transferred = TransferredJob::of(parcel, &job(CALL, "look", 9.0, now));
+        let handover = before.engine.hand_over_job(ID).expect("a waiting job");
+        let transferred = TransferredJob::of(handover, &job(CALL, "look", 9.0, now));
         let server = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let client =
             std::net::TcpStream::connect(server.local_addr().expect("an address")).expect("a server");
--- a/crates/coveroute-node/src/handover.rs
+++ b/crates/coveroute-node/src/handover.rs
@@ -3,7 +3,7 @@
 
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::Method;
-use coveroute_engine::{Call, Memory, Parcel};
+use coveroute_engine::{Call, EngineState, JobHandover};
 use serde::{Deserialize, Serialize};
 
 use crate::clock::{Clock, Reading};
@@ -14,14 +14,14 @@
 pub struct HandoverState {
     /// The discovery service that the list came from. Another service's list versions are unrelated.
     discovery: SocketAddr,
-    memory: Memory,
+    memory: EngineState,
     /// The clock that all times in the handed-over state refer to. Older releases don't send it.
     #[serde(default)]
     clock: Option<Reading>,
 }
 
 impl HandoverState {
-    pub fn of(discovery: SocketAddr, memory: Memory, clock: Option<Reading>) -> Self {
+    pub fn of(discovery: SocketAddr, memory: EngineState, clock: Option<Reading>) -> Self {
         HandoverState { discovery, memory, clock }
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// The engine's state. If it came from another discovery service than `discovery`, its list version is reset.
-    pub fn memory(mut self, discovery: SocketAddr) -> Memory {
+    pub fn memory(mut self, discovery: SocketAddr) -> EngineState {
         if self.discovery != discovery {
             self.memory.listing.version = 0;
         }
@@ -42,7 +42,7 @@
 /// A job in progress: the engine's state of it, and the client's request.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct TransferredJob {
-    pub parcel: Parcel,
+    pub parcel: JobHandover,
     method: String,
     target: String,
     headers: Vec<(String, Vec<u8>)>,
@@ -50,10 +50,10 @@
 }
 
 impl TransferredJob {
-    pub fn of(parcel: Parcel, job: &Job) -> Self {
+    pub fn of(handover: JobHandover, job: &Job) -> Self {
         let headers = job.headers.iter().map(|(name, value)| (name.as_str().into(), value.as_bytes().into()));
         TransferredJob {
-            parcel,
+            parcel: handover,
             method: job.method.as_str().into(),
             target: job.target.as_str().into(),
             headers: headers.collect(),
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -13,7 +13,8 @@
 use actix_rt::time::{sleep, timeout};
 use coveroute::types::{Outcome, PeerMessageKind, Report, Reports, Sizes, Standing};
 use coveroute_engine::{
-    Call, JobStatus, ListMetrics, Listing, Memory, NodeMetrics, Phase, Reply, Tally, WatchEvent, NO_WATCH,
+    Call, EngineState, JobStatus, ListMetrics, Listing, NodeMetrics, Phase, Reply, Tally, WatchEvent,
+    NO_WATCH,
 };
 use coveroute_fleet::Plan;
 use test_case::test_case;
@@ -476,7 +477,7 @@
 #[test]
 fn link_messages_keep_their_serialized_names() {
     let clock = Clock::new().reading();
-    let state = HandoverState::of(([127, 0, 0, 1], 1).into(), Memory::default(), clock);
+    let state = HandoverState::of(([127, 0, 0, 1], 1).into(), EngineState::default(), clock);
     let text = |message: &Message| serde_json::to_value(message).expect("JSON");
     assert_eq!(text(&Message::Hello(1)), serde_json::json!({"Hello": 1}));
     assert_eq!(text(&Message::Serving), "Serves");
