--- a/crates/coveroute-drill/src/main.rs
+++ b/crates/coveroute-drill/src/main.rs
@@ -74,7 +74,7 @@
             Event::Expired => Input::Expired(id()?),
             Event::Timer => Input::Timer(line.cookie.unwrap_or(0)),
             Event::Health => Input::Probed {
-                tgt: self.roster.number(line.executor.as_deref().ok_or("no executor")?),
+                executor_index: self.roster.number(line.executor.as_deref().ok_or("no executor")?),
                 outcome: outcome(line.verdict.as_deref())?,
                 report: line.gauge.unwrap_or_default().into(),
             },
@@ -84,8 +84,8 @@
                 let unparsed = (PeerMessageKind::Held, u32::MAX, 0);
                 let (kind, mark, count) =
                     parse_message(line.contents.as_deref().unwrap_or("")).unwrap_or(unparsed);
-                let tgt = self.roster.by_mark(mark).unwrap_or(ExecutorIndex::MAX);
-                Input::PeerMessage { from, kind, tgt, count }
+                let executor_index = self.roster.by_mark(mark).unwrap_or(ExecutorIndex::MAX);
+                Input::PeerMessage { from, kind, executor_index, count }
             }
             Event::Members => {
                 let scope = line.scope.as_deref().ok_or("no scope")?;
@@ -109,8 +109,8 @@
 
     fn write_output(&self, me: i64, output: &Output, reply: &mut String) {
         let _ = match output {
-            Output::Forward { id, tgt } => {
-                let executor = self.roster.id(*tgt);
+            Output::Forward { id, executor_index } => {
+                let executor = self.roster.id(*executor_index);
                 writeln!(reply, r#"{{"what":"TRY","nodeId":{me},"job":{id},"executor":"{executor}"}}"#)
             }
             Output::Withdraw { id, forward } => {
@@ -125,16 +125,16 @@
                 let after = after * 1e3;
                 writeln!(reply, r#"{{"what":"WAKE_ME","nodeId":{me},"after":{after:.3},"cookie":{timer}}}"#)
             }
-            Output::Probe(tgt) => {
-                let executor = self.roster.id(*tgt);
+            Output::Probe(executor_index) => {
+                let executor = self.roster.id(*executor_index);
                 writeln!(reply, r#"{{"what":"SAMPLE","nodeId":{me},"executor":"{executor}"}}"#)
             }
-            Output::Release(tgt) => {
-                let executor = self.roster.id(*tgt);
+            Output::Release(executor_index) => {
+                let executor = self.roster.id(*executor_index);
                 writeln!(reply, r#"{{"what":"RELEASE","nodeId":{me},"executor":"{executor}"}}"#)
             }
-            Output::SendToPeer { to, kind, tgt, count } => {
-                let mark = mark(self.roster.id(*tgt));
+            Output::SendToPeer { to, kind, executor_index, count } => {
+                let mark = mark(self.roster.id(*executor_index));
                 let words = format_message(*kind, mark, *count);
                 writeln!(reply, r#"{{"what":"TELL","nodeId":{me},"dest":{to},"contents":"{words}"}}"#)
             }
--- a/crates/coveroute-emu/src/baseline.rs
+++ b/crates/coveroute-emu/src/baseline.rs
@@ -135,10 +135,10 @@
             self.workers.iter_mut().for_each(|worker| worker.entry.standing = Standing::Gone);
         }
         for entry in entries {
-            if self.workers.len() <= entry.tgt {
-                self.workers.resize_with(entry.tgt + 1, Worker::default);
+            if self.workers.len() <= entry.executor_index {
+                self.workers.resize_with(entry.executor_index + 1, Worker::default);
             }
-            let tgt = entry.tgt;
+            let tgt = entry.executor_index;
             self.workers[tgt].entry = entry;
         }
     }
@@ -241,7 +241,7 @@
             if let Some(job) = self.jobs.get_mut(&id) {
                 (job.out, job.forwards, job.sent) = (Some(tgt), job.forwards + 1, now);
             }
-            out.push(Output::Forward { id, tgt });
+            out.push(Output::Forward { id, executor_index: tgt });
         }
         if !self.waiting.is_empty() && !self.retry_scheduled {
             self.retry_scheduled = true;
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -839,11 +839,11 @@
     fn perform(&mut self, now: f64, node: NodeId, action: Action) {
         let latency = self.world.scenario.network.latency.0;
         match action {
-            Action::Send { id, forward, tgt, .. } => self.send(now, node, id, forward, tgt),
+            Action::Send { id, forward, executor_index: tgt, .. } => self.send(now, node, id, forward, tgt),
             Action::Abort { id, forward } => self.abort(now, node, id, forward),
             // A connection takes two one-way latencies here, far less than any grace period.
             Action::Recall { .. } => {}
-            Action::Cancel { tgt, call } => {
+            Action::Cancel { executor_index: tgt, call } => {
                 let (worker, tri) = (self.worker(node, tgt), tri_of(&call));
                 if let Some((worker, tri)) = worker.zip(tri) {
                     self.world.invariants.given_up(now, tri, worker);
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -171,7 +171,7 @@
     Send {
         id: InvocationId,
         forward: usize,
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
         end: f64,
         write_until: f64,
     },
@@ -187,7 +187,7 @@
     },
     /// Tell the executor to cancel a job that it has accepted.
     Cancel {
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
         call: Arc<str>,
     },
     Answer {
@@ -419,7 +419,8 @@
             return None;
         }
         let (call, operation, deadline) = (record.call.to_string(), record.operation.to_string(), record.due);
-        let ids = record.forwards.iter().map(|f| (self.fleet.id(f.tgt).to_owned(), f.sent, f.stage));
+        let ids =
+            record.forwards.iter().map(|f| (self.fleet.id(f.executor_index).to_owned(), f.sent, f.stage));
         let forwards: Vec<_> = ids.collect();
         let mut invocation = self.queue.decisions_mut().export_invocation(id)?;
         invocation.deadline = deadline; // The other process is not stopping, so the full deadline applies.
@@ -454,9 +455,17 @@
         }
         let forwards: Vec<Forward> = forwards
             .into_iter()
-            .map(|(executor, sent, stage)| Forward { tgt: self.fleet.number(&executor), sent, stage })
+            .map(|(executor, sent, stage)| Forward {
+                executor_index: self.fleet.number(&executor),
+                sent,
+                stage,
+            })
             .collect();
-        invocation.forwards.iter_mut().zip(&forwards).for_each(|(fwd, forward)| fwd.tgt = forward.tgt);
+        invocation
+            .forwards
+            .iter_mut()
+            .zip(&forwards)
+            .for_each(|(fwd, forward)| fwd.executor_index = forward.executor_index);
         self.served_by_predecessor.remove(&call);
         let (call, operation) = (Arc::from(call), self.operations.name(invocation.op).clone());
         self.counts.register(&operation);
@@ -484,11 +493,18 @@
             Event::ClientDisconnected(id) => self.client_left(now, id, out),
             Event::Replied(id, forward, reply) => self.handle_reply(now, id, forward, reply, out),
             Event::JobReport(report) => self.handle_report(now, report, out),
-            Event::Probed(tgt, outcome, report) => self.queue.push(Input::Probed { tgt, outcome, report }),
+            Event::Probed(executor_index, outcome, report) => {
+                self.queue.push(Input::Probed { executor_index, outcome, report })
+            }
             Event::Watch(number, watched) => self.handle_watch(now, number, watched, out),
             Event::PeerMessage { from, kind, mark, count } => {
-                let tgt = self.fleet.by_mark(mark);
-                let input = tgt.map(|tgt| Input::PeerMessage { from, kind, tgt, count });
+                let executor_index = self.fleet.by_mark(mark);
+                let input = executor_index.map(|executor_index| Input::PeerMessage {
+                    from,
+                    kind,
+                    executor_index,
+                    count,
+                });
                 input.into_iter().for_each(|input| self.queue.push(input));
             }
             Event::Reloaded { settings, list_source_changed } => {
@@ -549,7 +565,7 @@
 
     fn apply_output(&mut self, now: f64, output: Output, out: &mut Vec<Action>) {
         match output {
-            Output::Forward { id, tgt } => self.forward(now, id, tgt, out),
+            Output::Forward { id, executor_index } => self.forward(now, id, executor_index, out),
             Output::Withdraw { id, forward } => self.withdraw(now, id, forward, out),
             Output::Throttle { id, pause } => {
                 debug!(
@@ -561,10 +577,10 @@
             }
             Output::Error { id } => self.answer(id, Answer::Errored, out),
             Output::SetTimer { after, timer } => self.timers.schedule(now + after, Timer::Decisions(timer)),
-            Output::Probe(tgt) => out.push(Action::Probe(tgt)),
-            Output::Release(tgt) => out.push(Action::Release(tgt)),
-            Output::SendToPeer { to, kind, tgt, count } => {
-                out.push(Action::SendToPeer { to, kind, mark: self.fleet.mark(tgt), count });
+            Output::Probe(executor_index) => out.push(Action::Probe(executor_index)),
+            Output::Release(executor_index) => out.push(Action::Release(executor_index)),
+            Output::SendToPeer { to, kind, executor_index, count } => {
+                out.push(Action::SendToPeer { to, kind, mark: self.fleet.mark(executor_index), count });
             }
             Output::WatchList => self.follow(out),
             Output::Log(words) => info!("{words}"),
@@ -729,19 +745,19 @@
         self.records.remove_if_finished(id);
     }
 
-    fn forward(&mut self, now: f64, id: InvocationId, tgt: ExecutorIndex, out: &mut Vec<Action>) {
+    fn forward(&mut self, now: f64, id: InvocationId, executor_index: ExecutorIndex, out: &mut Vec<Action>) {
         let Some(record) = self.records.get(id) else { return };
         let forward = record.forwards.len();
         debug!(
             "forward {forward} of {id}, call {}, to executor {:06x}, list {} ({})",
             record.call,
-            self.fleet.mark(tgt),
+            self.fleet.mark(executor_index),
             self.version,
             self.queue.decisions().list_state().name()
         );
-        record.forwards.push(Forward { tgt, sent: now, stage: Stage::Sending });
+        record.forwards.push(Forward { executor_index, sent: now, stage: Stage::Sending });
         let write_until = self.queue.decisions().write_until(id);
-        out.push(Action::Send { id, forward, tgt, end: record.end, write_until });
+        out.push(Action::Send { id, forward, executor_index, end: record.end, write_until });
     }
 
     fn handle_reply(
@@ -789,7 +805,7 @@
         let took = now - ended.sent;
         debug!(
             "forward {forward} of {id} at executor {}: {outcome:?} after {took:.3} s, {report:?}",
-            ended.tgt
+            ended.executor_index
         );
         let ended = self.records.get(id).is_none_or(|record| !record.unanswered);
         self.queue.push(Input::Settled(Settled { id, forward, outcome, took, ended, report }));
@@ -797,8 +813,10 @@
     }
 
     fn handle_report(&mut self, now: f64, job_report: JobReport, out: &mut Vec<Action>) {
-        let tgt = self.fleet.known(&job_report.from);
-        let Some((id, forward)) = tgt.and_then(|tgt| self.records.find(&job_report.call, tgt)) else {
+        let executor_index = self.fleet.known(&job_report.from);
+        let Some((id, forward)) =
+            executor_index.and_then(|executor_index| self.records.find(&job_report.call, executor_index))
+        else {
             return debug!("report on call {} from {} matches no forward", job_report.call, job_report.from);
         };
         match job_report.status {
@@ -846,12 +864,12 @@
     /// Abandons a forward: closes its connection, or cancels it at the executor that has accepted it.
     fn drop_forward(&mut self, id: InvocationId, forward: usize, out: &mut Vec<Action>) {
         let Some(record) = self.records.get(id) else { return };
-        let Forward { tgt, stage, .. } = record.forwards[forward];
+        let Forward { executor_index, stage, .. } = record.forwards[forward];
         match stage {
             Stage::Sending => out.push(Action::Abort { id, forward }),
             Stage::Taken if self.cancelling => {
                 let call = record.call.clone();
-                out.push(Action::Cancel { tgt, call });
+                out.push(Action::Cancel { executor_index, call });
             }
             Stage::Taken | Stage::Returned | Stage::Ended => {}
         }
@@ -879,12 +897,17 @@
         drains.for_each(|host| info!("executor {:06x} is draining", coveroute_shared::mark(&host.id)));
         let (entries, changes) = self.fleet.apply(now, listing);
         // A connection may come up after the grace period, and forwards decided before would be written then: recall them.
-        let drains =
-            entries.iter().filter(|entry| entry.standing == Standing::Draining).map(|entry| entry.tgt);
-        let gone =
-            changes
-                .iter()
-                .filter_map(|to| if let AddressChange::Removed(tgt) = to { Some(*tgt) } else { None });
+        let drains = entries
+            .iter()
+            .filter(|entry| entry.standing == Standing::Draining)
+            .map(|entry| entry.executor_index);
+        let gone = changes.iter().filter_map(|to| {
+            if let AddressChange::Removed(executor_index) = to {
+                Some(*executor_index)
+            } else {
+                None
+            }
+        });
         let closed: Vec<ExecutorIndex> = drains.chain(gone).collect();
         let recalls = self
             .records
@@ -893,8 +916,8 @@
             .map(|(id, forward)| Action::Recall { id, forward });
         out.extend(recalls);
         out.extend(changes.into_iter().map(|to| match to {
-            AddressChange::Set(tgt, addr) => Action::SetAddress(tgt, addr),
-            AddressChange::Removed(tgt) => Action::RemoveExecutor(tgt),
+            AddressChange::Set(executor_index, addr) => Action::SetAddress(executor_index, addr),
+            AddressChange::Removed(executor_index) => Action::RemoveExecutor(executor_index),
         }));
         self.queue.push(Input::List(list(listing, entries)));
     }
--- a/crates/coveroute-engine/src/engine_state.rs
+++ b/crates/coveroute-engine/src/engine_state.rs
@@ -51,7 +51,9 @@
             listing: fleet.listing(version),
             current: false,
             calls,
-            executors: by_name(measurements.executors, |tgt| Some(fleet.id(tgt)).filter(|id| !id.is_empty())),
+            executors: by_name(measurements.executors, |executor_index| {
+                Some(fleet.id(executor_index)).filter(|id| !id.is_empty())
+            }),
             operations: by_name(measurements.operations, |at| operations.current(at)),
             tenants: by_name(measurements.tenants, |at| names.tenants.get(at).map(String::as_str)),
             kinds: by_name(measurements.kinds, |at| names.kinds.get(at).map(String::as_str)),
--- a/crates/coveroute-engine/src/list.rs
+++ b/crates/coveroute-engine/src/list.rs
@@ -133,20 +133,20 @@
         self.roster.known(id)
     }
 
-    pub fn id(&self, tgt: ExecutorIndex) -> &str {
-        self.roster.id(tgt)
+    pub fn id(&self, executor_index: ExecutorIndex) -> &str {
+        self.roster.id(executor_index)
     }
 
-    pub fn mark(&self, tgt: ExecutorIndex) -> u32 {
-        coveroute_shared::mark(self.roster.id(tgt))
+    pub fn mark(&self, executor_index: ExecutorIndex) -> u32 {
+        coveroute_shared::mark(self.roster.id(executor_index))
     }
 
     pub fn by_mark(&self, mark: u32) -> Option<ExecutorIndex> {
         self.roster.by_mark(mark)
     }
 
-    pub fn addr(&self, tgt: ExecutorIndex) -> Option<SocketAddr> {
-        self.addrs.get(tgt).copied().flatten()
+    pub fn addr(&self, executor_index: ExecutorIndex) -> Option<SocketAddr> {
+        self.addrs.get(executor_index).copied().flatten()
     }
 
     /// Applies a listing; returns the entries for the decisions and the changed addresses.
@@ -158,23 +158,28 @@
         let mut entries: Vec<(Entry, Option<SocketAddr>)> = Vec::with_capacity(listing.hosts.len());
         for host in &listing.hosts {
             let entry = self.entry(host);
-            self.listed.insert(entry.tgt, host.clone());
+            self.listed.insert(entry.executor_index, host.clone());
             entries.push((entry, host.addr));
         }
         if listing.full {
             // Executors that a whole list lacks are removed.
             let mut present = vec![false; self.addrs.len()];
-            entries.iter().for_each(|(e, _)| present.iter_mut().skip(e.tgt).take(1).for_each(|n| *n = true));
-            let lacking = |&tgt: &ExecutorIndex| self.addrs[tgt].is_some() && !present[tgt];
+            entries
+                .iter()
+                .for_each(|(e, _)| present.iter_mut().skip(e.executor_index).take(1).for_each(|n| *n = true));
+            let lacking = |&executor_index: &ExecutorIndex| {
+                self.addrs[executor_index].is_some() && !present[executor_index]
+            };
             let lacking: Vec<ExecutorIndex> = (0..self.addrs.len()).filter(lacking).collect();
-            lacking.into_iter().for_each(|tgt| self.remove(now, tgt, &mut changes));
+            lacking.into_iter().for_each(|executor_index| self.remove(now, executor_index, &mut changes));
         }
         for (entry, addr) in entries {
             match (entry.standing, addr) {
-                (Standing::Gone, _) => self.remove(now, entry.tgt, &mut changes),
+                (Standing::Gone, _) => self.remove(now, entry.executor_index, &mut changes),
                 (Standing::Ready | Standing::Missing | Standing::Draining, addr) => {
-                    self.gone.remove(&entry.tgt);
-                    addr.into_iter().for_each(|addr| self.set_address(entry.tgt, addr, &mut changes));
+                    self.gone.remove(&entry.executor_index);
+                    addr.into_iter()
+                        .for_each(|addr| self.set_address(entry.executor_index, addr, &mut changes));
                 }
             }
             for_decisions.push(entry);
@@ -189,24 +194,29 @@
         self.roster.entry(&mut self.names, &listed)
     }
 
-    fn set_address(&mut self, tgt: ExecutorIndex, addr: SocketAddr, changes: &mut Vec<AddressChange>) {
-        if self.addrs.len() <= tgt {
-            self.addrs.resize(tgt + 1, None);
+    fn set_address(
+        &mut self,
+        executor_index: ExecutorIndex,
+        addr: SocketAddr,
+        changes: &mut Vec<AddressChange>,
+    ) {
+        if self.addrs.len() <= executor_index {
+            self.addrs.resize(executor_index + 1, None);
         }
-        if self.addrs[tgt].replace(addr) != Some(addr) {
-            changes.push(AddressChange::Set(tgt, addr));
+        if self.addrs[executor_index].replace(addr) != Some(addr) {
+            changes.push(AddressChange::Set(executor_index, addr));
         }
     }
 
-    fn remove(&mut self, now: f64, tgt: ExecutorIndex, changes: &mut Vec<AddressChange>) {
-        self.listed.remove(&tgt);
+    fn remove(&mut self, now: f64, executor_index: ExecutorIndex, changes: &mut Vec<AddressChange>) {
+        self.listed.remove(&executor_index);
         if self.keeps_addresses {
-            self.gone.entry(tgt).or_insert(now);
+            self.gone.entry(executor_index).or_insert(now);
             return;
         }
-        self.addrs.iter_mut().skip(tgt).take(1).for_each(|addr| *addr = None);
-        self.gone.insert(tgt, now);
-        changes.push(AddressChange::Removed(tgt));
+        self.addrs.iter_mut().skip(executor_index).take(1).for_each(|addr| *addr = None);
+        self.gone.insert(executor_index, now);
+        changes.push(AddressChange::Removed(executor_index));
     }
 
     /// Releases the numbers of executors that were removed long ago, so that memory does not grow without bound where
@@ -216,11 +226,11 @@
         let long = |since: &f64| now - since > NUMBER_KEPT_FOR;
         let old: Vec<ExecutorIndex> =
             self.gone.iter().filter(|gone| long(gone.1)).map(|gone| *gone.0).collect();
-        let blank = |&tgt: &ExecutorIndex| {
-            self.gone.remove(&tgt);
-            self.addrs.iter_mut().skip(tgt).take(1).for_each(|addr| *addr = None);
-            self.roster.release(tgt);
-            Entry { tgt, started: f64::NAN, ..Entry::default() }
+        let blank = |&executor_index: &ExecutorIndex| {
+            self.gone.remove(&executor_index);
+            self.addrs.iter_mut().skip(executor_index).take(1).for_each(|addr| *addr = None);
+            self.roster.release(executor_index);
+            Entry { executor_index, started: f64::NAN, ..Entry::default() }
         };
         old.iter().map(blank).collect()
     }
--- a/crates/coveroute-engine/src/records.rs
+++ b/crates/coveroute-engine/src/records.rs
@@ -26,7 +26,7 @@
 
 #[derive(Debug)]
 pub struct Forward {
-    pub tgt: ExecutorIndex,
+    pub executor_index: ExecutorIndex,
     pub sent: f64,
     pub stage: Stage,
 }
@@ -115,7 +115,8 @@
         let all = self.by_id.iter().flat_map(|(id, record)| {
             record.forwards.iter().enumerate().map(|(at, forward)| (*id, at, forward))
         });
-        let matches = |forward: &Forward| forward.stage == Stage::Sending && tgts.contains(&forward.tgt);
+        let matches =
+            |forward: &Forward| forward.stage == Stage::Sending && tgts.contains(&forward.executor_index);
         all.filter(|(.., forward)| matches(forward)).map(|(id, at, _)| (id, at)).collect()
     }
 
@@ -133,10 +134,10 @@
 
     /// The forward that an executor's report on a call refers to: the latest one at that executor. Reports on calls of
     /// an earlier process match none.
-    pub fn find(&self, call: &str, tgt: ExecutorIndex) -> Option<(InvocationId, usize)> {
+    pub fn find(&self, call: &str, executor_index: ExecutorIndex) -> Option<(InvocationId, usize)> {
         let id = (*self.calls.get(call)?)?;
         let forwards = &self.by_id.get(&id)?.forwards;
-        Some((id, forwards.iter().rposition(|forward| forward.tgt == tgt)?))
+        Some((id, forwards.iter().rposition(|forward| forward.executor_index == executor_index)?))
     }
 
     /// Records that the executor has returned the forward without starting it.
@@ -149,7 +150,7 @@
     /// Whether the same executor has returned an earlier forward of the invocation.
     pub fn has_earlier_return(&self, id: InvocationId, forward: usize) -> bool {
         let forwards = self.by_id.get(&id).map_or(&[][..], |record| &record.forwards);
-        let same_executor = |earlier: &Forward| earlier.tgt == forwards[forward].tgt;
+        let same_executor = |earlier: &Forward| earlier.executor_index == forwards[forward].executor_index;
         forwards
             .iter()
             .take(forward)
--- a/crates/coveroute-engine/src/tests.rs
+++ b/crates/coveroute-engine/src/tests.rs
@@ -87,7 +87,8 @@
     let mut engine = engine().0;
     engine.accept_call(NOW, ID, &call(CALL, class, 5.0), &mut Vec::new());
     let record = engine.records.get(ID).expect("a record");
-    let forward = |&(tgt, stage): &(ExecutorIndex, Stage)| Forward { tgt, sent: NOW, stage };
+    let forward =
+        |&(executor_index, stage): &(ExecutorIndex, Stage)| Forward { executor_index, sent: NOW, stage };
     record.forwards = forwards.iter().map(forward).collect();
     engine.queue.drain();
     engine
@@ -224,7 +225,7 @@
     assert_eq!(engine.held(), 1, "a forward is still open");
     let mut out = Vec::new();
     engine.withdraw(NOW, ID, 0, &mut out);
-    assert_eq!((out, engine.held()), (vec![Action::Cancel { tgt: 0, call: CALL.into() }], 0));
+    assert_eq!((out, engine.held()), (vec![Action::Cancel { executor_index: 0, call: CALL.into() }], 0));
     assert!(handle(&mut engine, NOW, Event::ClientDisconnected(ID)).is_empty());
     assert!(answers(&handle(&mut engine, NOW, report(0, done()))).is_empty());
 }
@@ -306,7 +307,7 @@
     handle(&mut engine, NOW, Event::Watch(1, WatchEvent::Listed(whole(2))));
     let sent = handle(&mut engine, NOW, Event::CallReceived(ID, &call(CALL, "pay", 9.0)));
     let send = sent.iter().find(|action| matches!(action, Action::Send { .. }));
-    let Some(&Action::Send { forward, tgt, .. }) = send else { panic!("not sent: {sent:?}") };
+    let Some(&Action::Send { forward, executor_index, .. }) = send else { panic!("not sent: {sent:?}") };
     handle(&mut engine, NOW, Event::Replied(ID, forward, Reply::Taken));
     let line = engine.fleet().emptied_warning(&listing(3, true, Vec::new())).expect("a line");
     assert!(line.contains("list 3 is empty, 7800 executors") && !line.contains('\n'), "{line}");
@@ -318,7 +319,7 @@
     assert_eq!(engine.fleet().emptied_warning(&listing(4, true, Vec::new())), None, "warned once");
     let out = handle(&mut engine, NOW, Event::CallReceived(ID + 1, &call("d", "look", 5.0)));
     assert!(!out.iter().any(|action| matches!(action, Action::Send { .. })), "no new job is sent");
-    let out = handle(&mut engine, NOW + 1.0, report(tgt, done()));
+    let out = handle(&mut engine, NOW + 1.0, report(executor_index, done()));
     assert!(matches!(answers(&out)[..], [Answer::Succeeded(_)]), "{out:?}");
     // All are listed again under their old numbers, and the waiting job is sent.
     let out = handle(&mut engine, NOW + 2.0, Event::Watch(1, WatchEvent::Listed(whole(5))));
@@ -620,7 +621,10 @@
     let mut new = successor(&old);
     assert_eq!((new.phase(), new.metrics(NOW).listed, new.metrics(NOW).avoided), (Phase::Serving, 2, 1));
     let out = handle(&mut new, NOW, Event::CallReceived(1, &call("a", "look", 5.0)));
-    assert!(!out.iter().any(|action| matches!(action, Action::Send { tgt: 0, .. })), "it drains: {out:?}");
+    assert!(
+        !out.iter().any(|action| matches!(action, Action::Send { executor_index: 0, .. })),
+        "it drains: {out:?}"
+    );
 }
 
 #[test]
@@ -639,9 +643,15 @@
     let mut old = engine().0;
     let out = handle(&mut old, NOW, Event::CallReceived(1, &call("a", "pay", 9.0)));
     let sent = |out: &[Action]| {
-        out.iter().find_map(|a| if let Action::Send { tgt, .. } = a { Some(*tgt) } else { None })
+        out.iter().find_map(|a| {
+            if let Action::Send { executor_index, .. } = a {
+                Some(*executor_index)
+            } else {
+                None
+            }
+        })
     };
-    let tgt = sent(&out).expect("a forward");
+    let executor_index = sent(&out).expect("a forward");
     let mut new = successor(&old);
     assert!(old.hand_over_job(1).is_none(), "its connection to the executor is still in use here");
     handle(&mut old, NOW, Event::Replied(1, 0, Reply::Taken));
@@ -653,8 +663,12 @@
     let mut out = Vec::new();
     new.take_over_job(NOW, 7, handover, &mut out);
     assert!(new.knows("a") && sent(&out).is_none(), "it is sent already: {out:?}");
-    let done =
-        JobReport { call: "a".into(), from: format!("s-{tgt}"), status: done(), report: Report::default() };
+    let done = JobReport {
+        call: "a".into(),
+        from: format!("s-{executor_index}"),
+        status: done(),
+        report: Report::default(),
+    };
     let out = handle(&mut new, NOW + 1.0, Event::JobReport(done));
     assert_eq!(answers(&out), [&Answer::Succeeded("r".into())]);
     let pay = new.metrics(NOW).operations.into_iter().find(|op| &*op.0 == "pay").expect("figures");
@@ -722,7 +736,7 @@
 impl Decisions for SendToBoth {
     fn handle(&mut self, _: f64, input: Input, out: &mut Vec<Output>) {
         if let Input::Submitted(sub) = input {
-            out.extend([0, 1].map(|tgt| Output::Forward { id: sub.id, tgt }));
+            out.extend([0, 1].map(|executor_index| Output::Forward { id: sub.id, executor_index }));
         }
     }
 
--- a/crates/coveroute-node/src/disconnect_tests.rs
+++ b/crates/coveroute-node/src/disconnect_tests.rs
@@ -202,8 +202,9 @@
                 thread::sleep(time);
                 let report =
                     Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
-                (0..count)
-                    .for_each(|tgt| drop(events.send(DriverEvent::Probed(tgt, Outcome::Succeeded, report))));
+                (0..count).for_each(|executor_index| {
+                    drop(events.send(DriverEvent::Probed(executor_index, Outcome::Succeeded, report)))
+                });
             }
         });
         let node = Node { addr, fake_executors, busy };
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -279,7 +279,9 @@
             }
             DriverEvent::SuccessorConnected(link) => self.successor_connected(link),
             DriverEvent::LinkMessage(side, number, event) => self.handle_link_message(side, number, event),
-            DriverEvent::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
+            DriverEvent::Probed(executor_index, outcome, report) => {
+                self.dispatch(Event::Probed(executor_index, outcome, report))
+            }
             DriverEvent::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
             DriverEvent::PeerMessage { from, kind, mark, count } => {
                 self.dispatch(Event::PeerMessage { from, kind, mark, count });
@@ -554,27 +556,29 @@
 
     fn execute(&mut self, action: Action) -> Option<Event<'static>> {
         match action {
-            Action::Send { id, forward, tgt, end, write_until } => {
+            Action::Send { id, forward, executor_index, end, write_until } => {
                 let deadline = Deadline::new(self.clock.instant(end), self.clock.instant(write_until));
-                return self.send(id, forward, tgt, deadline);
+                return self.send(id, forward, executor_index, deadline);
             }
             Action::Abort { id, forward } => {
                 self.forwards.remove(&(id, forward)).into_iter().for_each(|forward| forward.task.abort());
             }
             Action::Recall { id, forward } => return self.recall(id, forward),
-            Action::Cancel { tgt, call } => {
+            Action::Cancel { executor_index, call } => {
                 let time_limit = self.executor_connections.request_timeout();
-                let lease = self.executor_connections.lease(tgt);
+                let lease = self.executor_connections.lease(executor_index);
                 lease.map(|lease| actix_rt::spawn(give_up(lease, call, time_limit)));
             }
             Action::Answer { id, answer } => {
                 let pending = self.jobs.remove(&id);
                 pending.map(|pending| pending.client.answer.send(answer.into()));
             }
-            Action::Probe(tgt) => return self.probe(tgt),
-            Action::Release(tgt) => self.executor_connections.close_idle(tgt),
-            Action::SetAddress(tgt, addr) => self.executor_connections.set_address(tgt, addr),
-            Action::RemoveExecutor(tgt) => self.executor_connections.remove(tgt),
+            Action::Probe(executor_index) => return self.probe(executor_index),
+            Action::Release(executor_index) => self.executor_connections.close_idle(executor_index),
+            Action::SetAddress(executor_index, addr) => {
+                self.executor_connections.set_address(executor_index, addr)
+            }
+            Action::RemoveExecutor(executor_index) => self.executor_connections.remove(executor_index),
             Action::WatchList { watch, version } => self.discovery.follow(watch, version),
             Action::SendToPeer { to, kind, mark, count } => {
                 self.peers.iter().for_each(|peers| peers.send(to, kind, mark, count));
@@ -587,7 +591,7 @@
         &mut self,
         id: InvocationId,
         forward: usize,
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
         deadline: Deadline,
     ) -> Option<Event<'static>> {
         let Some((job, client)) =
@@ -597,7 +601,7 @@
             self.attempts.count_client_left();
             return Some(not_started(id, forward));
         };
-        let Some(lease) = self.executor_connections.lease(tgt) else {
+        let Some(lease) = self.executor_connections.lease(executor_index) else {
             debug!("forward {forward} of {id} not started: no free connection");
             self.attempts.count_no_connection();
             return Some(not_started(id, forward));
@@ -623,16 +627,16 @@
         Some(not_started(id, forward))
     }
 
-    fn probe(&mut self, tgt: ExecutorIndex) -> Option<Event<'static>> {
-        let Some(lease) = self.executor_connections.lease(tgt) else {
+    fn probe(&mut self, executor_index: ExecutorIndex) -> Option<Event<'static>> {
+        let Some(lease) = self.executor_connections.lease(executor_index) else {
             // Without a free connection the executor has no capacity that could be used now.
-            return Some(Event::Probed(tgt, Outcome::Full, Report::default()));
+            return Some(Event::Probed(executor_index, Outcome::Full, Report::default()));
         };
         let (events, reports, time_limit) =
             (self.events.clone(), self.reports, self.executor_connections.request_timeout());
         actix_rt::spawn(async move {
             let (outcome, report) = probe(lease, reports, time_limit).await;
-            let _ = events.send(DriverEvent::Probed(tgt, outcome, report));
+            let _ = events.send(DriverEvent::Probed(executor_index, outcome, report));
         });
         None
     }
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -265,7 +265,9 @@
         let (mut driver, event_receiver, _) = driver(&executors);
         let events = driver.events.clone();
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
-        (0..executors.len()).for_each(|tgt| driver.dispatch(Event::Probed(tgt, Outcome::Succeeded, room)));
+        (0..executors.len()).for_each(|executor_index| {
+            driver.dispatch(Event::Probed(executor_index, Outcome::Succeeded, room))
+        });
         let now = driver.clock.now();
         let ask = |id| {
             let (answer, answered) = oneshot::channel();
--- a/crates/coveroute-node/src/executors.rs
+++ b/crates/coveroute-node/src/executors.rs
@@ -38,23 +38,23 @@
 }
 
 impl IdleQueue {
-    fn push(&mut self, tgt: ExecutorIndex) {
-        self.queued.resize(self.queued.len().max(tgt + 1), false);
-        if !std::mem::replace(&mut self.queued[tgt], true) {
-            self.queue.push_back(tgt);
+    fn push(&mut self, executor_index: ExecutorIndex) {
+        self.queued.resize(self.queued.len().max(executor_index + 1), false);
+        if !std::mem::replace(&mut self.queued[executor_index], true) {
+            self.queue.push_back(executor_index);
         }
     }
 
     fn pop(&mut self) -> Option<ExecutorIndex> {
-        let tgt = self.queue.pop_front()?;
-        self.queued[tgt] = false;
-        Some(tgt)
+        let executor_index = self.queue.pop_front()?;
+        self.queued[executor_index] = false;
+        Some(executor_index)
     }
 }
 
 /// The right to use one connection to an executor; returned when dropped.
 pub struct Lease {
-    tgt: ExecutorIndex,
+    executor_index: ExecutorIndex,
     client: Client,
     addr: SocketAddr,
     leased: Rc<Cell<usize>>,
@@ -65,7 +65,7 @@
     fn drop(&mut self) {
         self.leased.set(self.leased.get() - 1);
         if self.leased.get() == 0 {
-            self.idle_executors.borrow_mut().push(self.tgt);
+            self.idle_executors.borrow_mut().push(self.executor_index);
         }
     }
 }
@@ -127,38 +127,44 @@
     }
 
     /// Sets the executor's address. If it changed, the old connections are dropped.
-    pub fn set_address(&mut self, tgt: ExecutorIndex, addr: SocketAddr) {
-        if self.pools.len() <= tgt {
-            self.pools.resize_with(tgt + 1, || None);
+    pub fn set_address(&mut self, executor_index: ExecutorIndex, addr: SocketAddr) {
+        if self.pools.len() <= executor_index {
+            self.pools.resize_with(executor_index + 1, || None);
         }
-        if self.pools[tgt].as_ref().is_none_or(|pool| pool.addr != addr) {
+        if self.pools[executor_index].as_ref().is_none_or(|pool| pool.addr != addr) {
             let pool = ExecutorPool { addr, client: self.client(), leased: Rc::default(), peak: 0 };
-            self.remove(tgt);
-            self.pools[tgt] = Some(pool);
+            self.remove(executor_index);
+            self.pools[executor_index] = Some(pool);
         }
     }
 
     /// Forgets an executor that is not listed any more.
-    pub fn remove(&mut self, tgt: ExecutorIndex) {
-        let pool = self.pools.get_mut(tgt).and_then(Option::take);
+    pub fn remove(&mut self, executor_index: ExecutorIndex) {
+        let pool = self.pools.get_mut(executor_index).and_then(Option::take);
         self.open -= pool.map_or(0, |pool| pool.peak);
     }
 
     /// Leases a connection to the executor, if its address is known and the limit allows it.
-    pub fn lease(&mut self, tgt: ExecutorIndex) -> Option<Lease> {
-        let pool = self.pools.get(tgt)?.as_ref()?;
+    pub fn lease(&mut self, executor_index: ExecutorIndex) -> Option<Lease> {
+        let pool = self.pools.get(executor_index)?.as_ref()?;
         if pool.leased.get() >= pool.peak {
             if !self.make_room() {
-                debug!("connection limit reached: none available for executor {tgt}");
+                debug!("connection limit reached: none available for executor {executor_index}");
                 return None;
             }
-            self.pools[tgt].as_mut()?.peak += 1;
+            self.pools[executor_index].as_mut()?.peak += 1;
             self.open += 1;
         }
-        let pool = self.pools[tgt].as_ref()?;
+        let pool = self.pools[executor_index].as_ref()?;
         pool.leased.set(pool.leased.get() + 1);
         let (client, leased) = (pool.client.clone(), pool.leased.clone());
-        Some(Lease { tgt, client, addr: pool.addr, leased, idle_executors: self.idle_executors.clone() })
+        Some(Lease {
+            executor_index,
+            client,
+            addr: pool.addr,
+            leased,
+            idle_executors: self.idle_executors.clone(),
+        })
     }
 
     /// Makes room for one more connection, if necessary by closing the idle ones of the executor that has had
@@ -166,19 +172,21 @@
     /// connections: every entry that is taken from the queue was added by a returned lease.
     fn make_room(&mut self) -> bool {
         while self.open >= self.limit {
-            let Some(tgt) = self.idle_executors.borrow_mut().pop() else { return false };
-            self.close_idle(tgt);
+            let Some(executor_index) = self.idle_executors.borrow_mut().pop() else { return false };
+            self.close_idle(executor_index);
         }
         true
     }
 
     /// Closes the connections to the executor if none of them is in use.
-    pub fn close_idle(&mut self, tgt: ExecutorIndex) {
+    pub fn close_idle(&mut self, executor_index: ExecutorIndex) {
         let unused = |pool: &&mut ExecutorPool| pool.leased.get() == 0 && pool.peak > 0;
-        let Some(pool) = self.pools.get_mut(tgt).and_then(Option::as_mut).filter(unused) else { return };
+        let Some(pool) = self.pools.get_mut(executor_index).and_then(Option::as_mut).filter(unused) else {
+            return;
+        };
         self.open -= std::mem::take(&mut pool.peak);
         let client = self.client();
-        self.pools[tgt].iter_mut().for_each(|pool| pool.client = client.clone());
+        self.pools[executor_index].iter_mut().for_each(|pool| pool.client = client.clone());
     }
 
     /// Sets whether half of the limit belongs to another process of the node.
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -268,7 +268,9 @@
 fn connections_stay_within_the_total_limit() {
     let mut executor_connections = ExecutorConnections::new(2, seconds(1.0), seconds(60.0));
     let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    (0..3).for_each(|tgt| executor_connections.set_address(tgt, addr(9000 + tgt as u16)));
+    (0..3).for_each(|executor_index| {
+        executor_connections.set_address(executor_index, addr(9000 + executor_index as u16))
+    });
     let (first, second) = (executor_connections.lease(0), executor_connections.lease(1));
     assert!(first.is_some() && second.is_some() && executor_connections.lease(2).is_none(), "two are in use");
     drop(second);
@@ -286,7 +288,9 @@
     // removed or moved executors using up the limit.
     let mut executor_connections = ExecutorConnections::new(3, seconds(1.0), seconds(60.0));
     let addr = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
-    (0..6).for_each(|tgt| executor_connections.set_address(tgt, addr(9000 + tgt)));
+    (0..6).for_each(|executor_index| {
+        executor_connections.set_address(executor_index, addr(9000 + executor_index))
+    });
     let (one, two, three) =
         (executor_connections.lease(0), executor_connections.lease(1), executor_connections.lease(2));
     drop((two, one));
--- a/crates/coveroute-shared/src/roster.rs
+++ b/crates/coveroute-shared/src/roster.rs
@@ -33,30 +33,30 @@
 impl Roster {
     /// The number of the executor; a new id gets a free one.
     pub fn number(&mut self, id: &str) -> ExecutorIndex {
-        if let Some(&tgt) = self.numbers.get(id) {
-            return tgt;
+        if let Some(&executor_index) = self.numbers.get(id) {
+            return executor_index;
         }
-        let tgt = self.free.pop().unwrap_or(self.ids.len());
-        if tgt == self.ids.len() {
+        let executor_index = self.free.pop().unwrap_or(self.ids.len());
+        if executor_index == self.ids.len() {
             self.ids.push(String::new());
         }
-        self.ids[tgt] = id.to_owned();
-        self.numbers.insert(id.to_owned(), tgt);
-        self.marks.insert(mark(id), tgt);
-        tgt
+        self.ids[executor_index] = id.to_owned();
+        self.numbers.insert(id.to_owned(), executor_index);
+        self.marks.insert(mark(id), executor_index);
+        executor_index
     }
 
     /// Releases the number of an executor from which no more messages can arrive.
-    pub fn release(&mut self, tgt: ExecutorIndex) {
-        let id = std::mem::take(&mut self.ids[tgt]);
+    pub fn release(&mut self, executor_index: ExecutorIndex) {
+        let id = std::mem::take(&mut self.ids[executor_index]);
         if self.numbers.remove(&id).is_some() {
             self.marks.remove(&mark(&id));
-            self.free.push(tgt);
+            self.free.push(executor_index);
         }
     }
 
-    pub fn id(&self, tgt: ExecutorIndex) -> &str {
-        &self.ids[tgt]
+    pub fn id(&self, executor_index: ExecutorIndex) -> &str {
+        &self.ids[executor_index]
     }
 
     /// The number of the executor with this id, if it has one.
@@ -72,7 +72,7 @@
     /// Converts a list entry for the decisions, replacing names by their numbers.
     pub fn entry(&mut self, names: &mut Names, listed: &Listed) -> Entry {
         Entry {
-            tgt: self.number(listed.id),
+            executor_index: self.number(listed.id),
             stable_id: mark(listed.id),
             zone: position(&mut names.zones, listed.zone),
             cell: listed.cell,
--- a/src/measurements.rs
+++ b/src/measurements.rs
@@ -97,7 +97,7 @@
         let executors = self.executors.iter().filter(|t| !t.entry.started.is_nan());
         let stats_rows = |all: &[TrafficStats]| all.iter().map(TrafficStats::to_row).enumerate().collect();
         Measurements {
-            executors: executors.map(|t| (t.entry.tgt, t.to_row())).collect(),
+            executors: executors.map(|t| (t.entry.executor_index, t.to_row())).collect(),
             operations: stats_rows(&self.operation_stats),
             tenants: stats_rows(&self.tenant_stats),
             kinds: self.kind_stats.iter().map(MachineKindStats::to_row).enumerate().collect(),
@@ -122,8 +122,8 @@
     /// Restores the measurements of another process of this node; the list of executors has to be applied
     /// before.
     pub fn restore_measurements(&mut self, measurements: &Measurements) {
-        for (tgt, row) in &measurements.executors {
-            self.executors.get_mut(*tgt).into_iter().for_each(|t| t.restore_row(row));
+        for (executor_index, row) in &measurements.executors {
+            self.executors.get_mut(*executor_index).into_iter().for_each(|t| t.restore_row(row));
         }
         for (at, row) in &measurements.operations {
             self.operation_stats.get_mut(*at).into_iter().for_each(|stats| stats.restore_row(row));
--- a/src/node.rs
+++ b/src/node.rs
@@ -80,7 +80,7 @@
 impl Node {
     /// Adds the executor and the machine kind of an entry if they are new.
     pub(crate) fn ensure_known(&mut self, entry: &Entry) {
-        self.executors.extend((self.executors.len()..=entry.tgt).map(Executor::unlisted));
+        self.executors.extend((self.executors.len()..=entry.executor_index).map(Executor::unlisted));
         self.kind_stats.resize(self.kind_stats.len().max(entry.kind + 1), MachineKindStats::default());
         self.kind_stats[entry.kind].max_size = self.kind_stats[entry.kind].max_size.max(entry.size);
     }
@@ -88,8 +88,8 @@
     /// The entries of a list, preceded by the executors that a whole list omits, as gone.
     pub(crate) fn with_absent(&self, whole: bool, entries: Vec<Entry>) -> Vec<Entry> {
         let absent = |t: &Executor| Entry { standing: Standing::Gone, ..t.entry.clone() };
-        let named: BTreeSet<ExecutorIndex> = entries.iter().map(|entry| entry.tgt).collect();
-        let omitted = self.executors.iter().filter(|t| whole && !named.contains(&t.entry.tgt));
+        let named: BTreeSet<ExecutorIndex> = entries.iter().map(|entry| entry.executor_index).collect();
+        let omitted = self.executors.iter().filter(|t| whole && !named.contains(&t.entry.executor_index));
         let mut all: Vec<Entry> = omitted.map(absent).collect();
         all.extend(entries);
         all
@@ -97,9 +97,12 @@
 
     /// The current share of each ready executor, by its stable id; for monitoring only.
     pub fn shares(&self) -> impl Iterator<Item = (u32, f64)> + '_ {
-        let sum: f64 = self.ranked.iter().map(|&tgt| self.executors[tgt].beta).sum();
-        let share = move |&tgt: &ExecutorIndex| {
-            (self.executors[tgt].entry.stable_id, self.executors[tgt].beta / sum.max(1e-12))
+        let sum: f64 = self.ranked.iter().map(|&executor_index| self.executors[executor_index].beta).sum();
+        let share = move |&executor_index: &ExecutorIndex| {
+            (
+                self.executors[executor_index].entry.stable_id,
+                self.executors[executor_index].beta / sum.max(1e-12),
+            )
         };
         self.ranked.iter().map(share)
     }
@@ -117,7 +120,7 @@
         let op = &self.settings.operations[invocation.op];
         let group = match (invocation.first_possible_run(), op.effect) {
             (Some(first), Effect::Deduplicated { group, .. }) => {
-                let entry = &self.executors[first.tgt].entry;
+                let entry = &self.executors[first.executor_index].entry;
                 match group {
                     Group::All => None,
                     Group::Zone => Some(Subset::Zone(entry.zone)),
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -165,9 +165,11 @@
             Input::Timer(SOLVE_TIMER) => self.on_solve_timer(now, out),
             Input::Timer(DISPATCH_TIMER) => self.expire_waiting(now, out),
             Input::Timer(_) => out.extend(self.list_calls.is_scheduled().then_some(Output::WatchList)),
-            Input::Probed { tgt, outcome, report } => self.on_probed(now, tgt, outcome, report, out),
-            Input::PeerMessage { from, kind, tgt, count } => {
-                self.on_peer_message(now, from, kind, tgt, count, out)
+            Input::Probed { executor_index, outcome, report } => {
+                self.on_probed(now, executor_index, outcome, report, out)
+            }
+            Input::PeerMessage { from, kind, executor_index, count } => {
+                self.on_peer_message(now, from, kind, executor_index, count, out)
             }
         }
         self.dispatch_waiting(now, out);
@@ -214,7 +216,7 @@
     /// Applies one line of the list of executors.
     fn apply_entry(&mut self, now: f64, entry: Entry) {
         self.ensure_known(&entry);
-        let t = &mut self.executors[entry.tgt];
+        let t = &mut self.executors[entry.executor_index];
         let (previous, started, only_draining) =
             (t.entry.standing, t.entry.started, self.settings.only_draining);
         // With `only_draining`, a list may be wrong or out of date: draining is final for a process, and an
@@ -445,7 +447,8 @@
         let run_time = fwd.wait.map_or(f64::INFINITY, |wait| now - fwd.sent - wait);
         let ran = (FATAL_WITHIN..f64::INFINITY).contains(&run_time);
         invocation.no_more_forwards |= self.settings.reports_starts && outcome == Outcome::Reset && !ran;
-        let (tgt, op, took) = (fwd.tgt, invocation.op, (took - fwd.wait.unwrap_or(0.0)) / invocation.hint);
+        let (executor_index, op, took) =
+            (fwd.executor_index, invocation.op, (took - fwd.wait.unwrap_or(0.0)) / invocation.hint);
         fwd.errored = outcome == Outcome::Errored;
         // A second copy of a job that crashes executors does the most harm, so resets make copies less
         // likely.
@@ -456,7 +459,8 @@
         };
         let (connection, late) = (fwd.connection_kind(), std::mem::take(&mut fwd.start_overdue));
         invocation.candidates.clear();
-        let failed_before = invocation.forwards[..forward].iter().rfind(|f| f.errored).map(|f| f.tgt);
+        let failed_before =
+            invocation.forwards[..forward].iter().rfind(|f| f.errored).map(|f| f.executor_index);
         if let Some(other) =
             failed_before.filter(|_| matches!(outcome, Outcome::Errored | Outcome::Succeeded))
         {
@@ -471,7 +475,7 @@
             invocation.state,
             invocation.memory,
         );
-        let (t, connection) = (&mut self.executors[tgt], &mut self.connection_records[connection]);
+        let (t, connection) = (&mut self.executors[executor_index], &mut self.connection_records[connection]);
         let answered =
             matches!(outcome, Outcome::Succeeded | Outcome::Errored | Outcome::Rejected | Outcome::Full);
         t.release_connection(now, answered);
@@ -516,15 +520,17 @@
             && !self.scans_whole_fleet()
             && !self.connection_records[NEW].avoided
             && self.limits_idle_connections();
-        self.announce_held(tgt, out);
-        if idle || self.connection_records[REUSED].avoided && self.executors[tgt].has_idle_connection() {
-            self.close_idle_connections(tgt, out);
+        self.announce_held(executor_index, out);
+        if idle
+            || self.connection_records[REUSED].avoided && self.executors[executor_index].has_idle_connection()
+        {
+            self.close_idle_connections(executor_index, out);
         }
         // A full answer whose report shows a free slot means that the report is out of date.
         let late = outcome == Outcome::Full && report.free >= Some(ONE_SLOT) && report.queue < Some(0.5);
         self.misleading_report_rate +=
             MISLEADING_WEIGHT * (f64::from(u8::from(late)) - self.misleading_report_rate);
-        self.apply_report(now, tgt, report);
+        self.apply_report(now, executor_index, report);
         self.update_price(now, (outcome == Outcome::Full).then_some(true), now);
         match (ended || outcome == Outcome::Succeeded, in_flight) {
             (_, 0) if state == InvocationState::Ended => drop(self.invocations.remove(&id)),
@@ -540,9 +546,9 @@
     }
 
     /// Closes the connections to the executor that are not in use.
-    fn close_idle_connections(&mut self, tgt: ExecutorIndex, out: &mut Vec<Output>) {
-        self.executors[tgt].connections = self.executors[tgt].held;
-        out.push(Output::Release(tgt));
+    fn close_idle_connections(&mut self, executor_index: ExecutorIndex, out: &mut Vec<Output>) {
+        self.executors[executor_index].connections = self.executors[executor_index].held;
+        out.push(Output::Release(executor_index));
     }
 
     /// Whether idle connections are closed: they have a price, or serve no purpose because load can be
@@ -570,7 +576,7 @@
             return;
         };
         let (t, sent, wait, first) =
-            (&mut self.executors[fwd.tgt], fwd.sent, now - fwd.sent, fwd.wait.is_none());
+            (&mut self.executors[fwd.executor_index], fwd.sent, now - fwd.sent, fwd.wait.is_none());
         let late = (first && self.settings.reports_starts).then_some(wait > LATE_START * invocation.slack);
         let was_overdue = std::mem::take(&mut fwd.start_overdue);
         // An overdue forward that starts after all was only queued.
@@ -606,14 +612,14 @@
             .forwards
             .get(forward)
             .filter(|f| f.state == ForwardState::InFlight && f.wait.is_none());
-        let Some(tgt) = fwd.map(|f| f.tgt) else { return };
+        let Some(executor_index) = fwd.map(|f| f.executor_index) else { return };
         let allowed = self.settings.cancelling
             && now >= self.degraded_until
             && self.remaining_further_forwards(now) >= 1.0;
         let withdraw =
             allowed && self.permitted_executors(invocation).any(|t| self.is_eligible(now, invocation, t));
         out.extend(withdraw.then_some(Output::Withdraw { id, forward }));
-        self.executors[tgt].record_failure(1.0, self.trust_reference, out);
+        self.executors[executor_index].record_failure(1.0, self.trust_reference, out);
     }
 
     /// Raises the admission price on late starts, which show queues that no report shows; at most once per
@@ -633,15 +639,15 @@
     fn on_probed(
         &mut self,
         now: f64,
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
         outcome: Outcome,
         report: Report,
         out: &mut Vec<Output>,
     ) {
-        let Some(t) = self.executors.get_mut(tgt) else { return };
+        let Some(t) = self.executors.get_mut(executor_index) else { return };
         if outcome == Outcome::Succeeded {
             t.seen_alive = true;
-            return self.apply_report(now, tgt, report);
+            return self.apply_report(now, executor_index, report);
         }
         t.seen_alive = false;
         // A failed probe weighs less: its answer may only be late.
@@ -748,12 +754,15 @@
         t.is_ready()
             && invocation.forwards.len() < self.settings.max_forwards
             && op.kind.is_none_or(|kind| kind == t.entry.kind)
-            && !invocation.forwards.iter().any(|f| f.tgt == t.entry.tgt && f.state != ForwardState::NotRun)
+            && !invocation
+                .forwards
+                .iter()
+                .any(|f| f.executor_index == t.entry.executor_index && f.state != ForwardState::NotRun)
             && invocation.first_possible_run().is_none_or(|first| match op.effect {
                 Effect::Idempotent => true,
                 Effect::NonIdempotent => false,
                 Effect::Deduplicated { group, window } => {
-                    let same = self.executors[first.tgt].entry.shares_dedup_group(group, &t.entry);
+                    let same = self.executors[first.executor_index].entry.shares_dedup_group(group, &t.entry);
                     same && now < first.sent + window - write_limit::WINDOW_MARGIN
                 }
             })
@@ -947,37 +956,43 @@
 
     /// Queries the executor's counting node; or the executor itself, if this node counts or the last query
     /// had no answer.
-    fn query_load(&mut self, now: f64, tgt: ExecutorIndex, out: &mut Vec<Output>) {
-        let t = &self.executors[tgt];
+    fn query_load(&mut self, now: f64, executor_index: ExecutorIndex, out: &mut Vec<Output>) {
+        let t = &self.executors[executor_index];
         let counting_node =
             self.counting_node(t).filter(|&k| k != self.settings.node_index && t.queried_at <= t.reported_at);
-        let question = |to| Output::SendToPeer { to, kind: PeerMessageKind::Query, tgt, count: 0 };
-        out.push(counting_node.map_or(Output::Probe(tgt), question));
-        self.executors[tgt].queried_at = now;
+        let question = |to| Output::SendToPeer { to, kind: PeerMessageKind::Query, executor_index, count: 0 };
+        out.push(counting_node.map_or(Output::Probe(executor_index), question));
+        self.executors[executor_index].queried_at = now;
     }
 
     /// Sends the invocation to the executor and updates what is held there.
-    fn send_forward(&mut self, now: f64, id: InvocationId, tgt: ExecutorIndex, out: &mut Vec<Output>) {
-        let turn = self.executors[tgt].turn_number(now, self.settings.cold.fall);
-        let t = &self.executors[tgt];
+    fn send_forward(
+        &mut self,
+        now: f64,
+        id: InvocationId,
+        executor_index: ExecutorIndex,
+        out: &mut Vec<Output>,
+    ) {
+        let turn = self.executors[executor_index].turn_number(now, self.settings.cold.fall);
+        let t = &self.executors[executor_index];
         let had_reported_slot = self.reports_are_reliable(now) && t.free - t.sent_since_report >= ONE_SLOT;
         let expected_at_once =
             self.settings.reports_starts && (had_reported_slot || t.held == 0 && t.started_at_once);
         if t.has_idle_connection()
             && (!t.has_fresh_connection(now, self.settings.idle) || self.connection_records[REUSED].avoided)
         {
-            self.close_idle_connections(tgt, out);
+            self.close_idle_connections(executor_index, out);
         }
         let Some(invocation) = self.invocations.get_mut(&id) else { return };
         self.further_sent.record_if(!invocation.forwards.is_empty(), now, self.settings.budget_retention());
-        let t = &mut self.executors[tgt];
+        let t = &mut self.executors[executor_index];
         self.awaiting_start.remove(&id);
         self.awaiting_start.extend(expected_at_once.then_some(id));
         invocation.forwards.push(Forward {
             had_reported_slot,
             reused_connection: t.has_idle_connection(),
             expected_at_once,
-            ..Forward::new(tgt, now)
+            ..Forward::new(executor_index, now)
         });
         // Ends the trial: it is one invocation.
         t.operation_record(invocation.op).fail_and_compare(0.0, self.trust_reference);
@@ -988,8 +1003,8 @@
         (t.cold_turn, t.held, t.sent_since_report, t.last_sent, t.trial) =
             (turn, t.held + 1, t.sent_since_report + 1.0, now, false);
         self.waiting.retain(|&other| other != id);
-        out.push(Output::Forward { id, tgt });
-        self.announce_held(tgt, out);
+        out.push(Output::Forward { id, executor_index });
+        self.announce_held(executor_index, out);
         self.transition(now, id, InvocationEvent::Sent, out);
     }
 
@@ -1002,14 +1017,14 @@
         let mut at = 0;
         while let Some(&id) = self.waiting.get(at).filter(|_| at < MAX_MISSES) {
             match self.find_placement(now, id, out) {
-                Placement::Here(tgt) => self.send_forward(now, id, tgt, out),
+                Placement::Here(executor_index) => self.send_forward(now, id, executor_index, out),
                 Placement::Later => at += 1,
                 Placement::Never => self.transition(now, id, InvocationEvent::GaveUp, out),
             }
         }
         for id in self.check_overdue_starts(now) {
-            if let Placement::Here(tgt) = self.find_placement(now, id, out) {
-                self.send_forward(now, id, tgt, out);
+            if let Placement::Here(executor_index) = self.find_placement(now, id, out) {
+                self.send_forward(now, id, executor_index, out);
             }
         }
         if (!self.awaiting_start.is_empty() || !self.waiting.is_empty()) && !self.dispatch_timer_set {
@@ -1035,7 +1050,7 @@
             else {
                 continue;
             };
-            let (age, t) = (now - fwd.sent, &mut self.executors[fwd.tgt]);
+            let (age, t) = (now - fwd.sent, &mut self.executors[fwd.executor_index]);
             if !fwd.start_overdue && age > LATE_START * invocation.slack {
                 (fwd.start_overdue, t.started_at_once) = (true, false);
                 self.connection_records[fwd.connection_kind()].add_failure(1.0);
@@ -1148,10 +1163,10 @@
         // Messages may be lost: each second all held counts are repeated, and each count that became zero
         // once more.
         let repeat_all = now.floor() > (now - elapsed).floor();
-        for tgt in 0..if repeat_all { self.executors.len() } else { 0 } {
-            if self.executors[tgt].held_announced {
-                self.announce_held(tgt, out);
-                self.executors[tgt].held_announced = self.executors[tgt].held > 0;
+        for executor_index in 0..if repeat_all { self.executors.len() } else { 0 } {
+            if self.executors[executor_index].held_announced {
+                self.announce_held(executor_index, out);
+                self.executors[executor_index].held_announced = self.executors[executor_index].held > 0;
             }
         }
         // A node with few invocations solves a large fleet less often, as CPU is measured per invocation.
@@ -1180,7 +1195,7 @@
                 && self.executors[*i].has_idle_connection()
         };
         let suspects: Vec<ExecutorIndex> = (0..self.executors.len()).filter(is_suspect).collect();
-        suspects.into_iter().for_each(|tgt| self.close_idle_connections(tgt, out));
+        suspects.into_iter().for_each(|executor_index| self.close_idle_connections(executor_index, out));
     }
 
     /// Probes some of the missing executors; if none is ready, treats all missing ones as alive.
@@ -1194,11 +1209,11 @@
             missing.iter().for_each(|&i| self.executors[i].seen_alive = true);
         }
         for _ in 0..if self.settings.probing && !missing.is_empty() { MAX_PROBES } else { 0 } {
-            let tgt = missing[(self.rng.draw() * missing.len() as f64) as usize];
-            let t = &mut self.executors[tgt];
+            let executor_index = missing[(self.rng.draw() * missing.len() as f64) as usize];
+            let t = &mut self.executors[executor_index];
             if now - t.queried_at > 0.5 && (t.refusals == 0 || now - t.refused_at > 5.0) {
                 t.queried_at = now;
-                out.push(Output::Probe(tgt));
+                out.push(Output::Probe(executor_index));
             }
         }
     }
@@ -1269,12 +1284,12 @@
     }
 
     /// Tells the executor's counting node how many forwards this node holds there.
-    fn announce_held(&mut self, tgt: ExecutorIndex, out: &mut Vec<Output>) {
-        self.executors[tgt].held_announced = true;
-        let (t, kind) = (&self.executors[tgt], PeerMessageKind::Held);
+    fn announce_held(&mut self, executor_index: ExecutorIndex, out: &mut Vec<Output>) {
+        self.executors[executor_index].held_announced = true;
+        let (t, kind) = (&self.executors[executor_index], PeerMessageKind::Held);
         let (to, count) =
             (self.counting_node(t).filter(|to| *to != self.settings.node_index), t.held.min(255) as u8);
-        out.extend(to.map(|to| Output::SendToPeer { to, kind, tgt, count }));
+        out.extend(to.map(|to| Output::SendToPeer { to, kind, executor_index, count }));
     }
 
     /// Handles a message of another node about an executor.
@@ -1283,13 +1298,13 @@
         now: f64,
         from: usize,
         kind: PeerMessageKind,
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
         count: u8,
         out: &mut Vec<Output>,
     ) {
         let Some(()) = self.peer_last_heard.get_mut(from).map(|heard| *heard = now) else { return };
-        let room = self.executors.get(tgt).and_then(|t| self.available_slots(now, t));
-        let Some(t) = self.executors.get_mut(tgt) else { return };
+        let room = self.executors.get(executor_index).and_then(|t| self.available_slots(now, t));
+        let Some(t) = self.executors.get_mut(executor_index) else { return };
         match kind {
             PeerMessageKind::Held => t.set_peer_held(from, count),
             PeerMessageKind::FreeSlots => {
@@ -1303,7 +1318,7 @@
                 out.extend(room.map(|n| Output::SendToPeer {
                     to: from,
                     kind: PeerMessageKind::FreeSlots,
-                    tgt,
+                    executor_index,
                     count: n as u8,
                 }));
             }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -19,20 +19,28 @@
     let operations = vec![operation(effect)];
     let set = Settings { operations, nodes: 4, max_forwards: 3, cold, ..Settings::default() };
     let mut node = Node::new(set, 5);
-    let ready = |tgt| Entry { tgt, standing: Standing::Ready, cell: tgt as i64 / 2, ..Entry::default() };
+    let ready = |executor_index| Entry {
+        executor_index,
+        standing: Standing::Ready,
+        cell: executor_index as i64 / 2,
+        ..Entry::default()
+    };
     let mut out = Vec::new();
     node.on_list(0.0, List::Whole((0..many).map(ready).collect()), &mut out);
     node
 }
 
-fn entry(tgt: ExecutorIndex, standing: Standing, started: f64) -> Entry {
-    Entry { tgt, standing, started, ..Entry::default() }
+fn entry(executor_index: ExecutorIndex, standing: Standing, started: f64) -> Entry {
+    Entry { executor_index, standing, started, ..Entry::default() }
 }
 
 /// Adds an invocation whose earlier forwards, all sent at 1, went to executors 0, 1, ... and are in these
 /// states.
 fn add(node: &mut Node, state: InvocationState, forward_states: &[ForwardState]) {
-    let forward = |(tgt, &forward_state)| Forward { state: forward_state, ..Forward::new(tgt, 1.0) };
+    let forward = |(executor_index, &forward_state)| Forward {
+        state: forward_state,
+        ..Forward::new(executor_index, 1.0)
+    };
     let forwards: Vec<Forward> = forward_states.iter().enumerate().map(forward).collect();
     let invocation = Invocation {
         state,
@@ -253,7 +261,7 @@
         node.on_list(30.0, List::Changes(vec![entry(1, standing, started)]), &mut out);
         if alive {
             let (outcome, report) = (Outcome::Succeeded, Report::default());
-            node.handle(30.0, Input::Probed { tgt: 1, outcome, report }, &mut out);
+            node.handle(30.0, Input::Probed { executor_index: 1, outcome, report }, &mut out);
         }
     }
     assert_eq!(node.is_eligible(30.0, &node.invocations[&ID], &node.executors[1]), goes);
@@ -271,7 +279,7 @@
     assert!(node.ranked.len() == 40 && (1..=3).contains(&probes) == (asked > 0), "{out:?}");
     node.handle(
         1.3,
-        Input::Probed { tgt: 7, outcome: Outcome::Unreachable, report: Report::default() },
+        Input::Probed { executor_index: 7, outcome: Outcome::Unreachable, report: Report::default() },
         &mut out,
     );
     assert!(!node.executors[7].is_ready(), "an unreachable one is not used");
@@ -410,7 +418,7 @@
     // Calls beyond the capacity of discovery are refused: 60 of 100 nodes had no list for 10 s.
     let first = |node_index| {
         let (mut node, mut out) = (polling_node(node_index, nodes, None), Vec::new());
-        let list = (0..kept).map(|tgt| entry(tgt, Standing::Ready, 0.0)).collect();
+        let list = (0..kept).map(|executor_index| entry(executor_index, Standing::Ready, 0.0)).collect();
         node.handle(0.0, Input::List(List::Initial(list, InitialListAge::Unknown)), &mut out);
         assert!(!out.contains(&Output::WatchList), "no call at once");
         list_call_wait(&out).expect("it schedules a call")
@@ -689,7 +697,7 @@
         add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         node.invocations
             .entry(ID)
-            .and_modify(|invocation| (invocation.forwards[0].tgt, invocation.slack) = (1, 0.2));
+            .and_modify(|invocation| (invocation.forwards[0].executor_index, invocation.slack) = (1, 0.2));
         node.on_alive(2.0 + f64::from(at), ID, 0);
     }
     assert!((node.spill_probability - left).abs() < 1e-6, "{}", node.spill_probability);
@@ -729,7 +737,8 @@
     for from in [1, 2] {
         node.on_peer_message(1.0, from, PeerMessageKind::Query, 4, 0, &mut out);
     }
-    let answer = |to, count| Output::SendToPeer { to, kind: PeerMessageKind::FreeSlots, tgt: 4, count };
+    let answer =
+        |to, count| Output::SendToPeer { to, kind: PeerMessageKind::FreeSlots, executor_index: 4, count };
     assert_eq!(out, [answer(1, 1), answer(2, 0)]);
     assert_eq!(node.available_slots(1.2, &node.executors[4]), Some(1.0), "the grants were not used");
 }
@@ -756,7 +765,7 @@
 fn unusual_fleets_get_an_answer(many: usize, started: f64) {
     let (mut node, mut out) = (node(Effect::NonIdempotent, 0), Vec::new());
     (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
-    let list = (0..many).map(|tgt| entry(tgt, Standing::Ready, started)).collect();
+    let list = (0..many).map(|executor_index| entry(executor_index, Standing::Ready, started)).collect();
     node.handle(1.0, Input::List(List::Whole(list)), &mut out);
     node.handle(1.0, Input::Submitted(submission(3.0, 0)), &mut out);
     (0..40).for_each(|i| node.handle(1.0 + 0.1 * f64::from(i), Input::Timer(DISPATCH_TIMER), &mut out));
@@ -771,7 +780,7 @@
     assert_eq!(node.available_slots(1.1, &node.executors[1]), Some(0.0), "no answer counts as no free slot");
     node.query_load(2.0, 1, &mut out);
     node.query_load(2.0, 0, &mut out);
-    let question = Output::SendToPeer { to: 1, kind: PeerMessageKind::Query, tgt: 1, count: 0 };
+    let question = Output::SendToPeer { to: 1, kind: PeerMessageKind::Query, executor_index: 1, count: 0 };
     assert_eq!(out, [question, Output::Probe(1), Output::Probe(0)]);
 }
 
@@ -797,16 +806,17 @@
 
 #[test_case(0, 2.5; "own zone, three held each: 1.5 times the mean, plus one")]
 #[test_case(1, 1.0; "another zone, nothing held")]
-fn the_mean_held_is_kept_per_zone(tgt: ExecutorIndex, room: f64) {
+fn the_mean_held_is_kept_per_zone(executor_index: ExecutorIndex, room: f64) {
     // As work stays in the own zone, it would look full beside zones where nothing is held.
     let set =
         Settings { cross_zone_price: 0.2, reports_starts: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
-    let zoned = |tgt| Entry { zone: tgt % 2, ..entry(tgt, Standing::Ready, 0.0) };
+    let zoned =
+        |executor_index| Entry { zone: executor_index % 2, ..entry(executor_index, Standing::Ready, 0.0) };
     node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
     (0..4).for_each(|i| (node.executors[2 * i].held, node.executors[2 * i].running) = (3, 3));
     node.solve(1.0);
-    assert_eq!(node.available_slots(1.0, &node.executors[tgt]), Some(room));
+    assert_eq!(node.available_slots(1.0, &node.executors[executor_index]), Some(room));
 }
 
 #[test_case(0.2, 0.0, 0.05, 0; "an expensive crossing waits while the own zone starts in time")]
@@ -818,7 +828,10 @@
     let set =
         Settings { cross_zone_price: price, reports_starts: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
-    let zoned = |tgt| Entry { zone: usize::from(tgt > 0), ..entry(tgt, Standing::Ready, 0.0) };
+    let zoned = |executor_index| Entry {
+        zone: usize::from(executor_index > 0),
+        ..entry(executor_index, Standing::Ready, 0.0)
+    };
     node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
     assert!((node.spill_probability - first).abs() < 1e-9 && node.own_zone_count == 1);
     for _ in 0..60 {
@@ -854,8 +867,9 @@
     began.into_iter().for_each(|began| node.on_alive(began, ID, 0));
     let mut out = settle_forward(&mut node, 2.0, outcome);
     node.dispatch_waiting(2.0, &mut out);
-    let (sent, refused) = (Output::Forward { id: ID, tgt: 1 }, Output::Throttle { id: ID, pause: 0.0 });
-    let sent = out.contains(&sent) || out.contains(&Output::Forward { id: ID, tgt: 2 });
+    let (sent, refused) =
+        (Output::Forward { id: ID, executor_index: 1 }, Output::Throttle { id: ID, pause: 0.0 });
+    let sent = out.contains(&sent) || out.contains(&Output::Forward { id: ID, executor_index: 2 });
     assert_eq!((sent, out.contains(&refused)), (again, !again), "{out:?}");
 }
 
@@ -1040,7 +1054,8 @@
         (t.overall.successes, t.overall.failures) = (1.0, 4.0);
     }
     node.on_solve_timer(0.3, &mut Vec::new());
-    let found: Vec<ExecutorIndex> = (0..many).filter(|&tgt| node.executors[tgt].doubtful).collect();
+    let found: Vec<ExecutorIndex> =
+        (0..many).filter(|&executor_index| node.executors[executor_index].doubtful).collect();
     assert_eq!(found, doubted);
 }
 
@@ -1150,7 +1165,7 @@
     (node.executors[1].started_at_once, node.executors[1].held) = (kept, held);
     let mut out = Vec::new();
     node.handle(5.0, Input::Submitted(submission(9.0, 0)), &mut out);
-    let sent = out.iter().any(|o| matches!(o, Output::Forward { tgt: 1, .. }));
+    let sent = out.iter().any(|o| matches!(o, Output::Forward { executor_index: 1, .. }));
     assert_eq!((sent, out.contains(&Output::Throttle { id: ID, pause: 0.0 })), (taken, !taken), "{out:?}");
 }
 
@@ -1175,7 +1190,8 @@
         let mut node = node(Effect::Idempotent, 30);
         (node.rng, node.settings.probing, node.settings.reports) = (Rng::new(seed), true, Reports::Answers);
         node.executors.iter_mut().for_each(|t| {
-            (t.entry.stable_id, t.share) = (t.entry.tgt as u32, 1.0 + (t.entry.tgt % 3) as f64)
+            (t.entry.stable_id, t.share) =
+                (t.entry.executor_index as u32, 1.0 + (t.entry.executor_index % 3) as f64)
         });
         add(&mut node, InvocationState::Waiting, &[]);
         node.invocations.entry(ID).and_modify(|invocation| {
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -94,12 +94,12 @@
     }
 
     /// Applies a load report of an executor.
-    pub(crate) fn apply_report(&mut self, now: f64, tgt: ExecutorIndex, report: Report) {
+    pub(crate) fn apply_report(&mut self, now: f64, executor_index: ExecutorIndex, report: Report) {
         // Seconds: a report may not include forwards this recent; some round trips.
         const TOO_YOUNG: f64 = 0.03;
         // Smoothing weight of one report: some seconds' worth of reports.
         const UTIL_WEIGHT: f64 = 0.02;
-        let t = &mut self.executors[tgt];
+        let t = &mut self.executors[executor_index];
         let Some(free) = report.free else { return };
         let busy = report.inflight.zip(report.queue).map(|(inflight, queue)| (inflight - queue).max(0.0));
         // Without the number of running jobs, the number of slots is estimated by the most ever seen free or
--- a/src/sampler.rs
+++ b/src/sampler.rs
@@ -77,10 +77,10 @@
 }
 
 impl Members {
-    pub fn insert(&mut self, tgt: ExecutorIndex) {
-        self.present.resize(self.present.len().max(tgt + 1), false);
-        if !std::mem::replace(&mut self.present[tgt], true) {
-            self.members.push(tgt);
+    pub fn insert(&mut self, executor_index: ExecutorIndex) {
+        self.present.resize(self.present.len().max(executor_index + 1), false);
+        if !std::mem::replace(&mut self.present[executor_index], true) {
+            self.members.push(executor_index);
         }
     }
 
@@ -153,7 +153,9 @@
         let mut order: Vec<ExecutorIndex> = Vec::new();
         for nth in 0..2 * KEY_ORDER_LEN as u64 {
             let drawn = self.draw(mix(key.wrapping_add(nth.wrapping_mul(0x9e37_79b9_7f4a_7c15))));
-            order.extend(drawn.filter(|tgt| order.len() < KEY_ORDER_LEN && !order.contains(tgt)));
+            order.extend(
+                drawn.filter(|executor_index| order.len() < KEY_ORDER_LEN && !order.contains(executor_index)),
+            );
         }
         order
     }
@@ -212,10 +214,10 @@
     /// Updates the index after a forward has ended at the executor.
     pub fn on_connection_freed(&mut self, t: &Executor) {
         if t.started_at_once {
-            self.started_at_once.insert(t.entry.tgt);
+            self.started_at_once.insert(t.entry.executor_index);
         }
         if t.has_idle_connection() {
-            self.idle.insert(t.entry.tgt);
+            self.idle.insert(t.entry.executor_index);
         }
     }
 
--- a/src/sampler/tests.rs
+++ b/src/sampler/tests.rs
@@ -142,9 +142,14 @@
         self.inputs.push(Some(input));
     }
 
-    fn report(&self, tgt: ExecutorIndex) -> Report {
-        let inflight = Some(self.held[tgt]);
-        Report { free: Some(16.0 - self.held[tgt]), queue: Some(0.0), inflight, ..Report::default() }
+    fn report(&self, executor_index: ExecutorIndex) -> Report {
+        let inflight = Some(self.held[executor_index]);
+        Report {
+            free: Some(16.0 - self.held[executor_index]),
+            queue: Some(0.0),
+            inflight,
+            ..Report::default()
+        }
     }
 
     fn deliver(&mut self, now: f64, input: Input) {
@@ -154,20 +159,23 @@
         self.examined += if solves { 0 } else { take_examined() };
         for output in out {
             match output {
-                Output::Forward { id, tgt } => {
-                    self.received[tgt] += 1.0;
-                    self.held[tgt] += 1.0;
+                Output::Forward { id, executor_index } => {
+                    self.received[executor_index] += 1.0;
+                    self.held[executor_index] += 1.0;
                     self.sent.insert(id, now);
                     let took = 0.05 * (0.05 * (self.rng.draw() + self.rng.draw() - 1.0) * 2.4).exp();
-                    let report = self.report(tgt);
+                    let report = self.report(executor_index);
                     let (outcome, ended, forward) = (Outcome::Succeeded, true, 0);
                     self.schedule(now + 0.001, Input::Started { id, forward });
                     let settled = Settled { id, forward, outcome, took, ended, report };
                     self.schedule(now + took, Input::Settled(settled));
                 }
-                Output::Probe(tgt) => {
-                    let (report, way) = (self.report(tgt), 0.0005 + 0.001 * self.rng.draw());
-                    self.schedule(now + way, Input::Probed { tgt, outcome: Outcome::Succeeded, report });
+                Output::Probe(executor_index) => {
+                    let (report, way) = (self.report(executor_index), 0.0005 + 0.001 * self.rng.draw());
+                    self.schedule(
+                        now + way,
+                        Input::Probed { executor_index, outcome: Outcome::Succeeded, report },
+                    );
                 }
                 Output::SetTimer { after, timer } => self.schedule(now + after, Input::Timer(timer)),
                 Output::Throttle { .. } | Output::Error { .. } => self.failed += 1,
@@ -184,13 +192,13 @@
             }
             let input = self.inputs[event].take().expect("delivered once");
             if let Input::Settled(Settled { id, .. }) = &input {
-                let tgt = self
+                let executor_index = self
                     .node
                     .invocations
                     .get(id)
                     .and_then(|invocation| invocation.forwards.last())
-                    .map(|f| f.tgt);
-                tgt.into_iter().for_each(|tgt| self.held[tgt] -= 1.0);
+                    .map(|f| f.executor_index);
+                executor_index.into_iter().for_each(|executor_index| self.held[executor_index] -= 1.0);
             }
             self.deliver(when as f64 / 1e9, input);
         }
@@ -222,13 +230,13 @@
     }
 }
 
-fn ready(tgt: ExecutorIndex) -> Entry {
+fn ready(executor_index: ExecutorIndex) -> Entry {
     let standing = Standing::Ready;
     Entry {
-        tgt,
-        stable_id: tgt as u32,
-        zone: tgt % 5,
-        cell: tgt as i64 / 2,
+        executor_index,
+        stable_id: executor_index as u32,
+        zone: executor_index % 5,
+        cell: executor_index as i64 / 2,
         size: 1.0,
         standing,
         ..Entry::default()
@@ -259,7 +267,10 @@
 #[test]
 fn unequal_executors_get_their_shares() {
     // The choice among the drawn executors must not even out the shares of the bargaining split.
-    let sized = |tgt| Entry { size: if tgt % 2 == 0 { 1.0 } else { 1.04 }, ..ready(tgt) };
+    let sized = |executor_index| Entry {
+        size: if executor_index % 2 == 0 { 1.0 } else { 1.04 },
+        ..ready(executor_index)
+    };
     let mut simulation = Simulation::new(800, |set| set.sizes = Sizes::Listed, sized);
     simulation.submit_many(1.0, 8_000);
     simulation.received = vec![0.0; 800];
@@ -272,15 +283,15 @@
     assert!((0.05..0.45).contains(&share) && (received - share).abs() < 0.04, "{received} for {share}");
 }
 
-#[test_case(|tgt| tgt % 5 == 0; "one zone is closed")]
-#[test_case(|tgt| tgt % 100 != 7; "one in a hundred is open")]
+#[test_case(|executor_index| executor_index % 5 == 0; "one zone is closed")]
+#[test_case(|executor_index| executor_index % 100 != 7; "one in a hundred is open")]
 fn invocations_avoid_closed_executors(closed: fn(ExecutorIndex) -> bool) {
     // While some executors have free slots, invocations must neither fail nor go to closed ones.
     let mut simulation = Simulation::new(3_000, |_| {}, ready);
     simulation.submit_many(1.0, 100);
     simulation.run_until(2.0);
     let full = |t: &mut Executor| (t.refused_at, t.refusals) = (2.0, 6); // Closed for 6.4 s.
-    simulation.node.executors.iter_mut().filter(|t| closed(t.entry.tgt)).for_each(full);
+    simulation.node.executors.iter_mut().filter(|t| closed(t.entry.executor_index)).for_each(full);
     simulation.received = vec![0.0; 3_000];
     simulation.submit_many(2.0, 1_500);
     let (received, lost) = (
@@ -295,7 +306,7 @@
 }
 
 #[test_case(DEDUP_CELL, |t| t.cell == 2000; "its cell")]
-#[test_case(Effect::Idempotent, |t| t.tgt != 4000; "anywhere")]
+#[test_case(Effect::Idempotent, |t| t.executor_index != 4000; "anywhere")]
 fn a_repeat_is_drawn_from_where_it_may_go(effect: Effect, fits: fn(&Entry) -> bool) {
     // A repeat may be restricted to a few of thousands of executors, which draws over all hardly ever hit.
     let mut simulation = Simulation::new(5_000, |set| set.operations[0].effect = effect, ready);
--- a/src/transfer.rs
+++ b/src/transfer.rs
@@ -13,7 +13,7 @@
         let mut invocation = self.invocations.remove(&id)?;
         self.waiting.retain(|&other| other != id);
         for forward in invocation.in_flight().map(|at| &invocation.forwards[at]) {
-            let t = &mut self.executors[forward.tgt];
+            let t = &mut self.executors[forward.executor_index];
             t.held = t.held.saturating_sub(1);
             t.memory = if t.held == 0 { 0.0 } else { (t.memory - invocation.memory).max(0.0) };
             t.running = t.running.saturating_sub(usize::from(forward.wait.is_some()));
@@ -25,8 +25,8 @@
     /// Continues the invocation; its operation and executors are indexed as at this node.
     pub fn import_invocation(&mut self, id: InvocationId, invocation: Invocation) {
         for forward in invocation.in_flight().map(|at| &invocation.forwards[at]) {
-            self.executors.extend((self.executors.len()..=forward.tgt).map(Executor::unlisted));
-            let t = &mut self.executors[forward.tgt];
+            self.executors.extend((self.executors.len()..=forward.executor_index).map(Executor::unlisted));
+            let t = &mut self.executors[forward.executor_index];
             (t.held, t.memory) = (t.held + 1, t.memory + invocation.memory);
             t.running += usize::from(forward.wait.is_some());
         }
--- a/src/types.rs
+++ b/src/types.rs
@@ -176,7 +176,7 @@
 /// One line of the list of executors.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
-    pub tgt: ExecutorIndex,
+    pub executor_index: ExecutorIndex,
     /// The same at every node; determines which node counts for the executor.
     pub stable_id: u32,
     pub zone: usize,
@@ -344,14 +344,14 @@
     Stopping(f64),
     Timer(u64),
     Probed {
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
         outcome: Outcome,
         report: Report,
     },
     PeerMessage {
         from: usize,
         kind: PeerMessageKind,
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
         count: u8,
     },
 }
@@ -382,7 +382,7 @@
 pub enum Output {
     Forward {
         id: InvocationId,
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
     },
     Withdraw {
         id: InvocationId,
@@ -407,7 +407,7 @@
     SendToPeer {
         to: usize,
         kind: PeerMessageKind,
-        tgt: ExecutorIndex,
+        executor_index: ExecutorIndex,
         count: u8,
     },
     /// Call discovery for the list and watch it.
@@ -466,7 +466,8 @@
 /// One attempt of an invocation at an executor.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Forward {
-    pub tgt: ExecutorIndex,
+    #[serde(rename = "tgt")]
+    pub executor_index: ExecutorIndex,
     pub sent: f64,
     #[serde(rename = "fate")]
     pub state: ForwardState,
@@ -510,9 +511,9 @@
         }
     }
 
-    pub fn new(tgt: ExecutorIndex, sent: f64) -> Self {
+    pub fn new(executor_index: ExecutorIndex, sent: f64) -> Self {
         Forward {
-            tgt,
+            executor_index,
             sent,
             state: ForwardState::InFlight,
             wait: None,
@@ -714,8 +715,11 @@
     }
 
     /// An executor that has not been listed yet; any start time differs from NaN and counts as new.
-    pub fn unlisted(tgt: ExecutorIndex) -> Self {
-        Executor { entry: Entry { tgt, started: f64::NAN, ..Entry::default() }, ..Executor::default() }
+    pub fn unlisted(executor_index: ExecutorIndex) -> Self {
+        Executor {
+            entry: Entry { executor_index, started: f64::NAN, ..Entry::default() },
+            ..Executor::default()
+        }
     }
 
     /// Whether it can be used: listed as ready, or missing and seen alive since.
