--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -8,10 +8,10 @@
 use coveroute_fleet::explore::Model;
 use coveroute_fleet::member::Id;
 use coveroute_fleet::table::Key;
-use coveroute_fleet::{Action, Fleet, Kind, Plan};
+use coveroute_fleet::{Action, Fleet, FleetConfig, Kind};
 
 use super::checker::Checker;
-use super::stage::{member, plan};
+use super::stage::{fleet_config, member};
 use crate::scenario::FleetPart;
 use crate::world::NodeId;
 
@@ -85,7 +85,7 @@
 /// A fleet of `nodes` nodes.
 pub struct Few {
     pub nodes: usize,
-    plan: Plan,
+    config: FleetConfig,
     /// Clocks run at rates of up to 1 plus or minus this.
     drift: f64,
 }
@@ -100,9 +100,9 @@
 }
 
 impl Few {
-    /// `drift` is that of the clocks; the plan allows for 1%.
+    /// `drift` is that of the clocks; the configuration allows for 1%.
     pub fn new(nodes: usize, drift: f64) -> Self {
-        Few { nodes, plan: plan(nodes, &FleetPart::default(), addr), drift }
+        Few { nodes, config: fleet_config(nodes, &FleetPart::default(), addr), drift }
     }
 
     fn local_time(&self, node: NodeId, now: f64) -> f64 {
@@ -115,7 +115,7 @@
         // Marks rise and fall: which of two processes has the greater one is random.
         let mark = coveroute::chance::mix(state.processes);
         let local_time = self.local_time(node, state.now);
-        state.fleets[node] = Fleet::new(local_time, &member(node), self.plan.clone(), count, mark).ok();
+        state.fleets[node] = Fleet::new(local_time, &member(node), self.config.clone(), count, mark).ok();
     }
 
     /// Runs `act` on the node, if it is up, and puts what it sends in flight.
@@ -213,7 +213,7 @@
             |state: &State, at: usize| format!("no datagram {at}: {} in flight", state.in_flight.len());
         match *step {
             Step::Tick => {
-                state.now += self.plan.detector.every;
+                state.now += self.config.detector.every;
                 for node in 0..self.nodes {
                     // Four timer ticks per period, as in a node.
                     for _ in 0..4 {
@@ -285,7 +285,8 @@
         assert!(explored.states > 1000, "{explored:?}");
     }
 
-    /// Checks that the explorer and the checker detect a broken bound: clocks that drift by more than the plan allows.
+    /// Checks that the explorer and the checker detect a broken bound: clocks that drift by more than the
+    /// configuration allows.
     #[test]
     fn excessive_clock_drift_is_detected() {
         let model = Few::new(2, 0.3);
--- a/crates/coveroute-emu/src/fleet/processes.rs
+++ b/crates/coveroute-emu/src/fleet/processes.rs
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use coveroute_fleet::plan::Entry;
-use coveroute_fleet::Plan;
+use coveroute_fleet::config::MemberConfig;
+use coveroute_fleet::FleetConfig;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::Value;
@@ -17,7 +17,7 @@
 use tokio::runtime::Runtime;
 
 use super::links::Links;
-use super::stage::{member, plan};
+use super::stage::{fleet_config, member};
 use crate::scenario::{Direction, FleetPart, Scenario, What};
 use crate::search::drawn;
 use crate::world::NodeId;
@@ -134,12 +134,14 @@
 }
 
 /// The operators' file of `node`, with relays as the addresses of the other members.
-pub fn plan_of(block: u8, nodes: usize, part: &FleetPart, node: NodeId) -> Plan {
-    plan(
-        nodes,
-        part,
-        |other| if other == node { member_addr(block, node) } else { relay_addr(block, node, other) },
-    )
+pub fn config_for_node(block: u8, nodes: usize, part: &FleetPart, node: NodeId) -> FleetConfig {
+    fleet_config(nodes, part, |other| {
+        if other == node {
+            member_addr(block, node)
+        } else {
+            relay_addr(block, node, other)
+        }
+    })
 }
 
 impl Processes {
@@ -198,7 +200,7 @@
         };
         for node in 0..nodes {
             fleet.write_config(node)?;
-            fleet.write_plan(node, |_| true)?;
+            fleet.write_member_file(node, |_| true)?;
             fleet.begin(node)?;
         }
         Ok(fleet)
@@ -231,11 +233,11 @@
     }
 
     /// Writes the operators' file of the node, with the members for which `fits` holds.
-    pub fn write_plan(&self, node: NodeId, fits: impl Fn(NodeId) -> bool) -> Result<(), String> {
-        let mut plan = plan_of(self.block, self.processes.len(), &self.part, node);
-        plan.limits.tenants = self.tenant.is_some();
-        plan.members.retain(|name, _| name[1..].parse().is_ok_and(&fits));
-        self.write(&format!("f{node}.toml"), &text(&plan))
+    pub fn write_member_file(&self, node: NodeId, fits: impl Fn(NodeId) -> bool) -> Result<(), String> {
+        let mut config = config_for_node(self.block, self.processes.len(), &self.part, node);
+        config.limits.tenants = self.tenant.is_some();
+        config.members.retain(|name, _| name[1..].parse().is_ok_and(&fits));
+        self.write(&format!("f{node}.toml"), &text(&config))
     }
 
     fn spawn(&mut self, node: NodeId) -> Result<(Child, SocketAddr), String> {
@@ -408,27 +410,27 @@
     }
 }
 
-/// The plan as the text of an operators' file.
-pub fn text(plan: &Plan) -> String {
-    let (d, l) = (&plan.detector, &plan.limits);
+/// The configuration as the text of an operators' file.
+pub fn text(config: &FleetConfig) -> String {
+    let (d, l) = (&config.detector, &config.limits);
     let mut text = format!(
         "fleet = \"{}\"\n[detector]\nevery = {:?}\nrelays = {}\nsuspicion = {:?}\npatience = {:?}\ndrift = {:?}\n\
          budget = {:?}\n[records]\nlife = {:?}\nmost = {}\n[limits]\ntenants = {}\nwindow = {:?}\nlease = {:?}\nvoters = {:?}\n[members]\n",
-        plan.fleet,
+        config.fleet,
         d.every,
         d.relays,
         d.suspicion,
         d.patience,
         d.drift,
         d.budget,
-        plan.records.life,
-        plan.records.most,
+        config.records.life,
+        config.records.most,
         l.tenants,
         l.window,
         l.lease,
         l.voters
     );
-    for (name, Entry { address, zone, machine }) in &plan.members {
+    for (name, MemberConfig { address, zone, machine }) in &config.members {
         text +=
             &format!("{name} = {{ address = \"{address}\", zone = \"{zone}\", machine = \"{machine}\" }}\n");
     }
@@ -441,7 +443,7 @@
 
     #[test]
     fn a_written_plan_parses_to_the_same_plan() {
-        let plan = plan(3, &FleetPart::default(), |node| member_addr(16, node));
-        assert_eq!(Plan::parse(&text(&plan)), Ok(plan));
+        let config = fleet_config(3, &FleetPart::default(), |node| member_addr(16, node));
+        assert_eq!(FleetConfig::parse(&text(&config)), Ok(config));
     }
 }
--- a/crates/coveroute-emu/src/fleet/stage.rs
+++ b/crates/coveroute-emu/src/fleet/stage.rs
@@ -2,12 +2,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use coveroute_fleet::config::{Limits, MemberConfig, Records};
 use coveroute_fleet::detector::Detector;
 use coveroute_fleet::member::Id;
-use coveroute_fleet::plan::{Entry, Limits, Records};
 use coveroute_fleet::rights::{Rights, Terms};
 use coveroute_fleet::table::Key;
-use coveroute_fleet::{Action, Figures, Fleet, Kind, News, Plan, State};
+use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, Kind, News, State};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -34,17 +34,23 @@
 }
 
 /// The operators' file for a fleet of `nodes` nodes; `addr` gives a member's address.
-pub fn plan(nodes: usize, part: &FleetPart, addr: impl Fn(NodeId) -> SocketAddr) -> Plan {
+pub fn fleet_config(nodes: usize, part: &FleetPart, addr: impl Fn(NodeId) -> SocketAddr) -> FleetConfig {
     let all = nodes + part.absent.0;
     let entry = |node: NodeId| {
         let (zone, machine) = (String::new(), String::new());
-        (member(node), Entry { address: addr(node), zone, machine })
+        (member(node), MemberConfig { address: addr(node), zone, machine })
     };
     let members = (0..all).map(entry).collect();
     let usual = Detector::default();
     let suspicion = usual.suspicion * part.every.0 / usual.every;
     let detector = Detector { every: part.every.0, suspicion, drift: part.drift.0.min(0.1), ..usual };
-    Plan { fleet: "stage".into(), members, detector, records: Records::default(), limits: Limits::default() }
+    FleetConfig {
+        fleet: "stage".into(),
+        members,
+        detector,
+        records: Records::default(),
+        limits: Limits::default(),
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -97,7 +103,7 @@
 /// The simulated fleet.
 pub struct Stage {
     part: FleetPart,
-    plan: Plan,
+    config: FleetConfig,
     terms: Option<Terms>,
     /// Uses that were requested, and those of them that were granted.
     pub wanted: u64,
@@ -128,7 +134,7 @@
             SimNode { fleet, process: 0, rate, offset, rights, demand: 0.0, stalled, count: 0 }
         };
         let nodes: Vec<SimNode> = (0..count).map(&mut sim_node).collect();
-        let plan = plan(count, &part, addr);
+        let config = fleet_config(count, &part, addr);
         let members: Vec<Id> = (0..count).map(|node| Id::of(&member(node))).collect();
         let ids = members.iter().copied().enumerate().map(|(node, id)| (id, node)).collect();
         let mut queue = Queue::new();
@@ -138,7 +144,7 @@
         Stage {
             links: Links::new(scenario, seed, zones),
             part,
-            plan,
+            config,
             terms: None,
             wanted: 0,
             had: 0,
@@ -225,7 +231,7 @@
         };
         let mark = self.rng.random::<u64>();
         let node_state = &mut self.nodes[node];
-        let fleet = Fleet::new(node_state.local_time(now), &member(node), self.plan.clone(), count, mark);
+        let fleet = Fleet::new(node_state.local_time(now), &member(node), self.config.clone(), count, mark);
         (node_state.fleet, node_state.process, node_state.stalled, node_state.count) =
             (fleet.ok(), process, None, node_state.count.max(count));
         let phase = self.rng.random_range(0.0..self.part.every.0);
--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -311,7 +311,7 @@
             Members::File(file, member) => Some((file, member)),
             Members::Each => {
                 let at = |node| SocketAddr::from(([127, block, 252, node as u8], 9400));
-                let mut fleet = stage::plan(self.plan.nodes, &FleetPart::default(), at);
+                let mut fleet = stage::fleet_config(self.plan.nodes, &FleetPart::default(), at);
                 fleet.limits.tenants = self.plan.tenants > 0;
                 let text = crate::fleet::processes::text(&fleet);
                 Some((self.file(format!("{number}-{node}.toml"), &text)?, stage::member(node)))
--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -30,7 +30,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use crate::fleet::links::Links;
-use crate::fleet::processes::{lock, plan_of, relays, text};
+use crate::fleet::processes::{config_for_node, lock, relays, text};
 use crate::scenario::Scenario;
 use crate::settings;
 use crate::world::invariants::FinalAnswer;
@@ -364,8 +364,8 @@
         self.configure(node, &known, false)?;
         if let Some(part) = &self.world.borrow().scenario.fleet {
             let nodes = self.world.borrow().nodes.len();
-            let (path, plan) = (self.plan_file(node), plan_of(self.block, nodes, part, node));
-            std::fs::write(&path, text(&plan)).map_err(|e| format!("{}: {e}", path.display()))?;
+            let (path, config) = (self.member_file(node), config_for_node(self.block, nodes, part, node));
+            std::fs::write(&path, text(&config)).map_err(|e| format!("{}: {e}", path.display()))?;
         }
         let process = self.spawn(node)?;
         let pid = process.pid;
@@ -374,7 +374,7 @@
         Ok(())
     }
 
-    fn plan_file(&self, node: NodeId) -> PathBuf {
+    fn member_file(&self, node: NodeId) -> PathBuf {
         self.dir.join(format!("f{node}.toml"))
     }
 
@@ -420,7 +420,7 @@
         let mut command = tokio::process::Command::new("/bin/sh");
         command.arg("-c").arg(run).arg(&self.options.node).arg(self.file(node));
         if self.world.borrow().scenario.fleet.is_some() {
-            command.arg("--fleet").arg(self.plan_file(node));
+            command.arg("--fleet").arg(self.member_file(node));
         }
         command.env_remove("BALANCER_LISTEN").env_remove("BALANCER_DISCOVERY").env_remove("BALANCER_CONFIG");
         command.env("BALANCER_MANAGEMENT", management.to_string()).env("TMPDIR", folder);
--- a/crates/coveroute-emu/src/scenario.rs
+++ b/crates/coveroute-emu/src/scenario.rs
@@ -1,7 +1,7 @@
 //! A scenario: one TOML file, strictly parsed. Errors name the line, the key and the allowed values.
 use std::path::Path;
 
-use coveroute_fleet::plan::one_line;
+use coveroute_fleet::config::format_toml_error;
 use serde::{Deserialize, Serialize};
 
 macro_rules! bounded_number {
@@ -652,7 +652,7 @@
     }
 
     pub fn parse(text: &str) -> Result<Self, String> {
-        let scenario: Scenario = toml::from_str(text).map_err(|e| one_line(text, &e))?;
+        let scenario: Scenario = toml::from_str(text).map_err(|e| format_toml_error(text, &e))?;
         scenario.check().map_err(|(key, nth, message)| match line_of(text, key, nth) {
             Some(line) => format!("line {line}: {key}: {message}"),
             None => format!("{key}: {message}"),
--- a/crates/coveroute-fleet/src/plan.rs
+++ b/crates/coveroute-fleet/src/config.rs
@@ -12,7 +12,7 @@
 /// A member as listed in the file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
+pub struct MemberConfig {
     pub address: SocketAddr,
     #[serde(default)]
     pub zone: String,
@@ -61,10 +61,10 @@
 const DEFAULT_VOTERS: usize = 5;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct FleetConfig {
     /// Messages of other fleets are dropped.
     pub fleet: String,
-    pub members: BTreeMap<String, Entry>,
+    pub members: BTreeMap<String, MemberConfig>,
     pub detector: Detector,
     pub records: Records,
     pub limits: Limits,
@@ -74,7 +74,7 @@
 #[serde(deny_unknown_fields)]
 struct File {
     fleet: String,
-    members: BTreeMap<String, Entry>,
+    members: BTreeMap<String, MemberConfig>,
     #[serde(default)]
     detector: DetectorFile,
     #[serde(default)]
@@ -108,16 +108,16 @@
     }
 }
 
-impl Plan {
+impl FleetConfig {
     pub fn parse(text: &str) -> Result<Self, String> {
-        let file: File = toml::from_str(text).map_err(|e| one_line(text, &e))?;
+        let file: File = toml::from_str(text).map_err(|e| format_toml_error(text, &e))?;
         let File { fleet, members, detector, records, limits } = file;
-        let plan = Plan { fleet, members, detector: detector.detector(), records, limits };
-        plan.validate().map(|()| plan)
+        let config = FleetConfig { fleet, members, detector: detector.detector(), records, limits };
+        config.validate().map(|()| config)
     }
 
     /// The limits for tenants, given by name and invocations per second. None if each node enforces an equal part.
-    pub fn terms(&self, tenants: &[(String, f64)]) -> Option<Terms> {
+    pub fn limit_terms(&self, tenants: &[(String, f64)]) -> Option<Terms> {
         let limits = tenants.iter().filter(|(_, rate)| *rate > 0.0).map(|(name, rate)| Limit {
             id: limit_id(name),
             most: rate * self.limits.window,
@@ -206,7 +206,7 @@
 }
 
 /// Formats a TOML error on one line, with the number of the faulty line and its key.
-pub fn one_line(text: &str, e: &toml::de::Error) -> String {
+pub fn format_toml_error(text: &str, e: &toml::de::Error) -> String {
     let line = e.span().map(|span| 1 + text[..span.start.min(text.len())].matches('\n').count());
     let key = line.and_then(|line| text.lines().nth(line - 1)).and_then(|l| l.split_once('='));
     let message = e.message().replace('\n', ", ");
--- a/crates/coveroute-fleet/src/fleet.rs
+++ b/crates/coveroute-fleet/src/fleet.rs
@@ -11,10 +11,10 @@
 
 use gossip::{MAX_CONTENT_LEN, MAX_UPDATES, MAX_UPDATE_LEN};
 
+use crate::config::FleetConfig;
 use crate::detector::{Health, PendingPing, Purpose, Suspicion, TICKS_PER_PERIOD};
 use crate::member::{Claim, Id, Incarnation, MemberUpdate, Standing, State};
 use crate::message::{DropReason, MessageBody};
-use crate::plan::Plan;
 use crate::table::{Key, Kind, Reading, Table};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -68,7 +68,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    plan: Plan,
+    config: FleetConfig,
     me: Id,
     mark: u32,
     incarnation: Incarnation,
@@ -141,13 +141,13 @@
 impl Fleet {
     /// `count` is an estimate above all earlier incarnations of this member; if it is too low, messages from other
     /// members raise it. `mark` distinguishes this process from others of the same name. Fails if `name` is not
-    /// among the plan's members.
-    pub fn new(now: f64, name: &str, plan: Plan, count: u64, mark: u64) -> Result<Self, String> {
-        let me = plan.id(name).ok_or(format!("members: {name} is not listed"))?;
-        let table = Table::new(plan.detector.drift, plan.records.most);
+    /// among the configured members.
+    pub fn new(now: f64, name: &str, config: FleetConfig, count: u64, mark: u64) -> Result<Self, String> {
+        let me = config.id(name).ok_or(format!("members: {name} is not listed"))?;
+        let table = Table::new(config.detector.drift, config.records.most);
         let seed = coveroute::chance::mix(mark ^ u64::from(me.0) << 24);
         let mut fleet = Fleet {
-            mark: plan.mark(),
+            mark: config.mark(),
             me,
             incarnation: Incarnation::new(count, mark),
             rng: Chance::new(seed),
@@ -164,7 +164,7 @@
             health: Health::default(),
             next_tick: now,
             ticks: 0,
-            send_budget: plan.detector.budget,
+            send_budget: config.detector.budget,
             mismatches: 0,
             sync_pings: 0,
             conflict_times: Vec::new(),
@@ -172,16 +172,16 @@
             active: true,
             left: false,
             counts: Counts::default(),
-            plan,
+            config,
         };
         fleet.update_own_standing((fleet.incarnation, Claim::Alive), None);
         fleet.apply_members(now);
         Ok(fleet)
     }
 
-    /// Adopts the plan's list of members: adds new ones, removes those no longer listed.
+    /// Adopts the configured list of members: adds new ones, removes those no longer listed.
     fn apply_members(&mut self, now: f64) {
-        let members = self.plan.members.iter().map(|(name, entry)| (Id::of(name), entry.address));
+        let members = self.config.members.iter().map(|(name, entry)| (Id::of(name), entry.address));
         let members: BTreeMap<Id, SocketAddr> = members.collect();
         let gone: Vec<Id> = self.peers.keys().filter(|id| !members.contains_key(id)).copied().collect();
         for id in gone {
@@ -208,33 +208,33 @@
         self.shuffle_probe_order();
     }
 
-    /// Checks that `plan` can replace the current one while the node runs.
-    pub fn check_replacement(&self, plan: &Plan) -> Result<(), String> {
-        let name = self.plan.members.keys().find(|name| Id::of(name) == self.me).cloned();
+    /// Checks that `config` can replace the current one while the node runs.
+    pub fn check_replacement(&self, config: &FleetConfig) -> Result<(), String> {
+        let name = self.config.members.keys().find(|name| Id::of(name) == self.me).cloned();
         let name = name.unwrap_or_default();
-        if plan.id(&name).is_none() {
+        if config.id(&name).is_none() {
             return Err(format!("members: {name}, the name of this node, is not listed"));
         }
-        if plan.fleet != self.plan.fleet {
+        if config.fleet != self.config.fleet {
             return Err("fleet: a change takes effect only after a restart".into());
         }
-        if plan.members[&name].address != self.plan.members[&name].address {
+        if config.members[&name].address != self.config.members[&name].address {
             return Err(format!("members.{name}.address: a change takes effect only after a restart"));
         }
         Ok(())
     }
 
-    /// Replaces the plan; if the new one doesn't fit, nothing changes.
-    pub fn reread(&mut self, now: f64, plan: Plan) -> Result<(), String> {
-        self.check_replacement(&plan)?;
-        self.table.set_limits(plan.detector.drift, plan.records.most);
-        self.plan = plan;
+    /// Replaces the configuration; if the new one doesn't fit, nothing changes.
+    pub fn reread(&mut self, now: f64, config: FleetConfig) -> Result<(), String> {
+        self.check_replacement(&config)?;
+        self.table.set_limits(config.detector.drift, config.records.most);
+        self.config = config;
         self.apply_members(now);
         Ok(())
     }
 
-    pub fn plan(&self) -> &Plan {
-        &self.plan
+    pub fn config(&self) -> &FleetConfig {
+        &self.config
     }
 
     pub fn me(&self) -> Id {
@@ -252,7 +252,7 @@
     }
 
     pub fn advance(&mut self, now: f64, out: &mut Vec<Action>) {
-        let (tick, late) = (self.plan.detector.tick(), now - self.next_tick);
+        let (tick, late) = (self.config.detector.tick(), now - self.next_tick);
         if late < 0.0 {
             return;
         }
@@ -261,7 +261,7 @@
         }
         self.next_tick = if late > tick { now + tick } else { self.next_tick + tick };
         self.send_budget =
-            (self.send_budget + self.plan.detector.budget * tick).min(self.plan.detector.budget);
+            (self.send_budget + self.config.detector.budget * tick).min(self.config.detector.budget);
         if self.may_send(now) {
             self.tick(now, out);
         }
@@ -303,7 +303,7 @@
     /// Writes one of this node's own records. Returns false if there is no room for it.
     pub fn write(&mut self, now: f64, kind: Kind, key: u64, value: &[u8], out: &mut Vec<Action>) -> bool {
         let key = Key { owner: self.me, kind, key };
-        let written = self.table.write(now, key, self.incarnation, self.plan.records.life, value).is_some();
+        let written = self.table.write(now, key, self.incarnation, self.config.records.life, value).is_some();
         if written {
             let times = self.transmissions();
             self.pending_records.insert(key, times);
@@ -356,7 +356,7 @@
         let update =
             MemberUpdate { of: self.me, incarnation: self.incarnation, claim: Claim::Left, by: self.me };
         let targets =
-            self.sample_peers(2 * self.plan.detector.relays.max(1), |_, peer| peer.state.is_present());
+            self.sample_peers(2 * self.config.detector.relays.max(1), |_, peer| peer.state.is_present());
         for to in targets {
             let number = self.next_number();
             self.transmit(to, vec![update], MessageBody::Ping { number }, out);
@@ -370,7 +370,7 @@
 
     pub fn figures(&self, now: f64) -> Figures {
         let names =
-            self.plan.members.keys().filter_map(|name| Some((name.clone(), self.state(Id::of(name))?)));
+            self.config.members.keys().filter_map(|name| Some((name.clone(), self.state(Id::of(name))?)));
         let states: BTreeMap<String, State> = names.collect();
         let mut members: BTreeMap<State, usize> = State::ALL.into_iter().map(|state| (state, 0)).collect();
         states.values().for_each(|state| *members.entry(*state).or_default() += 1);
--- a/crates/coveroute-fleet/src/fleet/gossip.rs
+++ b/crates/coveroute-fleet/src/fleet/gossip.rs
@@ -101,7 +101,8 @@
     }
 
     pub(super) fn ping_some_peers(&mut self, now: f64, out: &mut Vec<Action>) {
-        let targets = self.sample_peers(self.plan.detector.relays.max(1), |_, peer| peer.state.is_present());
+        let targets =
+            self.sample_peers(self.config.detector.relays.max(1), |_, peer| peer.state.is_present());
         targets.into_iter().for_each(|to| self.ping(now, to, Purpose::Sync, out));
     }
 
--- a/crates/coveroute-fleet/src/fleet/probe.rs
+++ b/crates/coveroute-fleet/src/fleet/probe.rs
@@ -17,7 +17,7 @@
 
 impl Fleet {
     pub(super) fn check_pending(&mut self, now: f64, out: &mut Vec<Action>) {
-        let (detector, health) = (self.plan.detector, self.health);
+        let (detector, health) = (self.config.detector, self.health);
         let statuses =
             self.pending.iter().map(|(number, ping)| (*number, *ping, ping.status(now, &detector, health)));
         let statuses: Vec<(u64, PendingPing, PingStatus)> =
@@ -49,7 +49,7 @@
     /// Pings the member again and asks other members to ping it.
     pub(super) fn request_indirect_probes(&mut self, number: u64, of: Id, out: &mut Vec<Action>) {
         let others =
-            self.sample_peers(self.plan.detector.relays, |id, peer| id != of && peer.state.is_present());
+            self.sample_peers(self.config.detector.relays, |id, peer| id != of && peer.state.is_present());
         self.set_purpose(number, Purpose::Probe { asked: others.len().max(1), failed: 0 });
         self.send(of, MessageBody::Ping { number }, out);
         for other in others {
@@ -97,7 +97,7 @@
         let absent = self.sample_peers(1, |_, peer| !peer.state.is_present());
         let absent_count = self.peers.values().filter(|peer| !peer.state.is_present()).count();
         let present = 1 + self.peers.len() - absent_count;
-        let chance = ABSENT_PROBE_RATE * self.plan.detector.every * absent_count as f64 / present as f64;
+        let chance = ABSENT_PROBE_RATE * self.config.detector.every * absent_count as f64 / present as f64;
         if self.rng.draw() < chance {
             absent.into_iter().for_each(|of| self.ping(now, of, Purpose::Sync, out));
         }
@@ -109,7 +109,7 @@
         let trusted_count = self.peers.values().filter(trusted).count();
         let has_expired = |peer: &Peer| {
             peer.suspicion.as_ref().is_some_and(|suspicion| {
-                let timeout = self.plan.detector.suspicion_timeout(
+                let timeout = self.config.detector.suspicion_timeout(
                     suspicion.confirmations(peer.last_heard),
                     trusted_count,
                     members,
--- a/crates/coveroute-fleet/src/lib.rs
+++ b/crates/coveroute-fleet/src/lib.rs
@@ -4,19 +4,19 @@
 //!
 //! Times are seconds (f64) of a monotonic clock of the caller's, with any origin. Components of a dispatcher that
 //! need information from other nodes write and read records here, each under a [`table::Kind`] of its own.
+pub mod config;
 pub mod detector;
 pub mod explore;
 pub mod fleet;
 pub mod member;
 pub mod message;
-pub mod plan;
 pub mod rights;
 pub mod standing;
 pub mod table;
 
+pub use config::FleetConfig;
 pub use fleet::{Action, Figures, Fleet, News};
 pub use member::{Id, State};
-pub use plan::Plan;
 pub use table::{Kind, Reading};
 
 #[cfg(test)]
--- a/crates/coveroute-fleet/src/message.rs
+++ b/crates/coveroute-fleet/src/message.rs
@@ -9,7 +9,7 @@
 pub const MAX_DATAGRAM: usize = 1200;
 /// The first byte of each datagram. It is not a letter, so that the text messages known as hints can share the
 /// address.
-pub const MARK: u8 = 0xC7;
+pub const MARKER_BYTE: u8 = 0xC7;
 const VERSION: u8 = 1;
 const HEADER_LEN: usize = 6;
 
@@ -55,6 +55,7 @@
         more: bool,
     },
     /// From a component to the same component at another member; may be lost.
+    #[serde(rename = "Part")]
     Application {
         kind: Kind,
         bytes: Vec<u8>,
@@ -85,14 +86,14 @@
     // Can't fail: serde knows the length of every sequence in the message.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEADER_LEN + body.len());
-    bytes.extend([MARK, VERSION]);
+    bytes.extend([MARKER_BYTE, VERSION]);
     bytes.extend(checksum(fleet, &body).to_le_bytes());
     bytes.extend(body);
     bytes
 }
 
 pub fn decode(fleet: u32, bytes: &[u8]) -> Result<Message, DropReason> {
-    if bytes.len() < HEADER_LEN || bytes.len() > MAX_DATAGRAM || bytes[0] != MARK {
+    if bytes.len() < HEADER_LEN || bytes.len() > MAX_DATAGRAM || bytes[0] != MARKER_BYTE {
         return Err(DropReason::Foreign);
     }
     if bytes[1] != VERSION {
--- a/crates/coveroute-fleet/src/tests.rs
+++ b/crates/coveroute-fleet/src/tests.rs
@@ -11,13 +11,13 @@
 use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
 use crate::rights::{Limit, Post, Rights, Terms};
 use crate::table::{Key, Kind, MergeResult, Record, Table};
-use crate::{Action, Fleet, News, Plan};
+use crate::{Action, Fleet, FleetConfig, News};
 
 const FILE: &str = "fleet = \"north\"\n[members]\na = { address = \"10.0.0.1:9400\", zone = \"x\" }\n\
     b = { address = \"10.0.0.2:9400\", machine = \"m\" }\n";
 
-fn plan() -> Plan {
-    Plan::parse(FILE).expect("a valid file")
+fn config() -> FleetConfig {
+    FleetConfig::parse(FILE).expect("a valid file")
 }
 
 fn addr(host: u8) -> SocketAddr {
@@ -160,19 +160,19 @@
 #[test_case("[members]", "[verdicts]\n[members]", "verdicts"; "an unknown section")]
 #[test_case("[members]", "[limits]\nvoters = [\"z\"]\n[members]", "limits.voters: z is not a member"; "a voter that is not a member")]
 fn an_invalid_file_is_reported_on_one_line(old: &str, new: &str, expected: &str) {
-    let error = Plan::parse(&FILE.replacen(old, new, 1)).expect_err("an error");
+    let error = FleetConfig::parse(&FILE.replacen(old, new, 1)).expect_err("an error");
     assert!(error.contains(expected) && !error.contains('\n'), "{error}");
 }
 
 #[test]
 fn the_example_file_is_valid() {
-    let plan = Plan::parse(include_str!("../../../deploy/fleet.toml")).expect("a valid file");
-    assert_eq!(plan.detector, Detector::default());
-    assert!(plan.members.len() >= 3);
+    let config = FleetConfig::parse(include_str!("../../../deploy/fleet.toml")).expect("a valid file");
+    assert_eq!(config.detector, Detector::default());
+    assert!(config.members.len() >= 3);
 }
 
 fn two_nodes() -> (Fleet, Fleet) {
-    let new = |name, mark| Fleet::new(0.0, name, plan(), 100, mark).expect("a member");
+    let new = |name, mark| Fleet::new(0.0, name, config(), 100, mark).expect("a member");
     (new("a", 1), new("b", 2))
 }
 
@@ -209,12 +209,12 @@
 fn a_reread_file_removes_a_live_member() {
     let (mut one, mut other) = two_joined_nodes();
     assert_eq!(one.state(Id::of("b")), Some(State::Alive));
-    let without_b = Plan::parse(&FILE.replace("b = {", "c = {")).expect("a valid file");
+    let without_b = FleetConfig::parse(&FILE.replace("b = {", "c = {")).expect("a valid file");
     assert!(other
         .reread(2.0, without_b.clone())
         .expect_err("this node is missing")
         .contains("members: b, the name of this node, is not listed"));
-    let moved = Plan::parse(&FILE.replace("10.0.0.1", "10.0.0.9")).expect("a valid file");
+    let moved = FleetConfig::parse(&FILE.replace("10.0.0.1", "10.0.0.9")).expect("a valid file");
     assert!(one.reread(2.0, moved).expect_err("its own address has changed").contains("members.a.address"));
     assert_eq!(one.state(Id::of("b")), Some(State::Alive), "nothing has changed");
     assert_eq!(one.reread(2.0, without_b), Ok(()));
@@ -235,7 +235,7 @@
 #[test]
 fn of_two_processes_under_one_name_one_stops_sending() {
     let (mut one, mut first) = two_joined_nodes();
-    let mut second = Fleet::new(2.0, "b", plan(), 90, 3).expect("a member");
+    let mut second = Fleet::new(2.0, "b", config(), 90, 3).expect("a member");
     let (mut out, mut silent) = (Vec::new(), Vec::new());
     for at in 0..100 {
         let now = 2.0 + f64::from(at) * 0.05;
@@ -271,7 +271,7 @@
     let key = Key { owner: from, ..record(1, 0).key };
     let records = vec![Record { key, ..record(1, 0) }];
     let what = MessageBody::Answer { number: 12345, records };
-    let bytes = encode(plan().mark(), &Message { from, incarnation, sum: 0, words, what });
+    let bytes = encode(config().mark(), &Message { from, incarnation, sum: 0, words, what });
     one.heard(2.0, addr(2), &bytes, &mut Vec::new());
     assert_eq!(one.readings(2.0).count(), before);
 }
@@ -287,7 +287,7 @@
     other.write(0.0, Kind::STANDING, 1, b"x", &mut out);
     let words = Vec::new();
     let (from, incarnation, what) = (other.me(), other.incarnation(), MessageBody::Ping { number: 1 });
-    let mut bytes = encode(plan().mark(), &Message { from, incarnation, sum: 0, words, what });
+    let mut bytes = encode(config().mark(), &Message { from, incarnation, sum: 0, words, what });
     change(&mut bytes);
     one.heard(0.0, addr(2), &bytes, &mut out);
     assert_eq!(one.figures(0.0).counts.dropped.get(&why), Some(&1));
@@ -300,8 +300,8 @@
         let (mut one, mut out) = (two_joined_nodes().0, Vec::new());
         one.heard(3.0, addr(from), &bytes, &mut out);
         // The same bytes with a valid header and checksum.
-        let mut framed = vec![crate::message::MARK, 1];
-        let mut hasher = crc32fast::Hasher::new_with_initial(plan().mark());
+        let mut framed = vec![crate::message::MARKER_BYTE, 1];
+        let mut hasher = crc32fast::Hasher::new_with_initial(config().mark());
         hasher.update(&bytes);
         framed.extend(hasher.finalize().to_le_bytes());
         framed.extend(&bytes);
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use coveroute::types::{InvId, Outcome, Report, Reports, Tgt};
 use coveroute_engine::{Action, Engine, Event, News, Phase, Reply, Setup};
-use coveroute_fleet::Plan;
+use coveroute_fleet::FleetConfig;
 use log::{debug, error, info, warn};
 use tokio::sync::{mpsc, oneshot};
 
@@ -297,7 +297,7 @@
     }
 
     /// Applies a new configuration entirely or not at all.
-    fn reload(&mut self, config: &Config, plan: Option<Plan>) {
+    fn reload(&mut self, config: &Config, plan: Option<FleetConfig>) {
         if !self.engine.phase().takes_settings() {
             return self.reject_reload("the node is stopping");
         }
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -12,7 +12,7 @@
 use coveroute_fleet::member::Id;
 use coveroute_fleet::rights::{limit_id, Rights};
 use coveroute_fleet::standing::{Stage, Standing};
-use coveroute_fleet::{Action, Figures, Fleet, Kind, News, Plan, State};
+use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, Kind, News, State};
 use log::{error, info};
 use nix::time::{clock_gettime, ClockId};
 use serde::Serialize;
@@ -37,10 +37,10 @@
 }
 
 impl Membership {
-    pub fn read(&self) -> Result<Plan, String> {
-        let plan = read_plan(&self.path)?;
-        match plan.members.contains_key(&self.name) {
-            true => Ok(plan),
+    pub fn read(&self) -> Result<FleetConfig, String> {
+        let config = read_plan(&self.path)?;
+        match config.members.contains_key(&self.name) {
+            true => Ok(config),
             false => {
                 Err(format!("{}: members: {} is not listed; see --member", self.path.display(), self.name))
             }
@@ -48,8 +48,8 @@
     }
 
     /// The address at which this node receives datagrams.
-    pub fn address(&self, plan: &Plan, peers: Option<SocketAddr>) -> Result<SocketAddr, String> {
-        let own = plan.members[&self.name].address;
+    pub fn address(&self, config: &FleetConfig, peers: Option<SocketAddr>) -> Result<SocketAddr, String> {
+        let own = config.members[&self.name].address;
         match peers {
             Some(peers) if peers != own => Err(format!(
                 "{}: members.{}.address: {own} differs from {peers}, this node's address in the configuration's peers",
@@ -61,9 +61,9 @@
     }
 }
 
-pub fn read_plan(path: &Path) -> Result<Plan, String> {
+pub fn read_plan(path: &Path) -> Result<FleetConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
-    text.and_then(|text| Plan::parse(&text)).map_err(|e| format!("{}: {e}", path.display()))
+    text.and_then(|text| FleetConfig::parse(&text)).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Seconds of a clock that is never adjusted and includes time in suspend, because ages are computed from it.
@@ -131,20 +131,20 @@
     /// Starts inactive: it takes part once this process receives its node's datagrams.
     pub fn new(
         membership: &Membership,
-        plan: Plan,
+        config: FleetConfig,
         shares: Vec<(String, f64)>,
         (socket, life, happenings): (UdpSocket, Rc<Life>, Happenings),
     ) -> Result<Self, String> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let mark = mix(unix.as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
         let count = (unix.as_secs_f64() * INCARNATIONS_PER_SECOND) as u64;
-        let mut fleet = Fleet::new(now(), &membership.name, plan, count, mark)?;
+        let mut fleet = Fleet::new(now(), &membership.name, config, count, mark)?;
         fleet.take_part(now(), false);
         info!(
             "member {} of fleet {}, of {}",
             membership.name,
-            fleet.plan().fleet,
-            fleet.plan().members.len()
+            fleet.config().fleet,
+            fleet.config().members.len()
         );
         socket.set_nonblocking(true).map_err(|e| e.to_string())?;
         let (published, republish_at, flooded) = (Cell::new(None), Cell::new(0.0), Cell::new(0));
@@ -167,8 +167,8 @@
     }
 
     fn rights(fleet: &Fleet, shares: &[(String, f64)]) -> Option<Rights> {
-        let terms = fleet.plan().terms(shares)?;
-        Some(Rights::new(now(), fleet.me(), fleet.incarnation(), fleet.plan().ids(), terms))
+        let terms = fleet.config().limit_terms(shares)?;
+        Some(Rights::new(now(), fleet.me(), fleet.incarnation(), fleet.config().ids(), terms))
     }
 
     /// Counts an invocation of a tenant. It is within the tenant's share if this node holds a right to it.
@@ -189,7 +189,7 @@
             let gone = |id| matches!(fleet.state(id), Some(State::Dead | State::Left));
             rights.advance(now, gone, &mut messages);
             if report_quotas {
-                let members = fleet.plan().members.len().max(1) as f64;
+                let members = fleet.config().members.len().max(1) as f64;
                 let shares = self.shares.borrow();
                 let here = |(name, share): &(String, f64)| {
                     let here = rights.covered(now, limit_id(name)).unwrap_or(share / members);
@@ -241,7 +241,7 @@
         if self.published.get() != Some(stage) || now >= self.republish_at.get() {
             fleet.write(now, Kind::STANDING, 0, &Standing { stage }.bytes(), actions);
             self.published.set(Some(stage));
-            self.republish_at.set(now + fleet.plan().records.life / 3.0);
+            self.republish_at.set(now + fleet.config().records.life / 3.0);
         }
     }
 
@@ -287,7 +287,7 @@
 
     fn name(&self, id: Id) -> String {
         let fleet = self.fleet.borrow();
-        let name = fleet.plan().members.keys().find(|name| Id::of(name) == id);
+        let name = fleet.config().members.keys().find(|name| Id::of(name) == id);
         name.cloned().unwrap_or_default()
     }
 
@@ -305,11 +305,11 @@
         self.execute_actions(actions);
     }
 
-    pub fn reread(&self, plan: Plan, shares: Vec<(String, f64)>) -> Result<(), String> {
-        self.fleet.borrow_mut().reread(now(), plan)?;
+    pub fn reread(&self, config: FleetConfig, shares: Vec<(String, f64)>) -> Result<(), String> {
+        self.fleet.borrow_mut().reread(now(), config)?;
         let (fleet, mut rights) = (self.fleet.borrow(), self.rights.borrow_mut());
-        match (rights.as_mut(), fleet.plan().terms(&shares)) {
-            (Some(rights), Some(terms)) => rights.reread(now(), fleet.plan().ids(), terms),
+        match (rights.as_mut(), fleet.config().limit_terms(&shares)) {
+            (Some(rights), Some(terms)) => rights.reread(now(), fleet.config().ids(), terms),
             (None, Some(_)) => *rights = Self::rights(&fleet, &shares),
             (_, None) => *rights = None,
         }
--- a/crates/coveroute-node/src/happening.rs
+++ b/crates/coveroute-node/src/happening.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use coveroute::types::{InvId, Outcome, Report, Tgt, Told};
 use coveroute_engine::{Figures, News, Reply, Verdict, Watched};
-use coveroute_fleet::Plan;
+use coveroute_fleet::FleetConfig;
 use tokio::sync::{mpsc, oneshot};
 
 use crate::attempt::AttemptFigures;
@@ -51,7 +51,7 @@
     Heard { from: usize, told: Told, mark: u32, count: u8 },
     /// The operators requested a reload: the new configuration or why it is invalid, and the fleet file, if
     /// there is one.
-    Reload(Result<Box<Config>, String>, Option<Plan>),
+    Reload(Result<Box<Config>, String>, Option<FleetConfig>),
     /// The server answered a request for this operation itself.
     Ended(String, Verdict),
     /// Operators requested the metrics.
--- a/crates/coveroute-node/src/main.rs
+++ b/crates/coveroute-node/src/main.rs
@@ -57,7 +57,7 @@
 use clock::Clock;
 use config::Config;
 use coveroute_fleet::rights::limit_id;
-use coveroute_fleet::Plan;
+use coveroute_fleet::FleetConfig;
 use driver::{Driver, Endpoints, SuccessorSocket};
 use executors::Links;
 use fleet::Carrier;
@@ -119,7 +119,7 @@
     }
 
     /// The fleet file's content, and the address for the fleet's datagrams.
-    fn plan(&self, config: &Config) -> Result<Option<(fleet::Membership, Plan, SocketAddr)>, String> {
+    fn plan(&self, config: &Config) -> Result<Option<(fleet::Membership, FleetConfig, SocketAddr)>, String> {
         let Some(membership) = self.membership(config)? else { return Ok(None) };
         let plan = membership.read()?;
         let address = membership.address(&plan, Self::own_peer(config))?;
@@ -134,7 +134,7 @@
         }
     }
 
-    async fn read_reload(&self) -> Result<(Box<Config>, Option<Plan>), String> {
+    async fn read_reload(&self) -> Result<(Box<Config>, Option<FleetConfig>), String> {
         let config = Config::reread(self.config.clone()).await?;
         let plan = self.plan(&config)?.map(|(_, plan, _)| plan);
         Ok((Box::new(config), plan))
@@ -182,7 +182,7 @@
             println!("fit: {operations} operations, {nodes} nodes, listens on {}", config.listen);
             if let Some((membership, plan, address)) = fleet {
                 let (shares, members) = (config.shares(), plan.members.len());
-                let terms = plan.terms(&shares);
+                let terms = plan.limit_terms(&shares);
                 for (name, _) in &shares {
                     // Tenants without a quota have no limit.
                     let limit = terms.as_ref().and_then(|terms| terms.limit(limit_id(name)));
--- a/crates/coveroute-node/src/peers.rs
+++ b/crates/coveroute-node/src/peers.rs
@@ -8,7 +8,7 @@
 use actix_rt::task::JoinHandle;
 use actix_rt::time::sleep;
 use coveroute::types::Told;
-use coveroute_fleet::message::MARK;
+use coveroute_fleet::message::MARKER_BYTE;
 use coveroute_shared::{message, words};
 use log::debug;
 use tokio::net::UdpSocket;
@@ -86,7 +86,9 @@
             continue;
         };
         let (bytes, Recipients { addrs, happenings, carrier }) = (&buffer[..len], &recipients);
-        if let Some(carrier) = carrier.as_ref().filter(|_| bytes.first() == Some(&MARK) || addrs.is_empty()) {
+        if let Some(carrier) =
+            carrier.as_ref().filter(|_| bytes.first() == Some(&MARKER_BYTE) || addrs.is_empty())
+        {
             carrier.receive(sender, bytes);
             continue;
         }
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -13,7 +13,7 @@
 use actix_rt::time::{sleep, timeout};
 use coveroute::types::{Outcome, Report, Reports, Sizes, Standing, Told};
 use coveroute_engine::{Call, Figures, ListFigures, Listing, Phase, Reply, Tally, Watched, Word, UNASKED};
-use coveroute_fleet::Plan;
+use coveroute_fleet::FleetConfig;
 use test_case::test_case;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
@@ -986,7 +986,7 @@
             "fleet = \"f\"\n[members]\na = {{ address = \"{}\" }}\nb = {{ address = \"{}\" }}\n",
             addrs[0], addrs[1]
         );
-        let plan = Plan::parse(&text).expect("valid");
+        let plan = FleetConfig::parse(&text).expect("valid");
         let (happenings, mut happens) = unbounded_channel();
         let mut peers = Vec::new();
         for (at, name) in ["a", "b"].into_iter().enumerate() {
--- a/crates/coveroute-node/tests/fleet.rs
+++ b/crates/coveroute-node/tests/fleet.rs
@@ -134,7 +134,9 @@
 #[test]
 fn a_reload_removes_a_live_member_or_changes_nothing() {
     let fleet = start_connected(4, FleetPart::default());
-    (0..3).for_each(|node| fleet.write_plan(node, |other| other != 3).expect("failed to write the file"));
+    (0..3).for_each(|node| {
+        fleet.write_member_file(node, |other| other != 3).expect("failed to write the file")
+    });
     (0..3).for_each(|node| fleet.reread(node));
     let unknown =
         |p: &Processes| (0..3).all(|node| p.fleet(node).is_some_and(|own| own["states"]["n3"].is_null()));
@@ -142,7 +144,7 @@
     let has_dropped_stranger =
         |p: &Processes| p.fleet(0).is_some_and(|own| own["dropped"]["stranger"].as_u64() > Some(0));
     assert!(fleet.until(2.0 * TIME_LIMIT_FACTOR, has_dropped_stranger).is_some(), "{:?}", fleet.fleet(0));
-    fleet.write_plan(1, |other| other != 1).expect("failed to write the file");
+    fleet.write_member_file(1, |other| other != 1).expect("failed to write the file");
     fleet.reread(1);
     assert!(fleet.until(2.0 * TIME_LIMIT_FACTOR, |p| p.log(1).contains("not reloaded")).is_some());
     assert!(fleet.hold(&[1], &[0, 2], &ALIVE));
