--- a/crates/coveroute-emu/src/fleet/measure.rs
+++ b/crates/coveroute-emu/src/fleet/measure.rs
@@ -1,7 +1,7 @@
 //! Measures the fleet protocol in virtual time: detection times, traffic, false deaths and the use of shared limits.
 use std::time::Instant;
 
-use coveroute_fleet::rights::{Limit, Terms};
+use coveroute_fleet::rights::{Limit, LimitTerms};
 use coveroute_fleet::State;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -259,9 +259,9 @@
 }
 
 /// Terms with one limit and the first five members as voters.
-pub fn terms(stage: &Stage, (most, window, strict): (f64, f64, bool)) -> Terms {
+pub fn terms(stage: &Stage, (most, window, strict): (f64, f64, bool)) -> LimitTerms {
     let voters = stage.members().iter().copied().take(5).collect();
-    Terms { limits: vec![Limit { id: 1, most, window, strict }], voters, lease: 2.0, drift: 0.01 }
+    LimitTerms { limits: vec![Limit { id: 1, most, window, strict }], voters, lease: 2.0, drift: 0.01 }
 }
 
 /// A simulation without faults, with all processes started and one shared limit.
@@ -362,7 +362,8 @@
     let mut stage = empty_stage(nodes, 1, FleetPart::default());
     let limit = |id| Limit { id, most: 100.0, window: 10.0, strict: false };
     if tenants > 0 {
-        let terms = Terms { limits: (0..tenants).map(limit).collect(), ..terms(&stage, (1.0, 1.0, false)) };
+        let terms =
+            LimitTerms { limits: (0..tenants).map(limit).collect(), ..terms(&stage, (1.0, 1.0, false)) };
         stage.set_limits(terms);
     }
     (0..nodes).for_each(|node| stage.start(0.0, node, false));
--- a/crates/coveroute-emu/src/fleet/model_limits.rs
+++ b/crates/coveroute-emu/src/fleet/model_limits.rs
@@ -4,7 +4,7 @@
 
 use coveroute_fleet::explore::Model;
 use coveroute_fleet::member::{Id, Incarnation};
-use coveroute_fleet::rights::{Limit, Rights, Terms};
+use coveroute_fleet::rights::{Limit, LimitTerms, Rights};
 
 use crate::world::NodeId;
 
@@ -40,7 +40,7 @@
 pub struct RightsModel {
     pub nodes: usize,
     limit: Limit,
-    terms: Terms,
+    terms: LimitTerms,
     /// Clocks run at rates of up to 1 plus or minus this.
     drift: f64,
 }
@@ -60,7 +60,7 @@
     pub fn new(nodes: usize, drift: f64) -> Self {
         let limit = Limit { id: LIMIT_ID, most: 8.0, window: 1.0, strict: true };
         let voters = (0..nodes).map(id).collect();
-        let terms = Terms { limits: vec![limit], voters, lease: 1.0, drift: 0.01 };
+        let terms = LimitTerms { limits: vec![limit], voters, lease: 1.0, drift: 0.01 };
         RightsModel { nodes, limit, terms, drift }
     }
 
@@ -94,7 +94,7 @@
 
     fn deliver(&self, state: &mut State, (from, to, mark, bytes): (NodeId, NodeId, u64, Vec<u8>)) {
         self.with_rights(state, to, |rights, local_time, messages| {
-            rights.heard(local_time, id(from), mark, &bytes, messages)
+            rights.handle_message(local_time, id(from), mark, &bytes, messages)
         });
     }
 
@@ -112,9 +112,9 @@
     fn use_all(&self, state: &mut State, node: NodeId) {
         let (now, local_time) = (state.now, self.local_time(node, state.now));
         let Some(rights) = &mut state.nodes[node] else { return };
-        let has = rights.has(local_time, LIMIT_ID) * (1.0 - 1e-9);
-        if has > 0.0 && rights.take(local_time, LIMIT_ID, has) {
-            state.used.push((now, has));
+        let available = rights.available(local_time, LIMIT_ID) * (1.0 - 1e-9);
+        if available > 0.0 && rights.take(local_time, LIMIT_ID, available) {
+            state.used.push((now, available));
         }
     }
 
--- a/crates/coveroute-emu/src/fleet/stage.rs
+++ b/crates/coveroute-emu/src/fleet/stage.rs
@@ -5,7 +5,7 @@
 use coveroute_fleet::config::{Limits, MemberConfig, Records};
 use coveroute_fleet::detector::Detector;
 use coveroute_fleet::member::Id;
-use coveroute_fleet::rights::{Rights, Terms};
+use coveroute_fleet::rights::{LimitTerms, Rights};
 use coveroute_fleet::table::Key;
 use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, Kind, News, State};
 use rand::{Rng, SeedableRng};
@@ -104,7 +104,7 @@
 pub struct Stage {
     part: FleetPart,
     config: FleetConfig,
-    terms: Option<Terms>,
+    terms: Option<LimitTerms>,
     /// Uses that were requested, and those of them that were granted.
     pub wanted: u64,
     pub had: u64,
@@ -296,7 +296,7 @@
     // Limits.
 
     /// Sets the limits for processes that start from now on.
-    pub fn set_limits(&mut self, terms: Terms) {
+    pub fn set_limits(&mut self, terms: LimitTerms) {
         self.terms = Some(terms);
     }
 
@@ -404,7 +404,7 @@
                     node_state
                         .rights
                         .iter_mut()
-                        .for_each(|r| r.heard(local_time, from, mark, &bytes, &mut messages));
+                        .for_each(|r| r.handle_message(local_time, from, mark, &bytes, &mut messages));
                     self.send_to_members(now, node, messages);
                 }
             }
--- a/crates/coveroute-fleet/src/config.rs
+++ b/crates/coveroute-fleet/src/config.rs
@@ -7,7 +7,7 @@
 
 use crate::detector::Detector;
 use crate::member::Id;
-use crate::rights::{limit_id, Limit, Terms};
+use crate::rights::{limit_id, Limit, LimitTerms};
 
 /// A member as listed in the file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -117,7 +117,7 @@
     }
 
     /// The limits for tenants, given by name and invocations per second. None if each node enforces an equal part.
-    pub fn limit_terms(&self, tenants: &[(String, f64)]) -> Option<Terms> {
+    pub fn limit_terms(&self, tenants: &[(String, f64)]) -> Option<LimitTerms> {
         let limits = tenants.iter().filter(|(_, rate)| *rate > 0.0).map(|(name, rate)| Limit {
             id: limit_id(name),
             most: rate * self.limits.window,
@@ -129,7 +129,7 @@
         let voters = if self.limits.voters.is_empty() { defaults() } else { self.limits.voters.clone() };
         let voters = voters.iter().map(|name| Id::of(name)).collect();
         let (lease, drift) = (self.limits.lease, self.detector.drift);
-        (self.limits.tenants && !limits.is_empty()).then_some(Terms { limits, voters, lease, drift })
+        (self.limits.tenants && !limits.is_empty()).then_some(LimitTerms { limits, voters, lease, drift })
     }
 
     /// All members' numbers, in the same order at every node.
--- a/crates/coveroute-fleet/src/rights.rs
+++ b/crates/coveroute-fleet/src/rights.rs
@@ -68,7 +68,7 @@
 const MIN_STOCK_USES: f64 = 2.0;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct LimitTerms {
     pub limits: Vec<Limit>,
     /// Members that grant the mints' leases; a majority is needed.
     pub voters: Vec<Id>,
@@ -78,7 +78,7 @@
     pub drift: f64,
 }
 
-impl Terms {
+impl LimitTerms {
     /// Time by the local clock after which a span that another node has started to count no later is certainly over
     /// there.
     fn local_upper_bound(&self, span: f64) -> f64 {
@@ -199,7 +199,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Rights {
-    terms: Terms,
+    terms: LimitTerms,
     me: Id,
     mark: u64,
     members: Vec<Id>,
@@ -236,7 +236,7 @@
 const OVER_REQUEST: f64 = 2.0;
 
 impl Rights {
-    pub fn new(now: f64, me: Id, incarnation: Incarnation, members: Vec<Id>, terms: Terms) -> Self {
+    pub fn new(now: f64, me: Id, incarnation: Incarnation, members: Vec<Id>, terms: LimitTerms) -> Self {
         let account = |limit: &Limit| (limit.id, Account::new(now, *limit));
         Rights {
             me,
@@ -278,25 +278,25 @@
 
     /// Estimates the rate per second that the limit allows at this node: the rate used recently plus what its stock
     /// could add. None while this node holds no mint and no rights, and thus knows nothing of the limit.
-    pub fn covered(&mut self, now: f64, id: LimitId) -> Option<f64> {
-        let holds = self.holds(now);
+    pub fn estimated_rate(&mut self, now: f64, id: LimitId) -> Option<f64> {
+        let held_mints = self.held_mints(now);
         let account = self.refresh(now, id)?;
-        let has = account.balance(now);
-        (holds > 0 || has > 0.0).then_some(account.had_rate + has / account.limit.stock())
+        let balance = account.balance(now);
+        (held_mints > 0 || balance > 0.0).then_some(account.had_rate + balance / account.limit.stock())
     }
 
     /// Amounts wanted and had since the start of this process.
-    pub fn totals(&self, id: LimitId) -> (f64, f64) {
+    pub fn wanted_and_used(&self, id: LimitId) -> (f64, f64) {
         self.accounts.get(&id).map_or((0.0, 0.0), |account| (account.all_wanted, account.all_had))
     }
 
     /// Rights available here now.
-    pub fn has(&mut self, now: f64, id: LimitId) -> f64 {
+    pub fn available(&mut self, now: f64, id: LimitId) -> f64 {
         self.refresh(now, id).map_or(0.0, |account| account.balance(now))
     }
 
     /// Number of mints held here now.
-    pub fn holds(&self, now: f64) -> usize {
+    pub fn held_mints(&self, now: f64) -> usize {
         let majority = self.terms.majority();
         self.mints.values().filter(|mint| mint.until(majority) > now).count()
     }
@@ -305,7 +305,7 @@
         self.mark
     }
 
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &LimitTerms {
         &self.terms
     }
 
@@ -443,7 +443,7 @@
     /// Requests rights from other members, in rotation, for demand beyond what the mints held here yield.
     fn request_rights(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
         let mut deficits: Vec<(LimitId, f64)> = Vec::new();
-        let (held, members) = (self.holds(now) as f64, self.members.len());
+        let (held, members) = (self.held_mints(now) as f64, self.members.len());
         for (id, account) in &mut self.accounts {
             let (limit, mints) = (account.limit, held * mint_rate(&account.limit, members));
             // The expected demand until the rights lapse, plus one use in reserve.
@@ -479,7 +479,7 @@
     // Messages.
 
     /// `mark` identifies the sending process. Invalid messages are ignored.
-    pub fn heard(&mut self, now: f64, from: Id, mark: u64, bytes: &[u8], out: &mut Vec<Post>) {
+    pub fn handle_message(&mut self, now: f64, from: Id, mark: u64, bytes: &[u8], out: &mut Vec<Post>) {
         let Ok((message, [])) = postcard::take_from_bytes::<Message>(bytes) else { return };
         match message {
             Message::Renew { number, mints } => {
@@ -519,7 +519,7 @@
     /// Gives rights to another member and deducts them here first. Gives only rights from the mints held here that
     /// this node won't need before they lapse; never rights received from others, whose time is already running.
     fn give_rights(&mut self, now: f64, id: LimitId, wanted: f32) -> Option<(LimitId, f32)> {
-        let (askers, held) = (self.recent_askers.len().max(1) as f64, self.holds(now) as f64);
+        let (askers, held) = (self.recent_askers.len().max(1) as f64, self.held_mints(now) as f64);
         let members = self.members.len();
         let account = self.refresh(now, id)?;
         let (limit, mints) = (account.limit, held * mint_rate(&account.limit, members));
@@ -541,7 +541,7 @@
 
     /// Applies a change of members or limits in the operators' file. A node whose members or limits changed starts
     /// over without rights, and grants nothing as a voter for one lease.
-    pub fn reread(&mut self, now: f64, members: Vec<Id>, terms: Terms) {
+    pub fn reconfigure(&mut self, now: f64, members: Vec<Id>, terms: LimitTerms) {
         if self.members != members || self.terms != terms {
             let number = self.last_number;
             *self = Rights::new(now, self.me, Incarnation(self.mark), members, terms);
--- a/crates/coveroute-fleet/src/tests.rs
+++ b/crates/coveroute-fleet/src/tests.rs
@@ -9,7 +9,7 @@
 use crate::explore::{explore, Model};
 use crate::member::{next_state, Claim, Effect, Id, Incarnation, Input, State};
 use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
-use crate::rights::{Limit, Post, Rights, Terms};
+use crate::rights::{Limit, LimitTerms, Post, Rights};
 use crate::table::{Key, Kind, MergeResult, Record, Table};
 use crate::{Action, Fleet, FleetConfig, News};
 
@@ -378,7 +378,7 @@
 
 fn rights_with(me: u32, members: u32, limits: Vec<Limit>) -> Rights {
     let ids: Vec<Id> = (1..=members).map(Id).collect();
-    let terms = Terms { limits, voters: ids.clone(), lease: 2.0, drift: 0.01 };
+    let terms = LimitTerms { limits, voters: ids.clone(), lease: 2.0, drift: 0.01 };
     Rights::new(0.0, Id(me), Incarnation::new(1, u64::from(me)), ids, terms)
 }
 
@@ -398,7 +398,7 @@
                 continue;
             }
             let (mut out, rights) = (Vec::new(), &mut all[to.0 as usize - 1]);
-            rights.heard(now, Id(from), mark, &bytes, &mut out);
+            rights.handle_message(now, Id(from), mark, &bytes, &mut out);
             posts.extend(out.into_iter().map(|post| (to.0, rights.mark(), post)));
         }
     }
@@ -421,9 +421,9 @@
 fn a_new_voter_grants_nothing_for_one_lease() {
     let mut all = [rights(1, 3), rights(2, 3), rights(3, 3)];
     run(&mut all, 0.0, 1.9, &[]);
-    assert!(all.iter().all(|rights| rights.holds(1.9) == 0));
+    assert!(all.iter().all(|rights| rights.held_mints(1.9) == 0));
     run(&mut all, 1.9, 3.5, &[]);
-    assert!(all.iter().all(|rights| rights.holds(3.5) == 1));
+    assert!(all.iter().all(|rights| rights.held_mints(3.5) == 1));
 }
 
 /// Unused rights lapse, so hoarding gains nothing, and a stock covers half a second.
@@ -431,10 +431,10 @@
 fn unused_rights_lapse() {
     let mut all = [rights(1, 3), rights(2, 3), rights(3, 3)];
     run(&mut all, 0.0, 10.0, &[]);
-    let has = all[0].has(10.0, 1);
-    assert!((1.5..=10.0 / 3.0 * 0.5).contains(&has), "{has}");
+    let available = all[0].available(10.0, 1);
+    assert!((1.5..=10.0 / 3.0 * 0.5).contains(&available), "{available}");
     // After a stall both its rights and its lease have expired.
-    assert_eq!((all[0].has(20.0, 1), all[0].take(20.0, 1, 0.1)), (0.0, false));
+    assert_eq!((all[0].available(20.0, 1), all[0].take(20.0, 1, 0.1)), (0.0, false));
 }
 
 #[test]
@@ -449,8 +449,8 @@
     }
     // Ten a second are wanted, as many as the whole limit; an equal part would be 30.
     assert!((75..=95).contains(&had), "{had}");
-    let covered = all[0].covered(14.0, 1).expect("known");
-    assert!((8.0..=14.0).contains(&covered), "{covered}");
+    let rate = all[0].estimated_rate(14.0, 1).expect("known");
+    assert!((8.0..=14.0).contains(&rate), "{rate}");
 }
 
 /// A hundred tenants at four nodes, one of them greedy. It gets its own share and takes nothing from the others,
@@ -490,10 +490,10 @@
     }
     let (mut asks, mut answers) = (Vec::new(), Vec::new());
     one.advance(5.3, |_| false, &mut asks);
-    let before = (one.has(5.3, 1), other.has(5.3, 1));
-    asks.iter().for_each(|(_, bytes)| other.heard(5.3, Id(1), 1, bytes, &mut answers));
-    assert!(!answers.is_empty() && other.has(5.3, 1) < before.1, "deducted before the answer is sent");
-    assert_eq!(one.has(5.3, 1), before.0);
+    let before = (one.available(5.3, 1), other.available(5.3, 1));
+    asks.iter().for_each(|(_, bytes)| other.handle_message(5.3, Id(1), 1, bytes, &mut answers));
+    assert!(!answers.is_empty() && other.available(5.3, 1) < before.1, "deducted before the answer is sent");
+    assert_eq!(one.available(5.3, 1), before.0);
 }
 
 /// Guards against an answer that arrives twice or too late: rights are received once, and only until they lapse.
@@ -511,22 +511,22 @@
     };
     let given = |other: &mut Rights, now: f64, asks: &[Post]| {
         let mut answers = Vec::new();
-        asks.iter().for_each(|(_, bytes)| other.heard(now, Id(1), 1, bytes, &mut answers));
+        asks.iter().for_each(|(_, bytes)| other.handle_message(now, Id(1), 1, bytes, &mut answers));
         answers
     };
     let [one, other] = &mut all;
     let asks = ask(one, 5.3);
     let answers = given(other, 5.3, &asks);
     let take = |one: &mut Rights, now: f64, answers: &[Post]| {
-        answers.iter().for_each(|(_, bytes)| one.heard(now, Id(2), 2, bytes, &mut Vec::new()));
-        one.has(now, 1)
+        answers.iter().for_each(|(_, bytes)| one.handle_message(now, Id(2), 2, bytes, &mut Vec::new()));
+        one.available(now, 1)
     };
     let once = take(one, 5.3, &answers);
     assert!(once > 0.1, "{once}");
     assert_eq!(take(one, 5.3, &answers), once, "a second time");
     let late = ask(one, 5.6);
     let answers = given(other, 5.6, &late);
-    let before = one.has(6.2, 1);
+    let before = one.available(6.2, 1);
     assert_eq!(take(one, 6.2, &answers), before, "after it has lapsed");
 }
 
@@ -537,8 +537,9 @@
     let mut all: Vec<Rights> = (1..=4).map(|me| rights(me, 4)).collect();
     run(&mut all, 0.0, 5.0, &[]);
     run(&mut all, 5.0, 6.5, &[2]);
-    let held =
-        |all: &[Rights], now: f64| -> usize { [0, 2, 3].iter().map(|at: &usize| all[*at].holds(now)).sum() };
+    let held = |all: &[Rights], now: f64| -> usize {
+        [0, 2, 3].iter().map(|at: &usize| all[*at].held_mints(now)).sum()
+    };
     assert_eq!(held(&all, 6.5), 3, "not while its lease may still run");
     run(&mut all, 6.5, 10.0, &[2]);
     assert_eq!(held(&all, 10.0), 4);
@@ -546,28 +547,28 @@
     let terms = all[0].terms().clone();
     all[1] = Rights::new(10.0, Id(2), Incarnation::new(1, 9), ids, terms);
     run(&mut all, 10.0, 15.0, &[]);
-    assert_eq!(all.iter().map(|rights| rights.holds(15.0)).collect::<Vec<_>>(), [1, 1, 1, 1]);
+    assert_eq!(all.iter().map(|rights| rights.held_mints(15.0)).collect::<Vec<_>>(), [1, 1, 1, 1]);
 }
 
-/// A lowered limit holds from the time it is reread; a node whose limits change starts without rights.
+/// A lowered limit holds from the time it is applied; a node whose limits change starts without rights.
 #[test]
-fn reread_limits_start_without_rights() {
+fn changed_limits_start_without_rights() {
     let mut all = [rights(1, 2), rights(2, 2)];
     run(&mut all, 0.0, 5.0, &[]);
     let (ids, terms) = (vec![Id(1), Id(2)], all[0].terms().clone());
-    all[0].reread(5.0, ids.clone(), terms.clone());
-    assert!(all[0].has(5.0, 1) > 0.0, "rereading the same limits changes nothing");
-    let lower = Terms { limits: vec![Limit { most: 3.0, ..LIMIT }], ..terms };
-    all[0].reread(5.0, ids, lower);
-    assert_eq!((all[0].has(5.0, 1), all[0].holds(5.0)), (0.0, 0));
+    all[0].reconfigure(5.0, ids.clone(), terms.clone());
+    assert!(all[0].available(5.0, 1) > 0.0, "applying the same limits again changes nothing");
+    let lower = LimitTerms { limits: vec![Limit { most: 3.0, ..LIMIT }], ..terms };
+    all[0].reconfigure(5.0, ids, lower);
+    assert_eq!((all[0].available(5.0, 1), all[0].held_mints(5.0)), (0.0, 0));
 }
 
 proptest! {
     #[test]
     fn invalid_messages_about_rights_are_harmless(said in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut one = rights(1, 3);
-        one.heard(1.0, Id(2), 2, &said, &mut Vec::new());
+        one.handle_message(1.0, Id(2), 2, &said, &mut Vec::new());
         one.advance(2.0, |_| false, &mut Vec::new());
-        prop_assert!(one.has(2.0, 1) == 0.0);
+        prop_assert!(one.available(2.0, 1) == 0.0);
     }
 }
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -192,7 +192,7 @@
                 let members = fleet.config().members.len().max(1) as f64;
                 let shares = self.shares.borrow();
                 let here = |(name, share): &(String, f64)| {
-                    let here = rights.covered(now, limit_id(name)).unwrap_or(share / members);
+                    let here = rights.estimated_rate(now, limit_id(name)).unwrap_or(share / members);
                     (name.clone(), here)
                 };
                 let quotas = shares.iter().filter(|(_, share)| *share > 0.0).map(here).collect();
@@ -271,7 +271,9 @@
                 Action::Said { from, mark, bytes, .. } => {
                     let mut messages = Vec::new();
                     let mut rights = self.rights.borrow_mut();
-                    rights.iter_mut().for_each(|r| r.heard(now(), from, mark, &bytes, &mut messages));
+                    rights
+                        .iter_mut()
+                        .for_each(|r| r.handle_message(now(), from, mark, &bytes, &mut messages));
                     drop(rights);
                     self.send_rights_messages(messages);
                 }
@@ -309,7 +311,7 @@
         self.fleet.borrow_mut().reread(now(), config)?;
         let (fleet, mut rights) = (self.fleet.borrow(), self.rights.borrow_mut());
         match (rights.as_mut(), fleet.config().limit_terms(&shares)) {
-            (Some(rights), Some(terms)) => rights.reread(now(), fleet.config().ids(), terms),
+            (Some(rights), Some(terms)) => rights.reconfigure(now(), fleet.config().ids(), terms),
             (None, Some(_)) => *rights = Self::rights(&fleet, &shares),
             (_, None) => *rights = None,
         }
@@ -329,15 +331,16 @@
             let figures = shares.iter().filter_map(|(name, _)| {
                 let id = limit_id(name);
                 let limit = rights.terms().limit(id)?;
-                let ((wanted, had), here) = (rights.totals(id), rights.covered(now, id).unwrap_or(0.0));
+                let ((wanted, had), here) =
+                    (rights.wanted_and_used(id), rights.estimated_rate(now, id).unwrap_or(0.0));
                 let (share, bound, window) = (limit.most, limit.bound(), limit.window);
-                let rights = rights.has(now, id);
+                let rights = rights.available(now, id);
                 Some((name.clone(), LimitFigures { share, bound, window, wanted, had, rights, here }))
             });
             figures.collect()
         };
         let (limits, mints) = match rights.as_mut() {
-            Some(rights) => (limit_figures(rights), Some(rights.holds(now))),
+            Some(rights) => (limit_figures(rights), Some(rights.held_mints(now))),
             None => (BTreeMap::new(), None),
         };
         let (figures, standing, flooded) = (fleet.figures(now), stages.collect(), self.flooded.get());
