--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -140,7 +140,7 @@
 
     fn receive(&self, state: &mut State, (from, to, bytes): (NodeId, NodeId, Vec<u8>)) {
         self.with_fleet(state, to, |fleet, local_time, actions| {
-            fleet.heard(local_time, addr(from), &bytes, actions)
+            fleet.handle_datagram(local_time, addr(from), &bytes, actions)
         });
     }
 
--- a/crates/coveroute-emu/src/fleet/stage.rs
+++ b/crates/coveroute-emu/src/fleet/stage.rs
@@ -7,7 +7,7 @@
 use coveroute_fleet::member::Id;
 use coveroute_fleet::rights::{LimitTerms, Rights};
 use coveroute_fleet::table::Key;
-use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, Kind, News, State};
+use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, FleetEvent, Kind, State};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -341,7 +341,7 @@
     fn send_to_members(&mut self, now: f64, node: NodeId, messages: Vec<(Id, Vec<u8>)>) {
         for (to, bytes) in messages {
             self.with_fleet(now, node, |fleet, local_time, actions| {
-                fleet.say(local_time, to, Kind::RIGHTS, bytes, actions)
+                fleet.send_message(local_time, to, Kind::RIGHTS, bytes, actions)
             });
         }
     }
@@ -368,7 +368,7 @@
 
     fn receive(&mut self, now: f64, from: NodeId, to: NodeId, bytes: &[u8]) {
         self.with_fleet(now, to, |fleet, local_time, actions| {
-            fleet.heard(local_time, addr(from), bytes, actions)
+            fleet.handle_datagram(local_time, addr(from), bytes, actions)
         });
     }
 
@@ -396,9 +396,11 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { to, bytes } => self.send(now, node, to, bytes),
-                Action::News(News::Member { id, to, .. }) => self.record_state_change(now, node, id, to),
-                Action::News(_) => {}
-                Action::Said { from, mark, bytes, .. } => {
+                Action::Event(FleetEvent::Member { id, to, .. }) => {
+                    self.record_state_change(now, node, id, to)
+                }
+                Action::Event(_) => {}
+                Action::Message { from, mark, bytes, .. } => {
                     let (node_state, mut messages) = (&mut self.nodes[node], Vec::new());
                     let local_time = node_state.local_time(now);
                     node_state
--- a/crates/coveroute-fleet/src/fleet.rs
+++ b/crates/coveroute-fleet/src/fleet.rs
@@ -23,9 +23,9 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    News(News),
+    Event(FleetEvent),
     /// A message from an application component of another member. `mark` identifies the sending process.
-    Said {
+    Message {
         from: Id,
         mark: u64,
         kind: Kind,
@@ -35,7 +35,7 @@
 
 /// Events for the components built on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum FleetEvent {
     Member {
         id: Id,
         from: State,
@@ -44,7 +44,7 @@
     /// A new or newer record was stored.
     Record(Key),
     /// Another process uses this node's name. `yields`: this process is the one that stops sending.
-    Doubled {
+    NameConflict {
         yields: bool,
     },
 }
@@ -96,12 +96,12 @@
     /// False while another process of this node takes part in its place.
     active: bool,
     left: bool,
-    counts: Counts,
+    counts: Counters,
 }
 
 /// Counters since the start of this process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Counts {
+pub struct Counters {
     pub sent: u64,
     pub sent_bytes: u64,
     pub heard: u64,
@@ -120,7 +120,7 @@
     pub full: u64,
 }
 
-/// Figures for operators, and for the emulator's referee.
+/// Figures for operators, and for the emulator's checker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figures {
     pub incarnation: u64,
@@ -135,7 +135,7 @@
     pub health: u8,
     pub doubled: bool,
     #[serde(flatten)]
-    pub counts: Counts,
+    pub counts: Counters,
 }
 
 impl Fleet {
@@ -171,7 +171,7 @@
             silent_until: f64::NEG_INFINITY,
             active: true,
             left: false,
-            counts: Counts::default(),
+            counts: Counters::default(),
             config,
         };
         fleet.update_own_standing((fleet.incarnation, Claim::Alive), None);
@@ -225,7 +225,7 @@
     }
 
     /// Replaces the configuration; if the new one doesn't fit, nothing changes.
-    pub fn reread(&mut self, now: f64, config: FleetConfig) -> Result<(), String> {
+    pub fn reconfigure(&mut self, now: f64, config: FleetConfig) -> Result<(), String> {
         self.check_replacement(&config)?;
         self.table.set_limits(config.detector.drift, config.records.most);
         self.config = config;
@@ -318,7 +318,7 @@
 
     /// Sends `bytes` to the same component at another member. Delivery is best effort: the message may be lost or
     /// duplicated.
-    pub fn say(&mut self, now: f64, to: Id, kind: Kind, bytes: Vec<u8>, out: &mut Vec<Action>) {
+    pub fn send_message(&mut self, now: f64, to: Id, kind: Kind, bytes: Vec<u8>, out: &mut Vec<Action>) {
         if self.may_send(now) && bytes.len() <= MAX_CONTENT_LEN - MAX_UPDATES * MAX_UPDATE_LEN {
             self.send(to, MessageBody::Application { kind, bytes }, out);
         }
@@ -341,7 +341,7 @@
     }
 
     /// Sets whether this process, of all processes of this node, takes part in the fleet.
-    pub fn take_part(&mut self, now: f64, active: bool) {
+    pub fn set_active(&mut self, now: f64, active: bool) {
         if active && !self.active {
             self.next_tick = now;
         }
--- a/crates/coveroute-fleet/src/fleet/gossip.rs
+++ b/crates/coveroute-fleet/src/fleet/gossip.rs
@@ -4,7 +4,7 @@
 
 use super::{Fleet, MAX_SYNC_PINGS};
 use crate::detector::{PendingPing, Purpose};
-use crate::fleet::{Action, News};
+use crate::fleet::{Action, FleetEvent};
 use crate::member::{Claim, Id, Incarnation, Input, MemberUpdate, Standing, State};
 use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
 use crate::table::{Key, MergeResult, Record};
@@ -124,7 +124,7 @@
             if yields {
                 self.silent_until = now + CONFLICTS.1;
             }
-            out.push(Action::News(News::Doubled { yields }));
+            out.push(Action::Event(FleetEvent::NameConflict { yields }));
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Handles a datagram received from `from`.
-    pub fn heard(&mut self, now: f64, from: SocketAddr, bytes: &[u8], out: &mut Vec<Action>) {
+    pub fn handle_datagram(&mut self, now: f64, from: SocketAddr, bytes: &[u8], out: &mut Vec<Action>) {
         self.counts.heard += 1;
         self.counts.heard_bytes += bytes.len() as u64;
         if !self.active || self.left {
@@ -195,7 +195,7 @@
             MessageBody::Reach { .. } => {}
             MessageBody::Reached { number, well } => self.handle_reached(number, well),
             MessageBody::Application { kind, bytes } => {
-                out.push(Action::Said { from, mark: incarnation.mark(), kind, bytes });
+                out.push(Action::Message { from, mark: incarnation.mark(), kind, bytes });
             }
             MessageBody::Compare { number, sums } => self.send_differences(now, from, number, &sums, out),
             MessageBody::Differs { number, records, more } => {
@@ -240,7 +240,7 @@
                 MergeResult::Newer => {
                     let times = self.transmissions();
                     self.pending_records.insert(key, times);
-                    out.push(Action::News(News::Record(key)));
+                    out.push(Action::Event(FleetEvent::Record(key)));
                 }
                 MergeResult::Full => self.counts.full += 1,
                 MergeResult::TighterAge | MergeResult::Known | MergeResult::Expired => {}
--- a/crates/coveroute-fleet/src/fleet/probe.rs
+++ b/crates/coveroute-fleet/src/fleet/probe.rs
@@ -1,7 +1,7 @@
 //! Failure detection: probes, suspicions, and state transitions of the other members.
 use super::{Fleet, Peer};
 use crate::detector::{PendingPing, PingStatus, Purpose, Suspicion};
-use crate::fleet::{Action, News};
+use crate::fleet::{Action, FleetEvent};
 use crate::member::{next_state, Claim, Effect, Id, Input, State};
 use crate::message::MessageBody;
 
@@ -156,7 +156,7 @@
         if from != to {
             (peer.state, peer.state_since) = (to, now);
             self.counts.buried += u64::from(to == State::Dead);
-            out.push(Action::News(News::Member { id, from, to }));
+            out.push(Action::Event(FleetEvent::Member { id, from, to }));
         }
         if disseminate {
             self.queue_update(id);
--- a/crates/coveroute-fleet/src/lib.rs
+++ b/crates/coveroute-fleet/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod table;
 
 pub use config::FleetConfig;
-pub use fleet::{Action, Figures, Fleet, News};
+pub use fleet::{Action, Figures, Fleet, FleetEvent};
 pub use member::{Id, State};
 pub use table::{Kind, Reading};
 
--- a/crates/coveroute-fleet/src/tests.rs
+++ b/crates/coveroute-fleet/src/tests.rs
@@ -11,7 +11,7 @@
 use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
 use crate::rights::{Limit, LimitTerms, Post, Rights};
 use crate::table::{Key, Kind, MergeResult, Record, Table};
-use crate::{Action, Fleet, FleetConfig, News};
+use crate::{Action, Fleet, FleetConfig, FleetEvent};
 
 const FILE: &str = "fleet = \"north\"\n[members]\na = { address = \"10.0.0.1:9400\", zone = \"x\" }\n\
     b = { address = \"10.0.0.2:9400\", machine = \"m\" }\n";
@@ -177,19 +177,21 @@
 }
 
 /// Delivers all messages between the two, until none are left.
-fn deliver_all(now: f64, one: &mut Fleet, other: &mut Fleet, mut out: Vec<Action>) -> Vec<News> {
-    let mut news = Vec::new();
+fn deliver_all(now: f64, one: &mut Fleet, other: &mut Fleet, mut out: Vec<Action>) -> Vec<FleetEvent> {
+    let mut events = Vec::new();
     while !out.is_empty() {
         for action in std::mem::take(&mut out) {
             match action {
-                Action::Send { to, bytes } if to == addr(1) => one.heard(now, addr(2), &bytes, &mut out),
-                Action::Send { bytes, .. } => other.heard(now, addr(1), &bytes, &mut out),
-                Action::News(event) => news.push(event),
-                Action::Said { .. } => {}
+                Action::Send { to, bytes } if to == addr(1) => {
+                    one.handle_datagram(now, addr(2), &bytes, &mut out)
+                }
+                Action::Send { bytes, .. } => other.handle_datagram(now, addr(1), &bytes, &mut out),
+                Action::Event(event) => events.push(event),
+                Action::Message { .. } => {}
             }
         }
     }
-    news
+    events
 }
 
 fn two_joined_nodes() -> (Fleet, Fleet) {
@@ -211,18 +213,21 @@
     assert_eq!(one.state(Id::of("b")), Some(State::Alive));
     let without_b = FleetConfig::parse(&FILE.replace("b = {", "c = {")).expect("a valid file");
     assert!(other
-        .reread(2.0, without_b.clone())
+        .reconfigure(2.0, without_b.clone())
         .expect_err("this node is missing")
         .contains("members: b, the name of this node, is not listed"));
     let moved = FleetConfig::parse(&FILE.replace("10.0.0.1", "10.0.0.9")).expect("a valid file");
-    assert!(one.reread(2.0, moved).expect_err("its own address has changed").contains("members.a.address"));
+    assert!(one
+        .reconfigure(2.0, moved)
+        .expect_err("its own address has changed")
+        .contains("members.a.address"));
     assert_eq!(one.state(Id::of("b")), Some(State::Alive), "nothing has changed");
-    assert_eq!(one.reread(2.0, without_b), Ok(()));
+    assert_eq!(one.reconfigure(2.0, without_b), Ok(()));
     let mut out = Vec::new();
     (0..8).for_each(|at| other.advance(2.0 + f64::from(at) * 0.05, &mut out));
     for action in out {
         if let Action::Send { bytes, .. } = action {
-            one.heard(9.0, addr(2), &bytes, &mut Vec::new());
+            one.handle_datagram(9.0, addr(2), &bytes, &mut Vec::new());
         }
     }
     let figures = one.figures(9.0);
@@ -247,12 +252,12 @@
                 match action {
                     // Both use the same address, so each message to it is delivered to both.
                     Action::Send { to, bytes } if to == addr(2) => {
-                        first.heard(now, addr(1), &bytes, &mut out);
-                        second.heard(now, addr(1), &bytes, &mut out);
+                        first.handle_datagram(now, addr(1), &bytes, &mut out);
+                        second.handle_datagram(now, addr(1), &bytes, &mut out);
                     }
-                    Action::Send { bytes, .. } => one.heard(now, addr(2), &bytes, &mut out),
-                    Action::News(News::Doubled { yields }) => silent.push(yields),
-                    Action::News(_) | Action::Said { .. } => {}
+                    Action::Send { bytes, .. } => one.handle_datagram(now, addr(2), &bytes, &mut out),
+                    Action::Event(FleetEvent::NameConflict { yields }) => silent.push(yields),
+                    Action::Event(_) | Action::Message { .. } => {}
                 }
             }
         }
@@ -272,7 +277,7 @@
     let records = vec![Record { key, ..record(1, 0) }];
     let what = MessageBody::Answer { number: 12345, records };
     let bytes = encode(config().mark(), &Message { from, incarnation, sum: 0, words, what });
-    one.heard(2.0, addr(2), &bytes, &mut Vec::new());
+    one.handle_datagram(2.0, addr(2), &bytes, &mut Vec::new());
     assert_eq!(one.readings(2.0).count(), before);
 }
 
@@ -289,7 +294,7 @@
     let (from, incarnation, what) = (other.me(), other.incarnation(), MessageBody::Ping { number: 1 });
     let mut bytes = encode(config().mark(), &Message { from, incarnation, sum: 0, words, what });
     change(&mut bytes);
-    one.heard(0.0, addr(2), &bytes, &mut out);
+    one.handle_datagram(0.0, addr(2), &bytes, &mut out);
     assert_eq!(one.figures(0.0).counts.dropped.get(&why), Some(&1));
 }
 
@@ -298,14 +303,14 @@
     #[test]
     fn random_datagrams_are_harmless(bytes in proptest::collection::vec(any::<u8>(), 0..1300), from in 0_u8..4) {
         let (mut one, mut out) = (two_joined_nodes().0, Vec::new());
-        one.heard(3.0, addr(from), &bytes, &mut out);
+        one.handle_datagram(3.0, addr(from), &bytes, &mut out);
         // The same bytes with a valid header and checksum.
         let mut framed = vec![crate::message::MARKER_BYTE, 1];
         let mut hasher = crc32fast::Hasher::new_with_initial(config().mark());
         hasher.update(&bytes);
         framed.extend(hasher.finalize().to_le_bytes());
         framed.extend(&bytes);
-        one.heard(3.0, addr(2), &framed, &mut out);
+        one.handle_datagram(3.0, addr(2), &framed, &mut out);
         one.advance(3.0, &mut out);
         let long = |action: &Action| matches!(action, Action::Send { bytes, .. } if bytes.len() > MAX_DATAGRAM);
         let longest = out.iter().any(long);
@@ -565,9 +570,9 @@
 
 proptest! {
     #[test]
-    fn invalid_messages_about_rights_are_harmless(said in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn invalid_messages_about_rights_are_harmless(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut one = rights(1, 3);
-        one.handle_message(1.0, Id(2), 2, &said, &mut Vec::new());
+        one.handle_message(1.0, Id(2), 2, &bytes, &mut Vec::new());
         one.advance(2.0, |_| false, &mut Vec::new());
         prop_assert!(one.available(2.0, 1) == 0.0);
     }
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -12,7 +12,7 @@
 use coveroute_fleet::member::Id;
 use coveroute_fleet::rights::{limit_id, Rights};
 use coveroute_fleet::standing::{Stage, Standing};
-use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, Kind, News, State};
+use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, FleetEvent, Kind, State};
 use log::{error, info};
 use nix::time::{clock_gettime, ClockId};
 use serde::Serialize;
@@ -139,7 +139,7 @@
         let mark = mix(unix.as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
         let count = (unix.as_secs_f64() * INCARNATIONS_PER_SECOND) as u64;
         let mut fleet = Fleet::new(now(), &membership.name, config, count, mark)?;
-        fleet.take_part(now(), false);
+        fleet.set_active(now(), false);
         info!(
             "member {} of fleet {}, of {}",
             membership.name,
@@ -205,7 +205,7 @@
     fn send_rights_messages(&self, messages: Vec<(Id, Vec<u8>)>) {
         let mut actions = Vec::new();
         for (to, bytes) in messages {
-            self.fleet.borrow_mut().say(now(), to, Kind::RIGHTS, bytes, &mut actions);
+            self.fleet.borrow_mut().send_message(now(), to, Kind::RIGHTS, bytes, &mut actions);
         }
         self.execute_actions(actions);
     }
@@ -257,7 +257,7 @@
             return self.flooded.set(self.flooded.get() + 1);
         }
         let mut actions = Vec::new();
-        self.fleet.borrow_mut().heard(now(), from, bytes, &mut actions);
+        self.fleet.borrow_mut().handle_datagram(now(), from, bytes, &mut actions);
         self.execute_actions(actions);
     }
 
@@ -266,9 +266,11 @@
             match action {
                 // A datagram that can't be sent counts as lost, which the protocol allows for.
                 Action::Send { to, bytes } => drop(self.socket.send_to(&bytes, to)),
-                Action::News(News::Member { id, from, to }) => info!("{}: {from:?} -> {to:?}", self.name(id)),
-                Action::News(News::Record(_)) => {}
-                Action::Said { from, mark, bytes, .. } => {
+                Action::Event(FleetEvent::Member { id, from, to }) => {
+                    info!("{}: {from:?} -> {to:?}", self.name(id))
+                }
+                Action::Event(FleetEvent::Record(_)) => {}
+                Action::Message { from, mark, bytes, .. } => {
                     let mut messages = Vec::new();
                     let mut rights = self.rights.borrow_mut();
                     rights
@@ -277,10 +279,10 @@
                     drop(rights);
                     self.send_rights_messages(messages);
                 }
-                Action::News(News::Doubled { yields: false }) => {
+                Action::Event(FleetEvent::NameConflict { yields: false }) => {
                     error!("another process uses this member's name, and stops sending")
                 }
-                Action::News(News::Doubled { yields: true }) => {
+                Action::Event(FleetEvent::NameConflict { yields: true }) => {
                     error!("another process uses this member's name: this process stops sending for a while")
                 }
             }
@@ -297,7 +299,7 @@
     pub fn take_part(&self, active: bool) {
         self.active.set(active);
         self.published.set(None); // The other process may have published another stage in the meantime.
-        self.fleet.borrow_mut().take_part(now(), active);
+        self.fleet.borrow_mut().set_active(now(), active);
     }
 
     /// Announces that the node leaves the fleet.
@@ -308,7 +310,7 @@
     }
 
     pub fn reread(&self, config: FleetConfig, shares: Vec<(String, f64)>) -> Result<(), String> {
-        self.fleet.borrow_mut().reread(now(), config)?;
+        self.fleet.borrow_mut().reconfigure(now(), config)?;
         let (fleet, mut rights) = (self.fleet.borrow(), self.rights.borrow_mut());
         match (rights.as_mut(), fleet.config().limit_terms(&shares)) {
             (Some(rights), Some(terms)) => rights.reconfigure(now(), fleet.config().ids(), terms),
