--- a/crates/coveroute-emu/src/fleet/checker.rs
+++ b/crates/coveroute-emu/src/fleet/checker.rs
@@ -2,7 +2,7 @@
 //! node says of itself.
 use std::collections::{BTreeMap, VecDeque};
 
-use coveroute_fleet::member::{Id, Incarnation, Standing};
+use coveroute_fleet::member::{ClaimedStatus, Id, Incarnation};
 use coveroute_fleet::table::Key;
 use coveroute_fleet::Fleet;
 use serde::Serialize;
@@ -29,8 +29,8 @@
     written: BTreeMap<(Key, Stamp), (f64, Vec<u8>)>,
     /// The latest stamp that each reader's process has shown.
     latest: BTreeMap<(NodeId, Key), Stamp>,
-    /// The latest standing of each member in each reader's process.
-    standings: BTreeMap<(NodeId, Id), Standing>,
+    /// The latest claimed status of each member in each reader's process.
+    statuses: BTreeMap<(NodeId, Id), ClaimedStatus>,
     /// The time and amount of each use of the limit in the last window, over all nodes.
     used: VecDeque<(f64, f64)>,
     /// The greatest part of the bound that was used in any window.
@@ -83,7 +83,7 @@
     /// Forgets what the node's process has shown: its next process starts with an empty table.
     pub fn process_ended(&mut self, node: NodeId) {
         self.latest.retain(|(reader, _), _| *reader != node);
-        self.standings.retain(|(reader, _), _| *reader != node);
+        self.statuses.retain(|(reader, _), _| *reader != node);
     }
 
     /// Checks all that a node's process holds.
@@ -129,12 +129,12 @@
             *latest = stamp;
         }
         for id in members {
-            let Some(standing) = fleet.standing(*id) else { continue };
-            let last = self.standings.entry((node, *id)).or_insert(standing);
-            if *last > standing {
-                breaches.push(format!("{id:?}: {standing:?} after {last:?}"));
+            let Some(status) = fleet.claimed_status(*id) else { continue };
+            let last = self.statuses.entry((node, *id)).or_insert(status);
+            if *last > status {
+                breaches.push(format!("{id:?}: {status:?} after {last:?}"));
             }
-            *last = standing;
+            *last = status;
         }
         breaches.into_iter().for_each(|description| self.breach(now, node, description));
     }
--- a/crates/coveroute-emu/src/fleet/measure.rs
+++ b/crates/coveroute-emu/src/fleet/measure.rs
@@ -53,7 +53,7 @@
 /// Measures a fleet of `nodes` nodes: 30 s idle, then `kills` rounds of a kill, a restart and a write.
 pub fn measure_size(nodes: usize, kills: usize, seed: u64) -> Size {
     let mut stage = started_stage(nodes, seed, FleetPart::default());
-    // One standing record per node, as real nodes write.
+    // One status record per node, as real nodes write.
     for node in 0..nodes {
         stage.write(0.0, node, 0);
     }
--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -148,11 +148,11 @@
         state.writes += 1;
         let value = state.writes.to_le_bytes();
         self.with_fleet(state, node, |fleet, local_time, actions| {
-            fleet.write(local_time, Kind::STANDING, 0, &value, actions);
+            fleet.write(local_time, Kind::NODE_STATUS, 0, &value, actions);
         });
         let local_time = self.local_time(node, state.now);
         let Some(fleet) = &state.fleets[node] else { return };
-        let key = Key { owner: fleet.me(), kind: Kind::STANDING, key: 0 };
+        let key = Key { owner: fleet.me(), kind: Kind::NODE_STATUS, key: 0 };
         let stamp = fleet.readings(local_time).find(|r| r.key == key).map(|r| (r.incarnation, r.version));
         if let Some(stamp) = stamp {
             state.checker.record_write(state.now, node, key, stamp, &value);
--- a/crates/coveroute-emu/src/fleet/stage.rs
+++ b/crates/coveroute-emu/src/fleet/stage.rs
@@ -271,7 +271,7 @@
         let value = self.writes.to_le_bytes();
         let mut fits = false;
         self.with_fleet(now, node, |fleet, local_time, actions| {
-            fits = fleet.write(local_time, Kind::STANDING, key, &value, actions);
+            fits = fleet.write(local_time, Kind::NODE_STATUS, key, &value, actions);
         });
         self.record_write(now, node, key, &value);
         fits
@@ -281,9 +281,9 @@
     fn record_write(&mut self, now: f64, node: NodeId, number: u64, value: &[u8]) {
         let node_state = &self.nodes[node];
         let Some(fleet) = &node_state.fleet else { return };
-        let key = Key { owner: fleet.me(), kind: Kind::STANDING, key: number };
+        let key = Key { owner: fleet.me(), kind: Kind::NODE_STATUS, key: number };
         let written =
-            fleet.read(node_state.local_time(now), Kind::STANDING).find(|reading| reading.key == key);
+            fleet.read(node_state.local_time(now), Kind::NODE_STATUS).find(|reading| reading.key == key);
         let stamp = written.filter(|reading| reading.value == value).map(|r| (r.incarnation, r.version));
         stamp.into_iter().for_each(|stamp| self.witness.record_write(now, node, key, stamp, value));
     }
--- a/crates/coveroute-fleet/src/fleet.rs
+++ b/crates/coveroute-fleet/src/fleet.rs
@@ -13,7 +13,7 @@
 
 use crate::config::FleetConfig;
 use crate::detector::{Health, PendingPing, Purpose, Suspicion, TICKS_PER_PERIOD};
-use crate::member::{Claim, Id, Incarnation, MemberUpdate, Standing, State};
+use crate::member::{Claim, ClaimedStatus, Id, Incarnation, MemberUpdate, State};
 use crate::message::{DropReason, MessageBody};
 use crate::table::{Key, Kind, Reading, Table};
 
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 struct Peer {
     addr: SocketAddr,
-    standing: Option<Standing>,
+    claimed_status: Option<ClaimedStatus>,
     state: State,
     state_since: f64,
     suspicion: Option<Suspicion>,
@@ -174,7 +174,7 @@
             counts: Counters::default(),
             config,
         };
-        fleet.update_own_standing((fleet.incarnation, Claim::Alive), None);
+        fleet.update_own_status((fleet.incarnation, Claim::Alive), None);
         fleet.apply_members(now);
         Ok(fleet)
     }
@@ -185,8 +185,8 @@
         let members: BTreeMap<Id, SocketAddr> = members.collect();
         let gone: Vec<Id> = self.peers.keys().filter(|id| !members.contains_key(id)).copied().collect();
         for id in gone {
-            let standing = self.peers.remove(&id).and_then(|peer| peer.standing);
-            self.table.update_standing(id, standing, None);
+            let status = self.peers.remove(&id).and_then(|peer| peer.claimed_status);
+            self.table.update_claimed_status(id, status, None);
             self.table.remove_owner(id);
             self.pending_updates.remove(&id);
         }
@@ -195,7 +195,7 @@
         for (id, addr) in members.iter().filter(|(id, _)| **id != self.me) {
             let unseen = Peer {
                 addr: *addr,
-                standing: None,
+                claimed_status: None,
                 state: State::Unseen,
                 state_since: now,
                 suspicion: None,
@@ -332,8 +332,8 @@
         self.table.readings(now)
     }
 
-    pub fn standing(&self, of: Id) -> Option<Standing> {
-        self.peers.get(&of).and_then(|peer| peer.standing)
+    pub fn claimed_status(&self, of: Id) -> Option<ClaimedStatus> {
+        self.peers.get(&of).and_then(|peer| peer.claimed_status)
     }
 
     pub fn state(&self, of: Id) -> Option<State> {
--- a/crates/coveroute-fleet/src/fleet/gossip.rs
+++ b/crates/coveroute-fleet/src/fleet/gossip.rs
@@ -5,7 +5,7 @@
 use super::{Fleet, MAX_SYNC_PINGS};
 use crate::detector::{PendingPing, Purpose};
 use crate::fleet::{Action, FleetEvent};
-use crate::member::{Claim, Id, Incarnation, Input, MemberUpdate, Standing, State};
+use crate::member::{Claim, ClaimedStatus, Id, Incarnation, Input, MemberUpdate, State};
 use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
 use crate::table::{Key, MergeResult, Record};
 
@@ -47,7 +47,7 @@
         let Some(peer) = self.peers.get_mut(&update.of) else {
             return self.count_dropped(DropReason::Stranger);
         };
-        let (known, new) = (peer.standing, (update.incarnation, update.claim));
+        let (known, new) = (peer.claimed_status, (update.incarnation, update.claim));
         if known.is_some_and(|known| new <= known) {
             if known == Some(new) && update.claim == Claim::Suspected {
                 self.apply_input(now, update.of, Input::Suspected, update.by, out);
@@ -62,8 +62,8 @@
             Claim::Dead => Input::Dead,
             Claim::Left => Input::Left,
         };
-        peer.standing = Some(new);
-        self.table.update_standing(update.of, known, Some(new));
+        peer.claimed_status = Some(new);
+        self.table.update_claimed_status(update.of, known, Some(new));
         self.queue_update(update.of);
         self.apply_input(now, update.of, input, update.by, out);
     }
@@ -94,7 +94,7 @@
     pub(super) fn raise_incarnation(&mut self, now: f64, over: Incarnation, out: &mut Vec<Action>) {
         let before = (self.incarnation, Claim::Alive);
         self.incarnation = self.incarnation.next_above(over);
-        self.update_own_standing((self.incarnation, Claim::Alive), Some(before));
+        self.update_own_status((self.incarnation, Claim::Alive), Some(before));
         let (keys, times) = (self.table.adopt_incarnation(self.me, self.incarnation), self.transmissions());
         self.pending_records.extend(keys.into_iter().map(|key| (key, times)));
         self.ping_some_peers(now, out);
@@ -106,8 +106,8 @@
         targets.into_iter().for_each(|to| self.ping(now, to, Purpose::Sync, out));
     }
 
-    pub(super) fn update_own_standing(&mut self, after: Standing, before: Option<Standing>) {
-        self.table.update_standing(self.me, before, Some(after));
+    pub(super) fn update_own_status(&mut self, after: ClaimedStatus, before: Option<ClaimedStatus>) {
+        self.table.update_claimed_status(self.me, before, Some(after));
     }
 
     /// Detects a second live process with this node's name. An earlier process that the others still remember may
@@ -345,7 +345,7 @@
         }
         let peer = self.peers.get(&of)?;
         let ((incarnation, claim), by) =
-            (peer.standing?, peer.suspicion.as_ref().map(|suspicion| &suspicion.reported_by));
+            (peer.claimed_status?, peer.suspicion.as_ref().map(|suspicion| &suspicion.reported_by));
         // Names one of the reporters at random: a receiver that hears of several confirms the suspicion sooner.
         let draw = self.rng.draw();
         let by = by.map_or(self.me, |by| by[(draw * by.len() as f64) as usize]);
@@ -399,7 +399,7 @@
 
     pub(super) fn update_about_receiver(&mut self, to: Id) -> Vec<MemberUpdate> {
         let not_alive =
-            self.peers.get(&to).and_then(|peer| peer.standing).is_some_and(|s| s.1 != Claim::Alive);
+            self.peers.get(&to).and_then(|peer| peer.claimed_status).is_some_and(|s| s.1 != Claim::Alive);
         if not_alive {
             self.update_about(to).into_iter().collect()
         } else {
--- a/crates/coveroute-fleet/src/fleet/probe.rs
+++ b/crates/coveroute-fleet/src/fleet/probe.rs
@@ -140,9 +140,9 @@
             (Input::SuspicionExpired, _) if to == State::Dead => Some(Claim::Dead),
             _ => None,
         };
-        if let Some((incarnation, claim)) = peer.standing.map(|standing| standing.0).zip(claim) {
-            let before = peer.standing.replace((incarnation, claim));
-            self.table.update_standing(id, before, Some((incarnation, claim)));
+        if let Some((incarnation, claim)) = peer.claimed_status.map(|status| status.0).zip(claim) {
+            let before = peer.claimed_status.replace((incarnation, claim));
+            self.table.update_claimed_status(id, before, Some((incarnation, claim)));
         }
         let mut disseminate = from != to && input != Input::Settled;
         match effect {
--- a/crates/coveroute-fleet/src/lib.rs
+++ b/crates/coveroute-fleet/src/lib.rs
@@ -11,7 +11,8 @@
 pub mod member;
 pub mod message;
 pub mod rights;
-pub mod standing;
+pub mod status;
+
 pub mod table;
 
 pub use config::FleetConfig;
--- a/crates/coveroute-fleet/src/member.rs
+++ b/crates/coveroute-fleet/src/member.rs
@@ -58,8 +58,8 @@
     Left,
 }
 
-/// The greatest standing wins in whatever order updates arrive, so nodes that received the same updates agree.
-pub type Standing = (Incarnation, Claim);
+/// The greatest status wins in whatever order updates arrive, so nodes that received the same updates agree.
+pub type ClaimedStatus = (Incarnation, Claim);
 
 /// A membership update: a claim as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/coveroute-fleet/src/standing.rs
+++ b/crates/coveroute-fleet/src/status.rs
@@ -11,16 +11,16 @@
 
 /// Contains only what changes rarely, as each version is sent to all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct NodeStatus {
     pub stage: Stage,
 }
 
-impl Standing {
-    pub fn bytes(self) -> Vec<u8> {
+impl NodeStatus {
+    pub fn encode(self) -> Vec<u8> {
         postcard::to_stdvec(&self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/coveroute-fleet/src/table.rs
+++ b/crates/coveroute-fleet/src/table.rs
@@ -11,7 +11,7 @@
 use coveroute::chance::mix;
 use serde::{Deserialize, Serialize};
 
-use crate::member::{Claim, Id, Incarnation, Standing};
+use crate::member::{Claim, ClaimedStatus, Id, Incarnation};
 
 /// The component of the dispatcher that a record belongs to. Each component defines its kind here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
 
 impl Kind {
     /// A node's phase and what it holds.
-    pub const STANDING: Kind = Kind(1);
+    pub const NODE_STATUS: Kind = Kind(1);
     /// Rights to shares of limits.
     pub const RIGHTS: Kind = Kind(2);
 }
@@ -292,9 +292,14 @@
         self.entries.is_empty()
     }
 
-    /// A member's standing is part of the sums, except that a suspicion, which is temporary, counts as alive.
-    pub fn update_standing(&mut self, of: Id, before: Option<Standing>, after: Option<Standing>) {
-        let fingerprint = |(incarnation, claim): Standing| {
+    /// A member's claimed status is part of the sums, except that a suspicion, which is temporary, counts as alive.
+    pub fn update_claimed_status(
+        &mut self,
+        of: Id,
+        before: Option<ClaimedStatus>,
+        after: Option<ClaimedStatus>,
+    ) {
+        let fingerprint = |(incarnation, claim): ClaimedStatus| {
             let claim = if claim == Claim::Suspected { Claim::Alive } else { claim };
             mix(mix(incarnation.0) ^ u64::from(of.0) << 2 ^ claim as u64) as u32
         };
--- a/crates/coveroute-fleet/src/tests.rs
+++ b/crates/coveroute-fleet/src/tests.rs
@@ -96,7 +96,7 @@
 }
 
 fn record(version: u64, age: u32) -> Record {
-    let key = Key { owner: Id(7), kind: Kind::STANDING, key: 1 };
+    let key = Key { owner: Id(7), kind: Kind::NODE_STATUS, key: 1 };
     Record { key, incarnation: Incarnation::new(1, 1), version, age, life: 10_000, value: vec![1] }
 }
 
@@ -105,7 +105,7 @@
 fn age_bounds_add_up() {
     let mut table = Table::new(0.01, 4);
     assert_eq!(table.merge(100.0, 99.0, record(1, 2000)), MergeResult::Newer);
-    let age = |table: &Table, now| table.read(now, Kind::STANDING).map(|r| r.age).next();
+    let age = |table: &Table, now| table.read(now, Kind::NODE_STATUS).map(|r| r.age).next();
     assert_eq!(age(&table, 100.0), Some(2.0 + 1.0 / 0.99));
     assert_eq!(age(&table, 103.0), Some(2.0 + 1.0 / 0.99 + 3.0 / 0.99));
     // Rounded up for sending.
@@ -289,7 +289,7 @@
 fn dropped_datagrams_are_counted_by_reason(change: fn(&mut Vec<u8>), why: DropReason) {
     let (mut one, mut other) = two_nodes();
     let mut out = Vec::new();
-    other.write(0.0, Kind::STANDING, 1, b"x", &mut out);
+    other.write(0.0, Kind::NODE_STATUS, 1, b"x", &mut out);
     let words = Vec::new();
     let (from, incarnation, what) = (other.me(), other.incarnation(), MessageBody::Ping { number: 1 });
     let mut bytes = encode(config().mark(), &Message { from, incarnation, sum: 0, words, what });
@@ -334,7 +334,7 @@
         for (version, age) in &versions {
             table.merge(1.0, 1.0, record(*version, *age));
         }
-        let held = table.read(1.0, Kind::STANDING).map(|reading| reading.version).next();
+        let held = table.read(1.0, Kind::NODE_STATUS).map(|reading| reading.version).next();
         prop_assert_eq!(held, versions.iter().map(|version| version.0).max());
     }
 }
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -11,7 +11,7 @@
 use coveroute_engine::Phase;
 use coveroute_fleet::member::Id;
 use coveroute_fleet::rights::{limit_id, Rights};
-use coveroute_fleet::standing::{Stage, Standing};
+use coveroute_fleet::status::{NodeStatus, Stage};
 use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, FleetEvent, Kind, State};
 use log::{error, info};
 use nix::time::{clock_gettime, ClockId};
@@ -239,7 +239,7 @@
         };
         let (now, mut fleet) = (now(), self.fleet.borrow_mut());
         if self.published.get() != Some(stage) || now >= self.republish_at.get() {
-            fleet.write(now, Kind::STANDING, 0, &Standing { stage }.bytes(), actions);
+            fleet.write(now, Kind::NODE_STATUS, 0, &NodeStatus { stage }.encode(), actions);
             self.published.set(Some(stage));
             self.republish_at.set(now + fleet.config().records.life / 3.0);
         }
@@ -324,9 +324,9 @@
 
     pub fn shown(&self) -> Shown {
         let (fleet, now) = (self.fleet.borrow(), now());
-        let stages = fleet.read(now, Kind::STANDING).filter_map(|reading| {
-            let standing = Standing::read(reading.value)?;
-            Some((self.name(reading.key.owner), MemberStage { stage: standing.stage, age: reading.age }))
+        let stages = fleet.read(now, Kind::NODE_STATUS).filter_map(|reading| {
+            let status = NodeStatus::decode(reading.value)?;
+            Some((self.name(reading.key.owner), MemberStage { stage: status.stage, age: reading.age }))
         });
         let (mut rights, shares) = (self.rights.borrow_mut(), self.shares.borrow());
         let limit_figures = |rights: &mut Rights| -> BTreeMap<String, LimitFigures> {
