--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -161,9 +161,9 @@
 
     /// Replays a path in short words; an error says which rule it breaks.
     pub fn replay(&self, way: &str) -> Result<(), String> {
-        let mut state = self.first();
+        let mut state = self.initial();
         for word in way.split_whitespace() {
-            state = self.after(&state, &word.parse()?)?;
+            state = self.apply(&state, &word.parse()?)?;
         }
         Ok(())
     }
@@ -173,7 +173,7 @@
     type State = State;
     type Step = Step;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         let mut state = State {
             now: 0.0,
             fleets: (0..self.nodes).map(|_| None).collect(),
@@ -188,7 +188,7 @@
         state
     }
 
-    fn steps(&self, state: &State) -> Vec<Step> {
+    fn enabled_steps(&self, state: &State) -> Vec<Step> {
         let mut steps = vec![Step::Tick];
         for at in 0..state.in_flight.len() {
             steps.extend([Step::Deliver(at), Step::Drop(at)]);
@@ -207,7 +207,7 @@
         steps
     }
 
-    fn after(&self, state: &State, step: &Step) -> Result<State, String> {
+    fn apply(&self, state: &State, step: &Step) -> Result<State, String> {
         let mut state = state.clone();
         let no_datagram =
             |state: &State, at: usize| format!("no datagram {at}: {} in flight", state.in_flight.len());
@@ -258,7 +258,7 @@
         }
     }
 
-    fn print(&self, state: &State) -> u64 {
+    fn fingerprint(&self, state: &State) -> u64 {
         let mut hasher = DefaultHasher::new();
         let State { fleets, in_flight, now, processes, writes, .. } = state;
         format!("{fleets:?}").hash(&mut hasher);
@@ -281,7 +281,7 @@
     #[test]
     fn all_interleavings_of_few_steps_keep_the_rules() {
         let explored = explore(&Few::new(2, 0.01), 6, 20_000);
-        assert!(explored.breach.is_none(), "{explored:?}");
+        assert!(explored.violation.is_none(), "{explored:?}");
         assert!(explored.states > 1000, "{explored:?}");
     }
 
@@ -290,10 +290,10 @@
     #[test]
     fn excessive_clock_drift_is_detected() {
         let model = Few::new(2, 0.3);
-        let breach = explore(&model, 9, 200_000).breach.expect("a breach");
-        assert!(breach.words.contains("is reported as"), "{breach:?}");
-        let words = model.replay(&way(&breach.steps)).expect_err("the same");
-        assert_eq!(words, breach.words);
+        let violation = explore(&model, 9, 200_000).violation.expect("a violation");
+        assert!(violation.description.contains("is reported as"), "{violation:?}");
+        let description = model.replay(&way(&violation.steps)).expect_err("the same");
+        assert_eq!(description, violation.description);
     }
 
     #[test]
--- a/crates/coveroute-emu/src/fleet/model_limits.rs
+++ b/crates/coveroute-emu/src/fleet/model_limits.rs
@@ -131,7 +131,7 @@
     type State = State;
     type Step = Step;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         let (nodes, in_flight, used) = ((0..self.nodes).map(|_| None).collect(), Vec::new(), Vec::new());
         let mut state =
             State { now: 0.0, nodes, in_flight, used, processes: 0, crashes_left: 1, duplicates_left: 1 };
@@ -145,7 +145,7 @@
         state
     }
 
-    fn steps(&self, state: &State) -> Vec<Step> {
+    fn enabled_steps(&self, state: &State) -> Vec<Step> {
         let mut steps = vec![Step::Tick(None), Step::Tick(Some(0))];
         for at in 0..state.in_flight.len() {
             steps.extend([Step::Deliver(at), Step::Drop(at)]);
@@ -163,7 +163,7 @@
         steps
     }
 
-    fn after(&self, state: &State, step: &Step) -> Result<State, String> {
+    fn apply(&self, state: &State, step: &Step) -> Result<State, String> {
         let mut state = state.clone();
         match *step {
             Step::Tick(stalled) => self.advance_time(&mut state, stalled),
@@ -193,7 +193,7 @@
         }
     }
 
-    fn print(&self, state: &State) -> u64 {
+    fn fingerprint(&self, state: &State) -> u64 {
         let mut hasher = DefaultHasher::new();
         let State { now, nodes, in_flight, used, processes, .. } = state;
         (format!("{nodes:?}{used:?}"), in_flight, now.to_bits(), processes).hash(&mut hasher);
@@ -210,7 +210,7 @@
     #[test]
     fn all_interleavings_of_few_steps_stay_within_the_bound() {
         let explored = explore(&RightsModel::new(2, 0.01), 7, 20_000);
-        assert!(explored.breach.is_none(), "{explored:?}");
+        assert!(explored.violation.is_none(), "{explored:?}");
         assert!(explored.states > 1000, "{explored:?}");
     }
 
@@ -218,6 +218,6 @@
     #[test]
     fn excessive_clock_drift_is_detected() {
         let explored = explore(&RightsModel::new(1, 1.5), 11, 200_000);
-        assert!(explored.breach.is_some(), "{explored:?}");
+        assert!(explored.violation.is_some(), "{explored:?}");
     }
 }
--- a/crates/coveroute-emu/src/fleet/proof.rs
+++ b/crates/coveroute-emu/src/fleet/proof.rs
@@ -112,8 +112,9 @@
     let (states, steps) = (explored.states, explored.steps);
     let explored_to = json!({ "states": states, "steps": steps, "depth": explored.depth });
     proof.note(&format!("orders_{nodes}"), explored_to);
-    let breach = explored.breach.map(|breach| format!("{}: {}", way(&breach.steps), breach.words));
-    proof.want(breach.is_none(), format!("{nodes} nodes: {}", breach.unwrap_or_default()));
+    let violation =
+        explored.violation.map(|violation| format!("{}: {}", way(&violation.steps), violation.description));
+    proof.want(violation.is_none(), format!("{nodes} nodes: {}", violation.unwrap_or_default()));
 }
 
 /// Quantiles of measured durations, in seconds.
--- a/crates/coveroute-emu/src/main.rs
+++ b/crates/coveroute-emu/src/main.rs
@@ -301,12 +301,12 @@
             let explored = explore(&model, depth, most);
             let (states, steps, depth) = (explored.states, explored.steps, explored.depth);
             println!("{states} states, {steps} steps, every order to depth {depth}");
-            match explored.breach {
+            match explored.violation {
                 None => Ok(()),
-                Some(breach) => {
-                    let steps = model::way(&breach.steps);
+                Some(violation) => {
+                    let steps = model::way(&violation.steps);
                     println!("#[test_case({nodes}, {drift:?}, {steps:?})]");
-                    Err(breach.words)
+                    Err(violation.description)
                 }
             }
         }
--- a/crates/coveroute-fleet/src/detector.rs
+++ b/crates/coveroute-fleet/src/detector.rs
@@ -22,8 +22,8 @@
 }
 
 impl Default for Detector {
-    /// Chosen in simulation (`docs/measurements.md`): 12 members learn of a death within 2 s, and no member is
-    /// considered dead because a third of all datagrams is lost.
+    /// With these values 12 members learn of a death within 2 s, and no member is considered dead because a third of
+    /// all datagrams is lost (`docs/measurements.md`).
     fn default() -> Self {
         Detector { every: 0.15, relays: 3, suspicion: 0.4, patience: 6.0, drift: 0.01, budget: 65_536.0 }
     }
--- a/crates/coveroute-fleet/src/lib.rs
+++ b/crates/coveroute-fleet/src/lib.rs
@@ -12,7 +12,6 @@
 pub mod message;
 pub mod rights;
 pub mod status;
-
 pub mod table;
 
 pub use config::FleetConfig;
--- a/crates/coveroute-fleet/src/tests.rs
+++ b/crates/coveroute-fleet/src/tests.rs
@@ -346,31 +346,31 @@
     type State = u32;
     type Step = u32;
 
-    fn first(&self) -> u32 {
+    fn initial(&self) -> u32 {
         0
     }
 
-    fn steps(&self, _: &u32) -> Vec<u32> {
+    fn enabled_steps(&self, _: &u32) -> Vec<u32> {
         vec![1, 2]
     }
 
-    fn after(&self, state: &u32, step: &u32) -> Result<u32, String> {
+    fn apply(&self, state: &u32, step: &u32) -> Result<u32, String> {
         match state + step {
             5 => Err("five".into()),
             sum => Ok(sum % 8),
         }
     }
 
-    fn print(&self, state: &u32) -> u64 {
+    fn fingerprint(&self, state: &u32) -> u64 {
         u64::from(*state)
     }
 }
 
 #[test]
 fn the_shortest_path_to_a_violation_is_found() {
-    let found = explore(&Counter, 9, 100).breach.map(|breach| breach.steps.len());
+    let found = explore(&Counter, 9, 100).violation.map(|violation| violation.steps.len());
     assert_eq!(found, Some(3));
-    assert_eq!(explore(&Counter, 2, 100).breach, None);
+    assert_eq!(explore(&Counter, 2, 100).violation, None);
 }
 
 // Limits.
