--- a/crates/coveroute-emu/src/fleet/measure.rs
+++ b/crates/coveroute-emu/src/fleet/measure.rs
@@ -9,23 +9,23 @@
 use serde::Serialize;
 
 use super::checker::Ages;
-use super::stage::Stage;
+use super::simulation::FleetSimulation;
 use crate::scenario::{Direction, FleetPart, Scenario, Span, What};
 use crate::search::{drawn, on_all_cores};
 use crate::world::{NodeId, Order};
 
 /// A simulation without faults and with no process started.
-fn empty_stage(nodes: usize, seed: u64, part: FleetPart) -> Stage {
+fn empty_simulation(nodes: usize, seed: u64, part: FleetPart) -> FleetSimulation {
     let mut scenario: Scenario = drawn(1);
     (scenario.fleet, scenario.faults) = (Some(part), Vec::new());
-    Stage::new(&scenario, seed, &vec!["a".into(); nodes])
+    FleetSimulation::new(&scenario, seed, &vec!["a".into(); nodes])
 }
 
 /// A simulation without faults and with all processes started at time 0.
-pub fn started_stage(nodes: usize, seed: u64, part: FleetPart) -> Stage {
-    let mut stage = empty_stage(nodes, seed, part);
-    (0..nodes).for_each(|node| stage.start(0.0, node, false));
-    stage
+pub fn started_simulation(nodes: usize, seed: u64, part: FleetPart) -> FleetSimulation {
+    let mut simulation = empty_simulation(nodes, seed, part);
+    (0..nodes).for_each(|node| simulation.start(0.0, node, false));
+    simulation
 }
 
 /// The smallest value that at least `fraction` of the values do not exceed; sorts the values.
@@ -52,30 +52,30 @@
 
 /// Measures a fleet of `nodes` nodes: 30 s idle, then `kills` rounds of a kill, a restart and a write.
 pub fn measure_size(nodes: usize, kills: usize, seed: u64) -> Size {
-    let mut stage = started_stage(nodes, seed, FleetPart::default());
+    let mut simulation = started_simulation(nodes, seed, FleetPart::default());
     // One status record per node, as real nodes write.
     for node in 0..nodes {
-        stage.write(0.0, node, 0);
+        simulation.write(0.0, node, 0);
     }
     let mut now = 15.0;
-    stage.run_until(now);
-    let sent_bytes = |stage: &Stage, now| {
-        (0..nodes).filter_map(|node| stage.figures(now, node)).map(|f| f.counts.sent_bytes).sum::<u64>()
+    simulation.run_until(now);
+    let sent_bytes = |simulation: &FleetSimulation, now| {
+        (0..nodes).filter_map(|node| simulation.figures(now, node)).map(|f| f.counts.sent_bytes).sum::<u64>()
             as f64
     };
-    let before = sent_bytes(&stage, now);
-    stage.run_until(now + 30.0);
-    let bytes = (sent_bytes(&stage, now + 30.0) - before) / 30.0 / nodes as f64;
+    let before = sent_bytes(&simulation, now);
+    simulation.run_until(now + 30.0);
+    let bytes = (sent_bytes(&simulation, now + 30.0) - before) / 30.0 / nodes as f64;
     now += 30.0;
     let (mut known, mut told, mut written) = (Vec::new(), Vec::new(), Vec::new());
     for kill in 0..kills {
         let (victim, writer) = ((kill * 7) % nodes, (kill * 7 + 1) % nodes);
-        stage.state_changes.clear();
-        stage.kill(victim);
-        let done = stage.run_until_true(now, now + 60.0, |stage| {
-            (0..nodes).all(|by| by == victim || stage.state(by, victim) == Some(State::Dead))
+        simulation.state_changes.clear();
+        simulation.kill(victim);
+        let done = simulation.run_until_true(now, now + 60.0, |simulation| {
+            (0..nodes).all(|by| by == victim || simulation.state(by, victim) == Some(State::Dead))
         });
-        let first = stage
+        let first = simulation
             .state_changes
             .iter()
             .filter(|change| change.of == victim && change.to == State::Dead)
@@ -83,18 +83,18 @@
         known.push(first.fold(f64::INFINITY, f64::min) - now);
         told.push(done.map_or(f64::INFINITY, |done| done - now));
         now = done.unwrap_or(now + 60.0);
-        stage.start(now, victim, false);
-        stage.write(now, victim, 0);
+        simulation.start(now, victim, false);
+        simulation.write(now, victim, 0);
         now += 5.0;
-        stage.run_until(now);
-        stage.write(now, writer, 1);
-        let all = stage.run_until_true(now, now + 60.0, Stage::agree);
+        simulation.run_until(now);
+        simulation.write(now, writer, 1);
+        let all = simulation.run_until_true(now, now + 60.0, FleetSimulation::agree);
         written.push(all.map_or(f64::INFINITY, |all| all - now));
         now = all.unwrap_or(now + 60.0) + 1.0;
-        stage.run_until(now);
+        simulation.run_until(now);
     }
     let median_and_p99 = |figures: &mut Vec<f64>| (quantile(figures, 0.5), quantile(figures, 0.99));
-    let false_deaths = stage.state_changes.iter().filter(|change| change.false_death).count();
+    let false_deaths = simulation.state_changes.iter().filter(|change| change.false_death).count();
     Size {
         nodes,
         known: median_and_p99(&mut known),
@@ -108,12 +108,12 @@
 /// Members wrongly declared dead per hour, in a fleet where none dies and the fraction `loss` of all datagrams is lost.
 pub fn false_deaths_an_hour(nodes: usize, loss: f64, seconds: f64, seeds: u64) -> f64 {
     let deaths = on_all_cores(seeds, |seed| {
-        let mut stage = started_stage(nodes, 100 + seed, FleetPart::default());
-        stage.run_until(5.0);
-        stage.links.inject(5.0, What::LinkLoss, loss, &[], Direction::Both);
-        stage.run_until(5.0 + seconds);
+        let mut simulation = started_simulation(nodes, 100 + seed, FleetPart::default());
+        simulation.run_until(5.0);
+        simulation.links.inject(5.0, What::LinkLoss, loss, &[], Direction::Both);
+        simulation.run_until(5.0 + seconds);
         // A death that several nodes record counts once.
-        let mut deaths: Vec<(NodeId, u64)> = stage
+        let mut deaths: Vec<(NodeId, u64)> = simulation
             .state_changes
             .iter()
             .filter(|change| change.false_death)
@@ -143,20 +143,20 @@
 
 /// Runs one random schedule: 3 to 8 nodes, 25 s with up to six faults of links and nodes, then 10 s without. Returns
 /// whether all tables were equal at the end.
-pub fn run_schedule(seed: u64) -> (Stage, bool) {
+pub fn run_schedule(seed: u64) -> (FleetSimulation, bool) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5c4ed);
     let nodes = rng.random_range(3..=8);
     let writes = Span(*[0.3, 1.0, 6.0].choose(&mut rng).unwrap_or(&1.0));
-    let mut stage = started_stage(nodes, seed, FleetPart { writes, ..FleetPart::default() });
-    run_random_faults(&mut stage, nodes, &mut rng);
-    stage.links.heal();
-    stage.stop_writing();
-    let equal = stage.run_until_true(25.0, 35.0, Stage::agree).is_some();
-    (stage, equal)
+    let mut simulation = started_simulation(nodes, seed, FleetPart { writes, ..FleetPart::default() });
+    run_random_faults(&mut simulation, nodes, &mut rng);
+    simulation.links.heal();
+    simulation.stop_writing();
+    let equal = simulation.run_until_true(25.0, 35.0, FleetSimulation::agree).is_some();
+    (simulation, equal)
 }
 
 /// Runs 25 s with up to three random faults of nodes and up to three of links.
-fn run_random_faults(stage: &mut Stage, nodes: usize, rng: &mut Pcg64Mcg) {
+fn run_random_faults(simulation: &mut FleetSimulation, nodes: usize, rng: &mut Pcg64Mcg) {
     let mut node_faults: Vec<(f64, NodeId, Order)> = Vec::new();
     for _ in 0..rng.random_range(1..=3) {
         let node = rng.random_range(0..nodes);
@@ -199,28 +199,28 @@
         );
         match (node_fault, link_fault) {
             (Some(at), link_fault) if link_fault.is_none_or(|link_fault| at <= link_fault) => {
-                stage.run_until(at);
+                simulation.run_until(at);
                 if let Some((at, node, order)) = node_faults.next() {
-                    stage.order(at, node, order);
+                    simulation.order(at, node, order);
                 }
             }
             (_, Some(at)) => {
-                stage.run_until(at);
+                simulation.run_until(at);
                 if let Some((at, what, by, nodes, way)) = link_faults.next() {
-                    stage.links.inject(at, what, by, &nodes, way);
+                    simulation.links.inject(at, what, by, &nodes, way);
                 }
             }
             _ => break,
         }
     }
-    stage.run_until(25.0);
+    simulation.run_until(25.0);
 }
 
 /// Runs `many` random schedules with seeds from `from`.
 pub fn run_schedules(from: u64, many: u64) -> Schedules {
     let results = on_all_cores(many, |at| {
-        let (stage, equal) = run_schedule(from + at);
-        (from + at, stage.witness.broken, stage.witness.breaches, stage.witness.ages, equal)
+        let (simulation, equal) = run_schedule(from + at);
+        (from + at, simulation.checker.broken, simulation.checker.breaches, simulation.checker.ages, equal)
     });
     let mut all = Schedules { schedules: many, ..Schedules::default() };
     for (seed, broken, breaches, ages, equal) in results {
@@ -259,49 +259,49 @@
 }
 
 /// Terms with one limit and the first five members as voters.
-pub fn terms(stage: &Stage, (most, window, strict): (f64, f64, bool)) -> LimitTerms {
-    let voters = stage.members().iter().copied().take(5).collect();
+pub fn terms(simulation: &FleetSimulation, (most, window, strict): (f64, f64, bool)) -> LimitTerms {
+    let voters = simulation.members().iter().copied().take(5).collect();
     LimitTerms { limits: vec![Limit { id: 1, most, window, strict }], voters, lease: 2.0, drift: 0.01 }
 }
 
 /// A simulation without faults, with all processes started and one shared limit.
-fn stage_with_limit(nodes: usize, seed: u64, limit: (f64, f64, bool)) -> Stage {
-    let mut stage = empty_stage(nodes, seed, FleetPart::default());
-    stage.set_limits(terms(&stage, limit));
-    (0..nodes).for_each(|node| stage.start(0.0, node, false));
-    stage
+fn simulation_with_limit(nodes: usize, seed: u64, limit: (f64, f64, bool)) -> FleetSimulation {
+    let mut simulation = empty_simulation(nodes, seed, FleetPart::default());
+    simulation.set_limits(terms(&simulation, limit));
+    (0..nodes).for_each(|node| simulation.start(0.0, node, false));
+    simulation
 }
 
 /// Runs one random schedule with a shared limit, where each node requests a random part of 0.5 to 3 times the limit.
-pub fn run_limited_schedule(seed: u64) -> Stage {
+pub fn run_limited_schedule(seed: u64) -> FleetSimulation {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x11317);
     let nodes = rng.random_range(3..=8);
     let window = *[0.5, 1.0, 2.0].choose(&mut rng).unwrap_or(&1.0);
     let most = *[1.0, 4.0, 20.0, 100.0].choose(&mut rng).unwrap_or(&20.0);
-    let mut stage = stage_with_limit(nodes, seed, (most, window, rng.random_bool(0.5)));
+    let mut simulation = simulation_with_limit(nodes, seed, (most, window, rng.random_bool(0.5)));
     let demand = most / window * rng.random_range(0.5..3.0);
     for node in 0..nodes {
         let fraction = rng.random_range(0.0..1.0_f64).powi(3);
-        stage.set_demand(0.0, node, demand * fraction);
+        simulation.set_demand(0.0, node, demand * fraction);
     }
-    run_random_faults(&mut stage, nodes, &mut rng);
-    stage
+    run_random_faults(&mut simulation, nodes, &mut rng);
+    simulation
 }
 
 /// Runs `many` random schedules with a shared limit, with seeds from `from`.
 pub fn run_limited_schedules(from: u64, many: u64) -> Limited {
     let results = on_all_cores(many, |at| {
-        let stage = run_limited_schedule(from + at);
-        let Stage { witness, wanted, had, .. } = stage;
-        (from + at, witness, wanted, had)
+        let simulation = run_limited_schedule(from + at);
+        let FleetSimulation { checker, wanted, had, .. } = simulation;
+        (from + at, checker, wanted, had)
     });
     let mut all = Limited { schedules: many, ..Limited::default() };
-    for (seed, witness, wanted, had) in results {
-        all.broken += witness.broken;
+    for (seed, checker, wanted, had) in results {
+        all.broken += checker.broken;
         let remaining = 10_usize.saturating_sub(all.breaches.len());
-        let first = witness.breaches.into_iter().take(remaining.min(1));
+        let first = checker.breaches.into_iter().take(remaining.min(1));
         all.breaches.extend(first.map(|description| format!("seed {seed}: {description}")));
-        all.fullest = all.fullest.max(witness.fullest);
+        all.fullest = all.fullest.max(checker.fullest);
         (all.wanted, all.had) = (all.wanted + wanted, all.had + had);
     }
     all
@@ -310,13 +310,14 @@
 /// Without faults, the demand is 1.2 times the limit and one node, another every 10 s, has five times the demand of each
 /// other. Returns the fraction of the limit that is used, and the fraction that equal parts for all nodes would allow.
 pub fn uneven_demand(nodes: usize, seed: u64, seconds: f64, (most, window): (f64, f64)) -> (f64, f64) {
-    let mut stage = stage_with_limit(nodes, seed, (most, window, false));
+    let mut simulation = simulation_with_limit(nodes, seed, (most, window, false));
     let (mut now, start) = (8.0, 10.0);
-    stage.run_until(now);
+    simulation.run_until(now);
     let each = 1.2 * most / window / (nodes as f64 + 4.0);
     let (mut hot, mut equal, mut had) = (0, 0.0, 0);
     while now < start + seconds {
-        (0..nodes).for_each(|node| stage.set_demand(now, node, if node == hot { 5.0 * each } else { each }));
+        (0..nodes)
+            .for_each(|node| simulation.set_demand(now, node, if node == hot { 5.0 * each } else { each }));
         if now >= start {
             let part = most / window / nodes as f64;
             equal += 10.0 * (part.min(5.0 * each) + (nodes as f64 - 1.0) * part.min(each));
@@ -324,25 +325,25 @@
             had = 0;
         }
         let until = if now < start { start } else { now + 10.0 };
-        stage.run_until(until);
+        simulation.run_until(until);
         if now < start {
-            had = stage.had;
+            had = simulation.had;
         }
         (now, hot) = (until, (hot + 5) % nodes);
     }
     let allowed = (now - start) * most / window;
-    ((stage.had - had) as f64 / allowed, equal / allowed)
+    ((simulation.had - had) as f64 / allowed, equal / allowed)
 }
 
 /// A limit of 0.3 uses per second among `nodes` nodes, all requested at one: the fraction of it that is granted.
 pub fn small_limit(nodes: usize, seed: u64) -> f64 {
     let (rate, window, start, seconds) = (0.3, 10.0, 20.0, 600.0);
-    let mut stage = stage_with_limit(nodes, seed, (rate * window, window, false));
-    stage.set_demand(0.0, 0, 3.0 * rate);
-    stage.run_until(start);
-    let before = stage.had;
-    stage.run_until(start + seconds);
-    (stage.had - before) as f64 / (rate * seconds)
+    let mut simulation = simulation_with_limit(nodes, seed, (rate * window, window, false));
+    simulation.set_demand(0.0, 0, 3.0 * rate);
+    simulation.run_until(start);
+    let before = simulation.had;
+    simulation.run_until(start + seconds);
+    (simulation.had - before) as f64 / (rate * seconds)
 }
 
 /// What each node sends per second, and the processing time that takes.
@@ -359,33 +360,33 @@
 /// Traffic without faults, where each of `tenants` tenants requests more than its share at one node in ten and nothing at
 /// the others. With `partitioned` the two halves of the nodes do not reach each other.
 pub fn traffic(nodes: usize, tenants: u32, partitioned: bool) -> Traffic {
-    let mut stage = empty_stage(nodes, 1, FleetPart::default());
+    let mut simulation = empty_simulation(nodes, 1, FleetPart::default());
     let limit = |id| Limit { id, most: 100.0, window: 10.0, strict: false };
     if tenants > 0 {
         let terms =
-            LimitTerms { limits: (0..tenants).map(limit).collect(), ..terms(&stage, (1.0, 1.0, false)) };
-        stage.set_limits(terms);
+            LimitTerms { limits: (0..tenants).map(limit).collect(), ..terms(&simulation, (1.0, 1.0, false)) };
+        simulation.set_limits(terms);
     }
-    (0..nodes).for_each(|node| stage.start(0.0, node, false));
+    (0..nodes).for_each(|node| simulation.start(0.0, node, false));
     for node in 0..nodes.div_ceil(10) {
-        stage.set_demand(0.0, node, 12.0 * f64::from(tenants));
+        simulation.set_demand(0.0, node, 12.0 * f64::from(tenants));
     }
     let mut start = 10.0;
     if partitioned {
         let half: Vec<NodeId> = (0..nodes / 2).collect();
-        stage.run_until(start);
-        stage.links.inject(start, What::LinkCut, 1.0, &half, Direction::Both);
+        simulation.run_until(start);
+        simulation.links.inject(start, What::LinkCut, 1.0, &half, Direction::Both);
         // By then each half holds all members of the other half to be dead.
         start += 20.0;
     }
-    let sent = |stage: &Stage, now| {
-        let counts = (0..nodes).filter_map(|node| stage.figures(now, node)).map(|f| f.counts);
+    let sent = |simulation: &FleetSimulation, now| {
+        let counts = (0..nodes).filter_map(|node| simulation.figures(now, node)).map(|f| f.counts);
         counts.fold((0.0, 0.0), |(many, bytes), c| (many + c.sent as f64, bytes + c.sent_bytes as f64))
     };
-    stage.run_until(start);
-    let (before, started) = (sent(&stage, start), Instant::now());
-    stage.run_until(start + 10.0);
-    let (elapsed, after) = (started.elapsed().as_secs_f64(), sent(&stage, start + 10.0));
+    simulation.run_until(start);
+    let (before, started) = (sent(&simulation, start), Instant::now());
+    simulation.run_until(start + 10.0);
+    let (elapsed, after) = (started.elapsed().as_secs_f64(), sent(&simulation, start + 10.0));
     let each = 10.0 * nodes as f64;
     let (messages, bytes) = ((after.0 - before.0) / each, (after.1 - before.1) / each);
     Traffic { nodes, tenants, messages, bytes, cores: elapsed / each }
--- a/crates/coveroute-emu/src/fleet/measure/tests.rs
+++ b/crates/coveroute-emu/src/fleet/measure/tests.rs
@@ -4,8 +4,8 @@
 /// taking each for another process under its name, after which it stayed silent for half a minute.
 #[test]
 fn incarnations_of_a_predecessor_are_no_conflict() {
-    let (stage, equal) = run_schedule(4385);
-    assert!(equal, "{:?}", (0..5).map(|node| stage.figures(35.0, node)).collect::<Vec<_>>());
+    let (simulation, equal) = run_schedule(4385);
+    assert!(equal, "{:?}", (0..5).map(|node| simulation.figures(35.0, node)).collect::<Vec<_>>());
 }
 
 #[test]
--- a/crates/coveroute-emu/src/fleet/mod.rs
+++ b/crates/coveroute-emu/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 pub mod model_limits;
 pub mod processes;
 pub mod proof;
-pub mod stage;
+pub mod simulation;
 
 #[cfg(test)]
 mod tests;
--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -11,7 +11,7 @@
 use coveroute_fleet::{Action, Fleet, FleetConfig, Kind};
 
 use super::checker::Checker;
-use super::stage::{fleet_config, member};
+use super::simulation::{fleet_config, member};
 use crate::scenario::FleetPart;
 use crate::world::NodeId;
 
@@ -83,7 +83,7 @@
 }
 
 /// A fleet of `nodes` nodes.
-pub struct Few {
+pub struct FleetModel {
     pub nodes: usize,
     config: FleetConfig,
     /// Clocks run at rates of up to 1 plus or minus this.
@@ -99,10 +99,10 @@
     ([10, 100, 0, node as u8], 9400).into()
 }
 
-impl Few {
+impl FleetModel {
     /// `drift` is that of the clocks; the configuration allows for 1%.
     pub fn new(nodes: usize, drift: f64) -> Self {
-        Few { nodes, config: fleet_config(nodes, &FleetPart::default(), addr), drift }
+        FleetModel { nodes, config: fleet_config(nodes, &FleetPart::default(), addr), drift }
     }
 
     fn local_time(&self, node: NodeId, now: f64) -> f64 {
@@ -160,16 +160,16 @@
     }
 
     /// Replays a path in short words; an error says which rule it breaks.
-    pub fn replay(&self, way: &str) -> Result<(), String> {
+    pub fn replay(&self, path: &str) -> Result<(), String> {
         let mut state = self.initial();
-        for word in way.split_whitespace() {
+        for word in path.split_whitespace() {
             state = self.apply(&state, &word.parse()?)?;
         }
         Ok(())
     }
 }
 
-impl Model for Few {
+impl Model for FleetModel {
     type State = State;
     type Step = Step;
 
@@ -268,7 +268,7 @@
 }
 
 /// Writes a path in short words, for `replay`.
-pub fn way(steps: &[Step]) -> String {
+pub fn format_path(steps: &[Step]) -> String {
     steps.iter().map(Step::to_string).collect::<Vec<_>>().join(" ")
 }
 
@@ -280,7 +280,7 @@
 
     #[test]
     fn all_interleavings_of_few_steps_keep_the_rules() {
-        let explored = explore(&Few::new(2, 0.01), 6, 20_000);
+        let explored = explore(&FleetModel::new(2, 0.01), 6, 20_000);
         assert!(explored.violation.is_none(), "{explored:?}");
         assert!(explored.states > 1000, "{explored:?}");
     }
@@ -289,16 +289,16 @@
     /// configuration allows.
     #[test]
     fn excessive_clock_drift_is_detected() {
-        let model = Few::new(2, 0.3);
+        let model = FleetModel::new(2, 0.3);
         let violation = explore(&model, 9, 200_000).violation.expect("a violation");
         assert!(violation.description.contains("is reported as"), "{violation:?}");
-        let description = model.replay(&way(&violation.steps)).expect_err("the same");
+        let description = model.replay(&format_path(&violation.steps)).expect_err("the same");
         assert_eq!(description, violation.description);
     }
 
     #[test]
     fn an_invalid_step_is_reported() {
-        assert!(Few::new(2, 0.0).replay("t x9").expect_err("an error").contains("x9: unknown step"));
-        assert!(Few::new(2, 0.0).replay("d7").expect_err("an error").contains("in flight"));
+        assert!(FleetModel::new(2, 0.0).replay("t x9").expect_err("an error").contains("x9: unknown step"));
+        assert!(FleetModel::new(2, 0.0).replay("d7").expect_err("an error").contains("in flight"));
     }
 }
--- a/crates/coveroute-emu/src/fleet/processes.rs
+++ b/crates/coveroute-emu/src/fleet/processes.rs
@@ -17,7 +17,7 @@
 use tokio::runtime::Runtime;
 
 use super::links::Links;
-use super::stage::{fleet_config, member};
+use super::simulation::{fleet_config, member};
 use crate::scenario::{Direction, FleetPart, Scenario, What};
 use crate::search::drawn;
 use crate::world::NodeId;
--- a/crates/coveroute-emu/src/fleet/proof.rs
+++ b/crates/coveroute-emu/src/fleet/proof.rs
@@ -11,7 +11,7 @@
     bytes_with_limits, false_deaths_an_hour, measure_size, quantile, run_limited_schedules, run_schedules,
     small_limit, uneven_demand,
 };
-use super::model::{way, Few};
+use super::model::{format_path, FleetModel};
 use super::model_limits::{self, RightsModel};
 use super::processes::Processes;
 use crate::load::{load, Members, Plan};
@@ -37,7 +37,9 @@
     check_virtual_time(place.long, &mut proof);
     let plans: &[(usize, usize, usize)] =
         if place.long { &[(2, 16, 400_000), (3, 12, 250_000), (4, 10, 150_000)] } else { &[(2, 7, 30_000)] };
-    plans.iter().for_each(|plan| explore_orders(&mut proof, *plan, &Few::new(plan.0, 0.01), way));
+    plans
+        .iter()
+        .for_each(|plan| explore_orders(&mut proof, *plan, &FleetModel::new(plan.0, 0.01), format_path));
     check_all_faults(place.long, &mut proof)?;
     let (nodes, kills, cuts, stall) = if place.long { (12, 50, 10, 20.0) } else { (5, 3, 1, 3.0) };
     check_processes(&place.node, nodes, (kills, cuts, stall), &mut proof)?;
@@ -106,14 +108,15 @@
     proof: &mut Proof,
     (nodes, depth, most): (usize, usize, usize),
     model: &M,
-    way: impl Fn(&[M::Step]) -> String,
+    format_path: impl Fn(&[M::Step]) -> String,
 ) {
     let explored = explore(model, depth, most);
     let (states, steps) = (explored.states, explored.steps);
     let explored_to = json!({ "states": states, "steps": steps, "depth": explored.depth });
     proof.note(&format!("orders_{nodes}"), explored_to);
-    let violation =
-        explored.violation.map(|violation| format!("{}: {}", way(&violation.steps), violation.description));
+    let violation = explored
+        .violation
+        .map(|violation| format!("{}: {}", format_path(&violation.steps), violation.description));
     proof.want(violation.is_none(), format!("{nodes} nodes: {}", violation.unwrap_or_default()));
 }
 
@@ -278,8 +281,10 @@
     proof.note("schedules", &all);
     let plans: &[(usize, usize, usize)] =
         if place.long { &[(2, 14, 400_000), (3, 10, 300_000)] } else { &[(2, 7, 30_000)] };
-    let way = |steps: &[model_limits::Step]| format!("{steps:?}");
-    plans.iter().for_each(|plan| explore_orders(&mut proof, *plan, &RightsModel::new(plan.0, 0.01), way));
+    let format_path = |steps: &[model_limits::Step]| format!("{steps:?}");
+    plans
+        .iter()
+        .for_each(|plan| explore_orders(&mut proof, *plan, &RightsModel::new(plan.0, 0.01), format_path));
     for (nodes, rate) in if place.long { vec![(12, 120.0), (100, 1000.0)] } else { vec![(12, 120.0)] } {
         let (had, equal) = uneven_demand(nodes, 1, 60.0, (rate, 1.0));
         proof.note(&format!("uneven_{nodes}"), json!({ "had": had, "equal_parts": equal }));
--- a/crates/coveroute-emu/src/fleet/stage.rs
+++ b/crates/coveroute-emu/src/fleet/simulation.rs
@@ -101,7 +101,7 @@
 }
 
 /// The simulated fleet.
-pub struct Stage {
+pub struct FleetSimulation {
     part: FleetPart,
     config: FleetConfig,
     terms: Option<LimitTerms>,
@@ -114,7 +114,7 @@
     pub links: Links,
     queue: Queue<Event>,
     rng: Pcg64Mcg,
-    pub witness: Checker,
+    pub checker: Checker,
     pub state_changes: Vec<StateChange>,
     processes: u64,
     writes: u64,
@@ -122,7 +122,7 @@
     actions: Vec<Action>,
 }
 
-impl Stage {
+impl FleetSimulation {
     pub fn new(scenario: &Scenario, seed: u64, zones: &[String]) -> Self {
         let part = scenario.fleet.clone().unwrap_or_default();
         let count = zones.len();
@@ -141,7 +141,7 @@
         if count > 0 {
             queue.push(CHECK_INTERVAL, Event::Check(0));
         }
-        Stage {
+        FleetSimulation {
             links: Links::new(scenario, seed, zones),
             part,
             config,
@@ -153,7 +153,7 @@
             nodes,
             queue,
             rng,
-            witness: Checker::default(),
+            checker: Checker::default(),
             state_changes: Vec::new(),
             processes: 0,
             writes: 0,
@@ -250,7 +250,7 @@
     pub fn kill(&mut self, node: NodeId) {
         let node_state = &mut self.nodes[node];
         (node_state.fleet, node_state.rights, node_state.stalled, node_state.process) = (None, None, None, 0);
-        self.witness.process_ended(node);
+        self.checker.process_ended(node);
     }
 
     pub fn leave(&mut self, now: f64, node: NodeId) {
@@ -285,7 +285,7 @@
         let written =
             fleet.read(node_state.local_time(now), Kind::NODE_STATUS).find(|reading| reading.key == key);
         let stamp = written.filter(|reading| reading.value == value).map(|r| (r.incarnation, r.version));
-        stamp.into_iter().for_each(|stamp| self.witness.record_write(now, node, key, stamp, value));
+        stamp.into_iter().for_each(|stamp| self.checker.record_write(now, node, key, stamp, value));
     }
 
     /// Stops the nodes' own writes, for tests that wait until all tables are equal.
@@ -333,7 +333,7 @@
         if rights.take(local_time, limit.id, 1.0) {
             self.had += 1;
             if terms.limits.len() == 1 {
-                self.witness.record_use(now, node, 1.0, limit.bound(), limit.window);
+                self.checker.record_use(now, node, 1.0, limit.bound(), limit.window);
             }
         }
     }
@@ -436,7 +436,7 @@
     fn check(&mut self, now: f64, node: NodeId) {
         let node_state = &self.nodes[node];
         if let Some(fleet) = node_state.fleet.as_ref().filter(|_| node_state.stalled.is_none()) {
-            self.witness.check(now, node_state.local_time(now), node, fleet, &self.members);
+            self.checker.check(now, node_state.local_time(now), node, fleet, &self.members);
         }
     }
 
@@ -469,7 +469,7 @@
         &mut self,
         now: f64,
         latest: f64,
-        condition: impl Fn(&Stage) -> bool,
+        condition: impl Fn(&FleetSimulation) -> bool,
     ) -> Option<f64> {
         let mut at = now;
         while at <= latest {
--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -28,7 +28,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until};
 
-use crate::fleet::stage;
+use crate::fleet::simulation;
 use crate::loopback::taken_by;
 use crate::scenario::{FleetPart, Scenario};
 use crate::settings;
@@ -311,10 +311,10 @@
             Members::File(file, member) => Some((file, member)),
             Members::Each => {
                 let at = |node| SocketAddr::from(([127, block, 252, node as u8], 9400));
-                let mut fleet = stage::fleet_config(self.plan.nodes, &FleetPart::default(), at);
+                let mut fleet = simulation::fleet_config(self.plan.nodes, &FleetPart::default(), at);
                 fleet.limits.tenants = self.plan.tenants > 0;
                 let text = crate::fleet::processes::text(&fleet);
-                Some((self.file(format!("{number}-{node}.toml"), &text)?, stage::member(node)))
+                Some((self.file(format!("{number}-{node}.toml"), &text)?, simulation::member(node)))
             }
         };
         if let Some((file, member)) = member {
--- a/crates/coveroute-emu/src/main.rs
+++ b/crates/coveroute-emu/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Parser, Subcommand};
 use coveroute_emu::compare::{compare, Side};
-use coveroute_emu::fleet::model::{self, Few};
+use coveroute_emu::fleet::model::{self, FleetModel};
 use coveroute_emu::load::{load, Plan};
 use coveroute_emu::proof::Place;
 use coveroute_emu::prove::prove;
@@ -294,7 +294,7 @@
             if !(1..=4).contains(&nodes) {
                 return Err(format!("nodes: {nodes} is not 1 to 4"));
             }
-            let model = Few::new(nodes, drift);
+            let model = FleetModel::new(nodes, drift);
             if let Some(way) = way {
                 return model.replay(&way);
             }
@@ -304,7 +304,7 @@
             match explored.violation {
                 None => Ok(()),
                 Some(violation) => {
-                    let steps = model::way(&violation.steps);
+                    let steps = model::format_path(&violation.steps);
                     println!("#[test_case({nodes}, {drift:?}, {steps:?})]");
                     Err(violation.description)
                 }
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -14,7 +14,7 @@
 use coveroute_shared::mark;
 
 use crate::baseline::{Baseline, Choice, OracleView, Violation};
-use crate::fleet::stage::Stage;
+use crate::fleet::simulation::FleetSimulation;
 use crate::queue::Queue;
 use crate::report::Sample;
 use crate::scenario::{Scenario, What};
@@ -230,7 +230,7 @@
     /// Events held for paused nodes.
     paused: Vec<Option<Vec<Queued>>>,
     /// The fleet, where nodes know each other.
-    fleet: Option<Stage>,
+    fleet: Option<FleetSimulation>,
     queue: Queue<Queued>,
     policy: Policy,
     oracle: Option<OracleView>,
@@ -290,7 +290,7 @@
         (policy == Policy::Baseline(Choice::Oracle)).then(|| Rc::new(RefCell::new(BTreeMap::new())));
     let nodes = scenario.nodes.count.0;
     let zones: Vec<String> = world.nodes.iter().map(|node| node.zone.clone()).collect();
-    let fleet = scenario.fleet.as_ref().map(|_| Stage::new(scenario, seed, &zones));
+    let fleet = scenario.fleet.as_ref().map(|_| FleetSimulation::new(scenario, seed, &zones));
     let mut run = Run {
         world,
         hosts: (0..nodes).map(|_| None).collect(),
@@ -316,8 +316,9 @@
         return Err(fault);
     }
     let wall = began.elapsed().as_secs_f64();
-    for (message, stage) in run.fleet.iter().flat_map(|f| f.witness.breaches.iter().map(move |w| (w, f))) {
-        run.world.invariants.fleet_breach(message.clone(), stage.witness.broken);
+    for (message, simulation) in run.fleet.iter().flat_map(|f| f.checker.breaches.iter().map(move |w| (w, f)))
+    {
+        run.world.invariants.fleet_breach(message.clone(), simulation.checker.broken);
     }
     Ok((run.world.result(), RunStats { events: run.events, seconds: now, wall }))
 }
@@ -333,10 +334,10 @@
             }
             let host_due = self.queue.next_at();
             let world_due = self.world.next_due();
-            if let Some(at) = self.fleet.as_ref().and_then(Stage::next_due) {
+            if let Some(at) = self.fleet.as_ref().and_then(FleetSimulation::next_due) {
                 if [host_due, world_due].into_iter().flatten().all(|other| at < other) {
                     now = at;
-                    self.fleet.iter_mut().for_each(Stage::advance);
+                    self.fleet.iter_mut().for_each(FleetSimulation::advance);
                     continue;
                 }
             }
--- a/crates/coveroute-emu/src/world/invariants.rs
+++ b/crates/coveroute-emu/src/world/invariants.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Records a breach that the fleet's own witness found; `all` is the witness's total.
+    /// Records a breach that the checker of the fleet found; `all` is that checker's total.
     pub fn fleet_breach(&mut self, message: String, all: u64) {
         self.broken = self.broken.max(all);
         if self.breaches.len() < MAX_KEPT_BREACHES {
