--- a/crates/coveroute-emu/src/fleet/callers.rs
+++ b/crates/coveroute-emu/src/fleet/callers.rs
@@ -48,7 +48,7 @@
     }
 
     /// Sets the rate in calls per second, from now on.
-    pub fn calls(&self, rate: f64) {
+    pub fn set_rate(&self, rate: f64) {
         self.millirate.store((rate * 1e3) as u64, Ordering::Relaxed);
     }
 }
--- a/crates/coveroute-emu/src/fleet/links.rs
+++ b/crates/coveroute-emu/src/fleet/links.rs
@@ -62,7 +62,7 @@
     }
 
     /// Postpones all faults by `by` seconds: the scenario's time starts when the nodes are ready.
-    pub fn delay(&mut self, by: f64) {
+    pub fn postpone_faults(&mut self, by: f64) {
         self.faults.iter_mut().for_each(|link_fault| link_fault.fault.at.0 += by);
     }
 
--- a/crates/coveroute-emu/src/fleet/processes.rs
+++ b/crates/coveroute-emu/src/fleet/processes.rs
@@ -62,7 +62,7 @@
     }
 }
 
-pub fn lock(links: &Mutex<Links>) -> MutexGuard<'_, Links> {
+pub fn lock_links(links: &Mutex<Links>) -> MutexGuard<'_, Links> {
     links.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -91,7 +91,8 @@
         if sender != source {
             continue;
         }
-        let copies = lock(&links).transmit(start.elapsed().as_secs_f64(), from, to, buffer[..many].to_vec());
+        let copies =
+            lock_links(&links).transmit(start.elapsed().as_secs_f64(), from, to, buffer[..many].to_vec());
         for (after, bytes) in copies {
             if after < 1e-3 {
                 let _ = outbound.send_to(&bytes, target).await;
@@ -107,7 +108,7 @@
 }
 
 /// Starts a relay task for each direction between two nodes.
-pub async fn relays(
+pub async fn start_relays(
     block: u8,
     nodes: usize,
     links: &Arc<Mutex<Links>>,
@@ -147,11 +148,11 @@
 impl Processes {
     /// Starts `nodes` processes of the program, each with the others in its operators' file.
     pub fn start(program: &Path, nodes: usize, part: FleetPart) -> Result<Self, String> {
-        Self::limited(program, nodes, part, None)
+        Self::start_with_share(program, nodes, part, None)
     }
 
     /// The same with a tenant whose share, in invocations per second, applies to the nodes together.
-    pub fn limited(
+    pub fn start_with_share(
         program: &Path,
         nodes: usize,
         part: FleetPart,
@@ -176,7 +177,7 @@
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
         let start = Instant::now();
-        runtime.block_on(relays(block, nodes, &links, start))?;
+        runtime.block_on(start_relays(block, nodes, &links, start))?;
         let process = |_| NodeProcess {
             child: None,
             management: member_addr(block, 0),
@@ -201,13 +202,13 @@
         for node in 0..nodes {
             fleet.write_config(node)?;
             fleet.write_member_file(node, |_| true)?;
-            fleet.begin(node)?;
+            fleet.start_node(node)?;
         }
         Ok(fleet)
     }
 
     fn write_config(&self, node: NodeId) -> Result<(), String> {
-        let listen = self.listens(node);
+        let listen = self.listen_addr(node);
         let unused = SocketAddr::from(([127, self.block, 61, node as u8], 9));
         let text = CONFIG.replace("127.0.0.1:9000", &listen.to_string());
         let text = text.replace("127.0.0.1:8500", &unused.to_string());
@@ -237,7 +238,7 @@
         let mut config = config_for_node(self.block, self.processes.len(), &self.part, node);
         config.limits.tenants = self.tenant.is_some();
         config.members.retain(|name, _| name[1..].parse().is_ok_and(&fits));
-        self.write(&format!("f{node}.toml"), &text(&config))
+        self.write(&format!("f{node}.toml"), &config_to_toml(&config))
     }
 
     fn spawn(&mut self, node: NodeId) -> Result<(Child, SocketAddr), String> {
@@ -259,14 +260,14 @@
     }
 
     /// Starts the node's process.
-    pub fn begin(&mut self, node: NodeId) -> Result<(), String> {
+    pub fn start_node(&mut self, node: NodeId) -> Result<(), String> {
         let (child, management) = self.spawn(node)?;
         let process = &mut self.processes[node];
         (process.child, process.management, process.stalled) = (Some(child), management, false);
         Ok(())
     }
 
-    /// Starts a new process for the node beside the old one, which `stop_before` ends.
+    /// Starts a new process for the node beside the old one, which `stop_replaced` ends.
     pub fn replace(&mut self, node: NodeId) -> Result<(), String> {
         let (child, management) = self.spawn(node)?;
         let process = &mut self.processes[node];
@@ -276,7 +277,7 @@
     }
 
     /// Stops the process that `replace` replaced and waits for its end.
-    pub fn stop_before(&mut self, node: NodeId) {
+    pub fn stop_replaced(&mut self, node: NodeId) {
         if let Some(mut replaced) = self.processes[node].replaced.take() {
             let _ = kill(Pid::from_raw(replaced.id() as i32), Signal::SIGTERM);
             let _ = replaced.wait();
@@ -305,21 +306,21 @@
         self.signal(node, Signal::SIGSTOP);
     }
 
-    pub fn wake(&mut self, node: NodeId) {
+    pub fn resume(&mut self, node: NodeId) {
         self.processes[node].stalled = false;
         self.signal(node, Signal::SIGCONT);
     }
 
-    pub fn reread(&self, node: NodeId) {
+    pub fn reload(&self, node: NodeId) {
         self.signal(node, Signal::SIGHUP);
     }
 
-    pub fn strike(&self, what: What, by: f64, set: &[NodeId], way: Direction) {
-        lock(&self.links).inject(self.start.elapsed().as_secs_f64(), what, by, set, way);
+    pub fn inject_link_fault(&self, what: What, by: f64, set: &[NodeId], way: Direction) {
+        lock_links(&self.links).inject(self.start.elapsed().as_secs_f64(), what, by, set, way);
     }
 
     pub fn heal(&self) {
-        lock(&self.links).heal();
+        lock_links(&self.links).heal();
     }
 
     /// The operators' file of the node, and the node's name in it.
@@ -342,7 +343,7 @@
         serde_json::from_str(answer.split_once("\r\n\r\n")?.1).ok()
     }
 
-    pub fn fleet(&self, node: NodeId) -> Option<Value> {
+    pub fn fleet_metrics(&self, node: NodeId) -> Option<Value> {
         Some(self.metrics(node)?.get("fleet")?.clone())
     }
 
@@ -350,20 +351,20 @@
         std::fs::read_to_string(self.dir.join(format!("n{node}.log"))).unwrap_or_default()
     }
 
-    /// Writes another share of the tenant into the configurations of these nodes; they read it on `reread`.
-    pub fn share(&mut self, nodes: &[NodeId], share: f64) -> Result<(), String> {
+    /// Writes another share of the tenant into the configurations of these nodes; they read it on `reload`.
+    pub fn set_share(&mut self, nodes: &[NodeId], share: f64) -> Result<(), String> {
         self.tenant.iter_mut().for_each(|tenant| tenant.1 = share);
         nodes.iter().try_for_each(|node| self.write_config(*node))
     }
 
     /// The address at which the node accepts invocations.
-    pub fn listens(&self, node: NodeId) -> SocketAddr {
+    pub fn listen_addr(&self, node: NodeId) -> SocketAddr {
         ([127, self.block, 61, node as u8], 9100).into()
     }
 
     /// A tenant's invocations at a node since its process started: those requested, and those within the share.
-    pub fn within(&self, node: NodeId, tenant: &str) -> Option<(f64, f64)> {
-        let limit = self.fleet(node)?["limits"][tenant].clone();
+    pub fn limit_counts(&self, node: NodeId, tenant: &str) -> Option<(f64, f64)> {
+        let limit = self.fleet_metrics(node)?["limits"][tenant].clone();
         Some((limit["wanted"].as_f64()?, limit["had"].as_f64()?))
     }
 
@@ -375,9 +376,9 @@
     }
 
     /// Whether each node in `by` holds each node in `of` to be in one of the `states`.
-    pub fn hold(&self, by: &[NodeId], of: &[NodeId], states: &[&str]) -> bool {
+    pub fn all_hold_states(&self, by: &[NodeId], of: &[NodeId], states: &[&str]) -> bool {
         by.iter().all(|by| {
-            let Some(fleet) = self.fleet(*by) else { return false };
+            let Some(fleet) = self.fleet_metrics(*by) else { return false };
             let fits = |of: &NodeId| {
                 let state = fleet["states"][member(*of)].as_str();
                 state.is_some_and(|state| states.contains(&state))
@@ -387,16 +388,16 @@
     }
 
     /// Whether these nodes have equal tables.
-    pub fn agree(&self, nodes: &[NodeId]) -> bool {
+    pub fn agree_on_table(&self, nodes: &[NodeId]) -> bool {
         let checksums: Vec<Option<String>> = nodes
             .iter()
-            .map(|node| self.fleet(*node).and_then(|fleet| Some(fleet["sum"].as_str()?.to_owned())))
+            .map(|node| self.fleet_metrics(*node).and_then(|fleet| Some(fleet["sum"].as_str()?.to_owned())))
             .collect();
         checksums.iter().all(|checksum| checksum.is_some() && *checksum == checksums[0])
     }
 
     /// Waits until the condition holds; returns how long that took, in seconds, or none after `within` seconds.
-    pub fn until(&self, within: f64, condition: impl Fn(&Processes) -> bool) -> Option<f64> {
+    pub fn wait_until(&self, within: f64, condition: impl Fn(&Processes) -> bool) -> Option<f64> {
         let start = Instant::now();
         loop {
             if condition(self) {
@@ -411,7 +412,7 @@
 }
 
 /// The configuration as the text of an operators' file.
-pub fn text(config: &FleetConfig) -> String {
+pub fn config_to_toml(config: &FleetConfig) -> String {
     let (d, l) = (&config.detector, &config.limits);
     let mut text = format!(
         "fleet = \"{}\"\n[detector]\nevery = {:?}\nrelays = {}\nsuspicion = {:?}\npatience = {:?}\ndrift = {:?}\n\
@@ -442,8 +443,8 @@
     use super::*;
 
     #[test]
-    fn a_written_plan_parses_to_the_same_plan() {
+    fn a_written_configuration_parses_to_the_same_configuration() {
         let config = fleet_config(3, &FleetPart::default(), |node| member_addr(16, node));
-        assert_eq!(FleetConfig::parse(&text(&config)), Ok(config));
+        assert_eq!(FleetConfig::parse(&config_to_toml(&config)), Ok(config));
     }
 }
--- a/crates/coveroute-emu/src/fleet/proof.rs
+++ b/crates/coveroute-emu/src/fleet/proof.rs
@@ -145,18 +145,22 @@
 ) -> Result<(), String> {
     let mut fleet = Processes::start(program, nodes, FleetPart::default())?;
     let all: Vec<NodeId> = (0..nodes).collect();
-    let all_present = |p: &Processes| p.hold(&all, &all, &PRESENT) && p.agree(&all);
+    let all_present = |p: &Processes| p.all_hold_states(&all, &all, &PRESENT) && p.agree_on_table(&all);
     let met_after =
-        fleet.until(30.0, all_present).ok_or("the processes do not all know each other after 30 s")?;
+        fleet.wait_until(30.0, all_present).ok_or("the processes do not all know each other after 30 s")?;
     proof.note("met", met_after);
     let (mut known, mut returned) = (Vec::new(), Vec::new());
     for kill in 0..kills {
         let victim = (kill * 5 + 1) % nodes;
         let rest: Vec<NodeId> = all.iter().copied().filter(|node| *node != victim).collect();
         fleet.kill(victim);
-        known.push(fleet.until(15.0, |p| p.hold(&rest, &[victim], &["dead"])).unwrap_or(f64::INFINITY));
-        fleet.begin(victim)?;
-        returned.push(fleet.until(15.0, all_present).unwrap_or(f64::INFINITY));
+        known.push(
+            fleet
+                .wait_until(15.0, |p| p.all_hold_states(&rest, &[victim], &["dead"]))
+                .unwrap_or(f64::INFINITY),
+        );
+        fleet.start_node(victim)?;
+        returned.push(fleet.wait_until(15.0, all_present).unwrap_or(f64::INFINITY));
     }
     let (known, returned) = (duration_quantiles(known), duration_quantiles(returned));
     proof.want(
@@ -169,13 +173,16 @@
     for cut in 0..cuts {
         let side: Vec<NodeId> = (0..nodes * 5 / 12).map(|at| (at + cut) % nodes).collect();
         let rest: Vec<NodeId> = all.iter().copied().filter(|node| !side.contains(node)).collect();
-        fleet.strike(What::LinkCut, 0.0, &side, Direction::Both);
-        let both = |p: &Processes| p.hold(&rest, &side, &["dead"]) && p.hold(&side, &rest, &["dead"]);
-        detected.push(fleet.until(15.0, both).unwrap_or(f64::INFINITY));
-        let among = fleet.hold(&rest, &rest, &PRESENT) && fleet.hold(&side, &side, &PRESENT);
+        fleet.inject_link_fault(What::LinkCut, 0.0, &side, Direction::Both);
+        let both = |p: &Processes| {
+            p.all_hold_states(&rest, &side, &["dead"]) && p.all_hold_states(&side, &rest, &["dead"])
+        };
+        detected.push(fleet.wait_until(15.0, both).unwrap_or(f64::INFINITY));
+        let among =
+            fleet.all_hold_states(&rest, &rest, &PRESENT) && fleet.all_hold_states(&side, &side, &PRESENT);
         proof.want(among, format!("cut {cut}: a node does not hold a member of its own side to be present"));
         fleet.heal();
-        healed.push(fleet.until(15.0, all_present).unwrap_or(f64::INFINITY));
+        healed.push(fleet.wait_until(15.0, all_present).unwrap_or(f64::INFINITY));
     }
     let (detected, healed) = (duration_quantiles(detected), duration_quantiles(healed));
     proof.want(
@@ -193,11 +200,11 @@
     fleet.stall(stalled);
     std::thread::sleep(Duration::from_secs_f64(stall));
     proof.want(
-        fleet.hold(&rest, &[stalled], &["dead"]),
+        fleet.all_hold_states(&rest, &[stalled], &["dead"]),
         format!("a node that was stalled for {stall} s is not declared dead"),
     );
-    fleet.wake(stalled);
-    let refuted = fleet.until(15.0, all_present).unwrap_or(f64::INFINITY);
+    fleet.resume(stalled);
+    let refuted = fleet.wait_until(15.0, all_present).unwrap_or(f64::INFINITY);
     proof.note("stall_refuted", refuted);
     let words = format!("all nodes know of the end of a stall after {refuted:.2} s");
     proof.want(
@@ -312,15 +319,17 @@
 /// Real processes with more demand than the share, under faults: monitors from outside what the nodes grant together.
 fn check_shared_limit(place: &Place, proof: &mut Proof) -> Result<(), String> {
     let (nodes, rounds) = if place.long { (12, 12) } else { (5, 2) };
-    let mut fleet = Processes::limited(&place.node, nodes, FleetPart::default(), Some((TENANT, SHARE)))?;
-    let minted =
-        |p: &Processes| (0..nodes).all(|node| p.fleet(node).is_some_and(|f| f["mints"].as_u64() == Some(1)));
-    fleet.until(30.0, minted).ok_or("the processes do not all hold their mints after 30 s")?;
-    let callers: Vec<Caller> = (0..nodes).map(|node| Caller::new(fleet.listens(node), TENANT)).collect();
+    let mut fleet =
+        Processes::start_with_share(&place.node, nodes, FleetPart::default(), Some((TENANT, SHARE)))?;
+    let minted = |p: &Processes| {
+        (0..nodes).all(|node| p.fleet_metrics(node).is_some_and(|f| f["mints"].as_u64() == Some(1)))
+    };
+    fleet.wait_until(30.0, minted).ok_or("the processes do not all hold their mints after 30 s")?;
+    let callers: Vec<Caller> = (0..nodes).map(|node| Caller::new(fleet.listen_addr(node), TENANT)).collect();
     // Without faults: all demand at one node.
-    callers[0].calls(0.95 * SHARE);
+    callers[0].set_rate(0.95 * SHARE);
     std::thread::sleep(Duration::from_secs(2));
-    let within = |p: &Processes, node: NodeId| p.within(node, TENANT).unwrap_or_default();
+    let within = |p: &Processes, node: NodeId| p.limit_counts(node, TENANT).unwrap_or_default();
     let before = within(&fleet, 0);
     std::thread::sleep(Duration::from_secs(5));
     let after = within(&fleet, 0);
@@ -331,23 +340,23 @@
         format!("all demand at one node: {had:.3} of it is within the share, at least 0.95 wanted"),
     );
     // With faults: demand of twice the share, equal at all nodes.
-    callers.iter().for_each(|caller| caller.calls(2.0 * SHARE / nodes as f64));
+    callers.iter().for_each(|caller| caller.set_rate(2.0 * SHARE / nodes as f64));
     let (start, mut monitor) = (Instant::now(), UsageMonitor::new(nodes));
     let (mut kills, mut stalls, mut cuts) = (0, 0, 0);
     for round in 0..rounds {
         let (one, two) = (round % nodes, (round + nodes / 2) % nodes);
         let side: Vec<NodeId> = (0..nodes * 5 / 12).map(|at| (at + round) % nodes).collect();
-        fleet.strike(What::LinkCut, 0.0, &side, Direction::Both);
+        fleet.inject_link_fault(What::LinkCut, 0.0, &side, Direction::Both);
         monitor.observe(&fleet, start, 3.0, proof);
         fleet.stall(one);
         monitor.observe(&fleet, start, 3.0, proof);
         fleet.heal();
         monitor.observe(&fleet, start, 1.0, proof);
-        fleet.wake(one);
+        fleet.resume(one);
         monitor.observe(&fleet, start, 1.0, proof);
         monitor.kill(&mut fleet, two);
         monitor.observe(&fleet, start, 1.0, proof);
-        fleet.begin(two)?;
+        fleet.start_node(two)?;
         monitor.observe(&fleet, start, 2.0, proof);
         (kills, stalls, cuts) = (kills + 1, stalls + 1, cuts + 1);
     }
@@ -382,7 +391,7 @@
     }
 
     fn kill(&mut self, fleet: &mut Processes, node: NodeId) {
-        let had = fleet.within(node, TENANT).map_or(self.last[node], |within| within.1);
+        let had = fleet.limit_counts(node, TENANT).map_or(self.last[node], |within| within.1);
         fleet.kill(node);
         self.ended += had.max(self.last[node]);
         self.last[node] = 0.0;
@@ -395,7 +404,7 @@
         while start.elapsed().as_secs_f64() < until {
             let from = start.elapsed().as_secs_f64();
             for node in fleet.running() {
-                let within = fleet.within(node, TENANT);
+                let within = fleet.limit_counts(node, TENANT);
                 self.last[node] = within.map_or(self.last[node], |within| within.1.max(self.last[node]));
             }
             let (to, had) = (start.elapsed().as_secs_f64(), self.ended + self.last.iter().sum::<f64>());
--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -313,7 +313,7 @@
                 let at = |node| SocketAddr::from(([127, block, 252, node as u8], 9400));
                 let mut fleet = simulation::fleet_config(self.plan.nodes, &FleetPart::default(), at);
                 fleet.limits.tenants = self.plan.tenants > 0;
-                let text = crate::fleet::processes::text(&fleet);
+                let text = crate::fleet::processes::config_to_toml(&fleet);
                 Some((self.file(format!("{number}-{node}.toml"), &text)?, simulation::member(node)))
             }
         };
--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -30,7 +30,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use crate::fleet::links::Links;
-use crate::fleet::processes::{config_for_node, lock, relays, text};
+use crate::fleet::processes::{config_for_node, config_to_toml, lock_links, start_relays};
 use crate::scenario::Scenario;
 use crate::settings;
 use crate::world::invariants::FinalAnswer;
@@ -167,7 +167,7 @@
         if nodes > 100 {
             return Err(format!("nodes: a fleet of {nodes}; at most 100 on loopback"));
         }
-        relays(block, nodes, &links, began).await?;
+        start_relays(block, nodes, &links, began).await?;
     }
     let harness = Rc::new(Harness {
         world: RefCell::new(world),
@@ -215,7 +215,7 @@
     // The scenario's time begins when all nodes are ready.
     let ready = harness.now();
     harness.world.borrow_mut().delay(ready);
-    lock(&harness.links).delay(ready);
+    lock_links(&harness.links).postpone_faults(ready);
     let end = harness.world.borrow().end();
     loop {
         let now = harness.now();
@@ -365,7 +365,7 @@
         if let Some(part) = &self.world.borrow().scenario.fleet {
             let nodes = self.world.borrow().nodes.len();
             let (path, config) = (self.member_file(node), config_for_node(self.block, nodes, part, node));
-            std::fs::write(&path, text(&config)).map_err(|e| format!("{}: {e}", path.display()))?;
+            std::fs::write(&path, config_to_toml(&config)).map_err(|e| format!("{}: {e}", path.display()))?;
         }
         let process = self.spawn(node)?;
         let pid = process.pid;
--- a/crates/coveroute-node/tests/limits.rs
+++ b/crates/coveroute-node/tests/limits.rs
@@ -19,16 +19,16 @@
 fn start_connected(nodes: usize) -> (Processes, Vec<Caller>) {
     let program = Path::new(env!("CARGO_BIN_EXE_coveroute"));
     let tenant = Some((TENANT, SHARE));
-    let fleet = Processes::limited(program, nodes, FleetPart::default(), tenant)
+    let fleet = Processes::start_with_share(program, nodes, FleetPart::default(), tenant)
         .expect("failed to start the processes");
     let mints = |p: &Processes| (0..nodes).all(|node| mints(p, node) == Some(1));
-    assert!(fleet.until(20.0, mints).is_some(), "{:?} {}", fleet.fleet(0), fleet.log(0));
-    let callers = (0..nodes).map(|node| Caller::new(fleet.listens(node), TENANT)).collect();
+    assert!(fleet.wait_until(20.0, mints).is_some(), "{:?} {}", fleet.fleet_metrics(0), fleet.log(0));
+    let callers = (0..nodes).map(|node| Caller::new(fleet.listen_addr(node), TENANT)).collect();
     (fleet, callers)
 }
 
 fn mints(fleet: &Processes, node: usize) -> Option<u64> {
-    fleet.fleet(node)?["mints"].as_u64()
+    fleet.fleet_metrics(node)?["mints"].as_u64()
 }
 
 /// Sampling interval of demand and admissions in seconds: equals the lifetime of rights.
@@ -40,7 +40,7 @@
 /// admitted fraction of all demand, or of the share if demand exceeds it.
 fn admitted_fraction(fleet: &Processes, nodes: &[usize], seconds: f64) -> f64 {
     let sample = || {
-        let figures = nodes.iter().map(|node| fleet.within(*node, TENANT).expect("no metrics"));
+        let figures = nodes.iter().map(|node| fleet.limit_counts(*node, TENANT).expect("no metrics"));
         (Instant::now(), figures.fold((0.0, 0.0), |sum, node| (sum.0 + node.0, sum.1 + node.1)))
     };
     let (mut before, mut demand, mut admitted) = (sample(), 0.0, 0.0);
@@ -61,11 +61,11 @@
 fn the_share_moves_to_the_nodes_with_traffic() {
     let (fleet, callers) = start_connected(4);
     for node in [0, 3] {
-        callers[node].calls(0.9 * SHARE);
+        callers[node].set_rate(0.9 * SHARE);
         std::thread::sleep(Duration::from_secs(2));
         let fraction = admitted_fraction(&fleet, &[node], 4.0);
-        assert!(fraction > MIN_ADMITTED, "{fraction} {:?}", fleet.fleet(node));
-        callers[node].calls(0.0);
+        assert!(fraction > MIN_ADMITTED, "{fraction} {:?}", fleet.fleet_metrics(node));
+        callers[node].set_rate(0.0);
     }
 }
 
@@ -75,14 +75,14 @@
     let (mut fleet, callers) = start_connected(4);
     fleet.kill(2);
     let taken = |p: &Processes| [0, 1, 3].map(|node| mints(p, node).unwrap_or(0)).iter().sum::<u64>() == 4;
-    assert!(fleet.until(15.0, taken).is_some(), "{:?}", fleet.fleet(0));
-    callers[0].calls(0.9 * SHARE);
+    assert!(fleet.wait_until(15.0, taken).is_some(), "{:?}", fleet.fleet_metrics(0));
+    callers[0].set_rate(0.9 * SHARE);
     std::thread::sleep(Duration::from_secs(2));
     let fraction = admitted_fraction(&fleet, &[0], 4.0);
-    assert!(fraction > MIN_ADMITTED, "{fraction} {:?}", fleet.fleet(0));
+    assert!(fraction > MIN_ADMITTED, "{fraction} {:?}", fleet.fleet_metrics(0));
     // The node gets its part back after a restart.
-    fleet.begin(2).expect("failed to start the process");
-    assert!(fleet.until(20.0, |p| mints(p, 2) == Some(1)).is_some(), "{:?}", fleet.fleet(2));
+    fleet.start_node(2).expect("failed to start the process");
+    assert!(fleet.wait_until(20.0, |p| mints(p, 2) == Some(1)).is_some(), "{:?}", fleet.fleet_metrics(2));
 }
 
 /// Guards against rights that are used twice: by a node that is partitioned, stalled or restarted, and by the node that took
@@ -90,7 +90,7 @@
 #[test]
 fn all_nodes_together_never_exceed_the_share() {
     let (mut fleet, callers) = start_connected(5);
-    callers.iter().for_each(|caller| caller.calls(SHARE));
+    callers.iter().for_each(|caller| caller.set_rate(SHARE));
     let began = Instant::now();
     // Admissions of each running process at its last sample, and the total of processes that have ended.
     let (mut last, mut ended) = (vec![0.0; 5], 0.0);
@@ -100,7 +100,8 @@
         // one is never shorter than the time that its admissions took.
         let from = began.elapsed().as_secs_f64();
         for node in fleet.running() {
-            last[node] = fleet.within(node, TENANT).map_or(last[node], |within| within.1.max(last[node]));
+            last[node] =
+                fleet.limit_counts(node, TENANT).map_or(last[node], |within| within.1.max(last[node]));
         }
         (from, began.elapsed().as_secs_f64(), ended + last.iter().sum::<f64>())
     };
@@ -121,18 +122,18 @@
         if due > step {
             step = due;
             match step {
-                1 => fleet.strike(What::LinkCut, 0.0, &[0, 1], Direction::Both),
+                1 => fleet.inject_link_fault(What::LinkCut, 0.0, &[0, 1], Direction::Both),
                 2 => fleet.stall(4),
                 3 => fleet.heal(),
-                4 => fleet.wake(4),
+                4 => fleet.resume(4),
                 5 => {
-                    let own = fleet.within(1, TENANT).map_or(last[1], |within| within.1);
+                    let own = fleet.limit_counts(1, TENANT).map_or(last[1], |within| within.1);
                     fleet.kill(1);
                     (ended, last[1]) = (ended + own.max(last[1]), 0.0);
-                    fleet.begin(1).expect("failed to start the process");
+                    fleet.start_node(1).expect("failed to start the process");
                 }
-                6 => fleet.strike(What::LinkDoubles, 0.5, &[], Direction::Both),
-                _ => fleet.strike(What::LinkLoss, 0.3, &[], Direction::Both),
+                6 => fleet.inject_link_fault(What::LinkDoubles, 0.5, &[], Direction::Both),
+                _ => fleet.inject_link_fault(What::LinkLoss, 0.3, &[], Direction::Both),
             }
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -147,33 +148,33 @@
 fn a_reloaded_share_is_enforced_under_load() {
     let (mut fleet, callers) = start_connected(4);
     let all = [0, 1, 2, 3];
-    callers.iter().for_each(|caller| caller.calls(SHARE / 2.0));
+    callers.iter().for_each(|caller| caller.set_rate(SHARE / 2.0));
     std::thread::sleep(Duration::from_secs(2));
-    fleet.strike(What::LinkCut, 0.0, &[3], Direction::Both);
-    fleet.share(&all, SHARE / 4.0).expect("failed to write the files");
-    all.iter().for_each(|node| fleet.reread(*node));
+    fleet.inject_link_fault(What::LinkCut, 0.0, &[3], Direction::Both);
+    fleet.set_share(&all, SHARE / 4.0).expect("failed to write the files");
+    all.iter().for_each(|node| fleet.reload(*node));
     let lower = |p: &Processes| all.iter().all(|node| share_in_force(p, *node) == Some(SHARE / 4.0));
-    assert!(fleet.until(5.0, lower).is_some(), "{}", fleet.log(0));
+    assert!(fleet.wait_until(5.0, lower).is_some(), "{}", fleet.log(0));
     let admitted =
-        |p: &Processes| all.iter().filter_map(|node| p.within(*node, TENANT)).map(|w| w.1).sum::<f64>();
+        |p: &Processes| all.iter().filter_map(|node| p.limit_counts(*node, TENANT)).map(|w| w.1).sum::<f64>();
     let (before, began) = (admitted(&fleet), Instant::now());
     std::thread::sleep(Duration::from_secs(4));
     let (after, span) = (admitted(&fleet), began.elapsed().as_secs_f64());
     let limit = SHARE / 4.0 * (span * 1.02 + 2.0 * 0.5) + 1.0;
     assert!(after - before <= limit, "{} of {limit} in {span} s", after - before);
     fleet.heal();
-    fleet.share(&all, SHARE).expect("failed to write the files");
-    all.iter().for_each(|node| fleet.reread(*node));
+    fleet.set_share(&all, SHARE).expect("failed to write the files");
+    all.iter().for_each(|node| fleet.reload(*node));
     let minted = |p: &Processes| all.iter().all(|node| mints(p, *node) == Some(1));
     std::thread::sleep(Duration::from_secs(1));
-    assert!(fleet.until(20.0, minted).is_some(), "{:?}", fleet.fleet(0));
+    assert!(fleet.wait_until(20.0, minted).is_some(), "{:?}", fleet.fleet_metrics(0));
     let fraction = admitted_fraction(&fleet, &all, 4.0);
     assert!(fraction > MIN_SHARE_USED, "{fraction} of the share was used");
 }
 
 /// The share in force by the management endpoint, in invocations a second.
 fn share_in_force(fleet: &Processes, node: usize) -> Option<f64> {
-    let limit = fleet.fleet(node)?["limits"][TENANT].clone();
+    let limit = fleet.fleet_metrics(node)?["limits"][TENANT].clone();
     Some(limit["share"].as_f64()? / limit["window"].as_f64()?)
 }
 
@@ -181,12 +182,12 @@
 #[test]
 fn a_partitioned_node_falls_back_to_an_equal_part() {
     let (fleet, callers) = start_connected(4);
-    callers[3].calls(SHARE);
-    fleet.strike(What::LinkCut, 0.0, &[3], Direction::Both);
+    callers[3].set_rate(SHARE);
+    fleet.inject_link_fault(What::LinkCut, 0.0, &[3], Direction::Both);
     let alone = |p: &Processes| mints(p, 3) == Some(0) && mints(p, 0).is_some_and(|mints| mints >= 1);
-    assert!(fleet.until(10.0, alone).is_some(), "{:?}", fleet.fleet(3));
+    assert!(fleet.wait_until(10.0, alone).is_some(), "{:?}", fleet.fleet_metrics(3));
     let others = |p: &Processes| [0, 1, 2].map(|node| mints(p, node).unwrap_or(0)).iter().sum::<u64>() == 4;
-    assert!(fleet.until(20.0, others).is_some(), "{:?}", fleet.fleet(0));
+    assert!(fleet.wait_until(20.0, others).is_some(), "{:?}", fleet.fleet_metrics(0));
     fleet.heal();
-    assert!(fleet.until(20.0, |p| mints(p, 3) == Some(1)).is_some(), "{:?}", fleet.fleet(3));
+    assert!(fleet.wait_until(20.0, |p| mints(p, 3) == Some(1)).is_some(), "{:?}", fleet.fleet_metrics(3));
 }
