--- a/crates/coveroute-emu/src/capacity/mod.rs
+++ b/crates/coveroute-emu/src/capacity/mod.rs
@@ -12,7 +12,7 @@
 use self::rig_group::{IdleFigures, LoadFigures, RigGroup};
 use crate::fleet::measure::{traffic, Traffic};
 use crate::load::{on_runtime, Members, Plan};
-use crate::proof::{Place, Proof};
+use crate::proof::{Proof, ProofContext};
 
 pub mod fit;
 pub mod rig_group;
@@ -99,12 +99,12 @@
 }
 
 /// Runs the proof.
-pub fn capacity(place: &Place) -> Result<Proof, String> {
-    let extent = if place.long { &LONG } else { &SHORT };
+pub fn capacity(context: &ProofContext) -> Result<Proof, String> {
+    let extent = if context.long { &LONG } else { &SHORT };
     let (mut proof, began) = (Proof::new(), Instant::now());
     let bound = descriptor_limit();
     proof.note("descriptors", bound);
-    let node = Plan { node: place.node.clone(), runs: JOB_MS, ..Plan::default() };
+    let node = Plan { node: context.node.clone(), runs: JOB_MS, ..Plan::default() };
     let plan = |executors: usize, rate: f64| Plan {
         executors,
         rate: Some(rate),
@@ -122,16 +122,16 @@
     for (what, part) in parts {
         // A part that cannot run is reported, and the others run all the same.
         let result = part(extent, &plan, &mut slopes, &mut proof);
-        result.unwrap_or_else(|e| proof.want(false, format!("{what}: {e}")));
+        result.unwrap_or_else(|e| proof.require(false, format!("{what}: {e}")));
     }
     fleet_traffic(extent, &mut proof);
-    if place.long {
+    if context.long {
         let results = [
             without_discovery(&plan, &mut proof),
             without_free_slots(&plan, &mut proof),
             all_nodes(&node, bound, &mut proof),
         ];
-        results.into_iter().for_each(|result| result.unwrap_or_else(|e| proof.want(false, e)));
+        results.into_iter().for_each(|result| result.unwrap_or_else(|e| proof.require(false, e)));
     }
     proof.note("slopes", slopes);
     proof.note("seconds", began.elapsed().as_secs_f64());
@@ -160,7 +160,7 @@
         let words = format!(
             "{what}: {achieved:.0} of {requested:.0} starts per second, {other:.3} of the calls failed"
         );
-        proof.want(false, format!("{words} at {} executors", one.executors));
+        proof.require(false, format!("{words} at {} executors", one.executors));
     }
     failed.is_empty()
 }
@@ -255,11 +255,11 @@
             "a start at {} executors costs {raw:.2} times one at {}",
             last.executors, first.executors
         );
-        proof.want(
+        proof.require(
             !carried || raw <= START_COST_GROWTH,
             format!("{words}, at most {START_COST_GROWTH} allowed"),
         );
-        proof.want(
+        proof.require(
             last.resident_mb <= size::CONTROL_MEMORY_MB,
             format!(
                 "{:.1} MB at {} executors, at most {} allowed",
@@ -282,14 +282,14 @@
     ] {
         let words =
             format!("{what}: {ms:.1} ms at {} executors, at most {within:.0} allowed", last.executors);
-        proof.want(ms <= within, words);
+        proof.require(ms <= within, words);
     }
     // Compares with the second smallest size, where the constant cost of a list no longer matters.
     let from = measured.get(1).unwrap_or(first);
     let each = |one: &IdleFigures| one.list_ms / one.executors as f64;
     let grown = each(last) / each(from).max(1e-9);
     proof.note("list_ms_an_executor_grown", grown);
-    proof.want(
+    proof.require(
         grown <= LIST_COST_GROWTH,
         format!("an entry of a long list costs {grown:.2} times one of a short, at most {LIST_COST_GROWTH} allowed"),
     );
@@ -298,7 +298,7 @@
     let configurations = cores(last.reload_ms, size::CONFIGURATIONS_A_DAY / size::DAY);
     proof.note("changes_cores", changes);
     proof.note("configurations_cores", configurations);
-    proof.want(changes + configurations + last.cores <= size::CONTROL_CORES, format!(
+    proof.require(changes + configurations + last.cores <= size::CONTROL_CORES, format!(
         "control uses {:.4} cores: {changes:.4} for changes of the list, {configurations:.4} for configurations, \
          {:.4} when idle",
         changes + configurations + last.cores, last.cores
@@ -389,7 +389,7 @@
         {
             let figures = traffic(*nodes, tenants, partitioned);
             let words = format!("{nodes} nodes, {how}: {:.0} bytes per second", figures.bytes);
-            proof.want(
+            proof.require(
                 figures.bytes <= size::CONTROL_BYTES_A_SECOND,
                 format!("{words}, at most {} allowed", size::CONTROL_BYTES_A_SECOND),
             );
--- a/crates/coveroute-emu/src/fleet/links.rs
+++ b/crates/coveroute-emu/src/fleet/links.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::scenario::{Direction, Fault, Place, Scenario, What};
+use crate::scenario::{Direction, Fault, FaultKind, FaultScope, Scenario};
 use crate::world::NodeId;
 
 /// Longest queueing delay on a slow link, in seconds; a datagram that would wait longer is lost.
@@ -53,7 +53,7 @@
     /// `zones` holds the zone of each node.
     pub fn new(scenario: &Scenario, seed: u64, zones: &[String]) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x11_4c5);
-        let faults = scenario.faults.iter().filter(|fault| fault.what.place() == Place::Links);
+        let faults = scenario.faults.iter().filter(|fault| fault.what.scope() == FaultScope::Links);
         let faults = faults
             .map(|fault| LinkFault { nodes: affected_nodes(fault, zones, &mut rng), fault: fault.clone() });
         let faults = faults.collect();
@@ -67,9 +67,9 @@
     }
 
     /// Starts a fault now; it lasts until `heal`. An empty `nodes` affects all links.
-    pub fn inject(&mut self, now: f64, what: What, by: f64, nodes: &[NodeId], way: Direction) {
+    pub fn inject(&mut self, now: f64, kind: FaultKind, by: f64, nodes: &[NodeId], way: Direction) {
         let by = Some(crate::scenario::Amount(by));
-        let fault = Fault { by, way, ..Fault::new(what, now, 0.0) };
+        let fault = Fault { by, way, ..Fault::new(kind, now, 0.0) };
         let nodes = (!nodes.is_empty()).then(|| nodes.iter().copied().collect());
         self.faults.push(LinkFault { fault, nodes });
     }
@@ -86,13 +86,13 @@
     }
 
     pub fn is_cut(&self, now: f64, from: NodeId, to: NodeId) -> bool {
-        let cuts = |fault: &LinkFault| fault.fault.what == What::LinkCut && fault.applies(now, from, to);
+        let cuts = |fault: &LinkFault| fault.fault.what == FaultKind::LinkCut && fault.applies(now, from, to);
         self.faults.iter().any(cuts) || self.one_way_cuts.get(&(from, to)).is_some_and(|since| now >= *since)
     }
 
     /// The copies of a datagram that arrive, each with its delay in seconds; none if it is lost.
     pub fn transmit(&mut self, now: f64, from: NodeId, to: NodeId, bytes: Vec<u8>) -> Vec<(f64, Vec<u8>)> {
-        let active: Vec<(What, f64)> = self
+        let active: Vec<(FaultKind, f64)> = self
             .faults
             .iter()
             .filter(|link_fault| link_fault.applies(now, from, to))
@@ -102,26 +102,28 @@
             return Vec::new();
         }
         let mut copies = vec![(self.latency * (1.0 + self.rng.random::<f64>()), bytes)];
-        for (what, by) in active {
-            match what {
-                What::LinkCut => {}
-                What::LinkLoss => copies.retain(|_| !self.rng.random_bool(by)),
-                What::LinkDelay => copies.iter_mut().for_each(|copy| copy.0 += by * self.rng.random::<f64>()),
-                What::LinkReorders if self.rng.random_bool(by) => {
+        for (kind, by) in active {
+            match kind {
+                FaultKind::LinkCut => {}
+                FaultKind::LinkLoss => copies.retain(|_| !self.rng.random_bool(by)),
+                FaultKind::LinkDelay => {
+                    copies.iter_mut().for_each(|copy| copy.0 += by * self.rng.random::<f64>())
+                }
+                FaultKind::LinkReorders if self.rng.random_bool(by) => {
                     copies.iter_mut().for_each(|copy| copy.0 += MAX_REORDER_DELAY * self.rng.random::<f64>());
                 }
-                What::LinkDoubles if self.rng.random_bool(by) => {
+                FaultKind::LinkDoubles if self.rng.random_bool(by) => {
                     let again = copies.first().map(|(after, bytes)| {
                         (after + MAX_REORDER_DELAY * self.rng.random::<f64>(), bytes.clone())
                     });
                     copies.extend(again);
                 }
-                What::LinkCorrupts if self.rng.random_bool(by) => {
+                FaultKind::LinkCorrupts if self.rng.random_bool(by) => {
                     for (_, bytes) in &mut copies {
                         corrupt(bytes, &mut self.rng);
                     }
                 }
-                What::LinkSlow => self.enqueue(now, (from, to), by, &mut copies),
+                FaultKind::LinkSlow => self.enqueue(now, (from, to), by, &mut copies),
                 _ => {}
             }
         }
@@ -184,7 +186,7 @@
 
     fn cut(way: Direction, flaps: f64) -> Fault {
         let flaps = crate::scenario::Span(flaps);
-        Fault { nodes: Some(vec![0, 1]), way, flaps, ..Fault::new(What::LinkCut, 1.0, 10.0) }
+        Fault { nodes: Some(vec![0, 1]), way, flaps, ..Fault::new(FaultKind::LinkCut, 1.0, 10.0) }
     }
 
     #[test_case(Direction::Both, 2.0, 0, 2, 0; "both ways")]
@@ -204,12 +206,12 @@
         assert_eq!([1.5, 2.5, 3.5].map(|now| arrive(&mut links, now)), [0, 1, 0]);
     }
 
-    #[test_case(What::LinkLoss, 0.3, (0.65, 0.75); "lost")]
-    #[test_case(What::LinkDoubles, 0.3, (1.25, 1.35); "doubled")]
-    #[test_case(What::LinkSlow, 1000.0, (0.05, 0.11); "slow, with queue overflow")]
-    fn fraction_that_arrives(what: What, by: f64, (least, most): (f64, f64)) {
+    #[test_case(FaultKind::LinkLoss, 0.3, (0.65, 0.75); "lost")]
+    #[test_case(FaultKind::LinkDoubles, 0.3, (1.25, 1.35); "doubled")]
+    #[test_case(FaultKind::LinkSlow, 1000.0, (0.05, 0.11); "slow, with queue overflow")]
+    fn fraction_that_arrives(kind: FaultKind, by: f64, (least, most): (f64, f64)) {
         let by = Some(crate::scenario::Amount(by));
-        let mut links = links(vec![Fault { by, ..Fault::new(what, 0.0, 0.0) }]);
+        let mut links = links(vec![Fault { by, ..Fault::new(kind, 0.0, 0.0) }]);
         // 1000 datagrams of 10 bytes within 0.1 s.
         let arrive = (0..1000).map(|at| links.transmit(f64::from(at) * 1e-4, 0, 2, vec![0; 10]).len());
         let fraction = arrive.sum::<usize>() as f64 / 1000.0;
--- a/crates/coveroute-emu/src/fleet/measure.rs
+++ b/crates/coveroute-emu/src/fleet/measure.rs
@@ -10,20 +10,20 @@
 
 use super::checker::Ages;
 use super::simulation::FleetSimulation;
-use crate::scenario::{Direction, FleetPart, Scenario, Span, What};
+use crate::scenario::{Direction, FaultKind, FleetSettings, Scenario, Span};
 use crate::search::{drawn, on_all_cores};
-use crate::world::{NodeId, Order};
+use crate::world::{NodeCommand, NodeId};
 
 /// A simulation without faults and with no process started.
-fn empty_simulation(nodes: usize, seed: u64, part: FleetPart) -> FleetSimulation {
+fn empty_simulation(nodes: usize, seed: u64, settings: FleetSettings) -> FleetSimulation {
     let mut scenario: Scenario = drawn(1);
-    (scenario.fleet, scenario.faults) = (Some(part), Vec::new());
+    (scenario.fleet, scenario.faults) = (Some(settings), Vec::new());
     FleetSimulation::new(&scenario, seed, &vec!["a".into(); nodes])
 }
 
 /// A simulation without faults and with all processes started at time 0.
-pub fn started_simulation(nodes: usize, seed: u64, part: FleetPart) -> FleetSimulation {
-    let mut simulation = empty_simulation(nodes, seed, part);
+pub fn started_simulation(nodes: usize, seed: u64, settings: FleetSettings) -> FleetSimulation {
+    let mut simulation = empty_simulation(nodes, seed, settings);
     (0..nodes).for_each(|node| simulation.start(0.0, node, false));
     simulation
 }
@@ -52,7 +52,7 @@
 
 /// Measures a fleet of `nodes` nodes: 30 s idle, then `kills` rounds of a kill, a restart and a write.
 pub fn measure_size(nodes: usize, kills: usize, seed: u64) -> Size {
-    let mut simulation = started_simulation(nodes, seed, FleetPart::default());
+    let mut simulation = started_simulation(nodes, seed, FleetSettings::default());
     // One status record per node, as real nodes write.
     for node in 0..nodes {
         simulation.write(0.0, node, 0);
@@ -108,9 +108,9 @@
 /// Members wrongly declared dead per hour, in a fleet where none dies and the fraction `loss` of all datagrams is lost.
 pub fn false_deaths_an_hour(nodes: usize, loss: f64, seconds: f64, seeds: u64) -> f64 {
     let deaths = on_all_cores(seeds, |seed| {
-        let mut simulation = started_simulation(nodes, 100 + seed, FleetPart::default());
+        let mut simulation = started_simulation(nodes, 100 + seed, FleetSettings::default());
         simulation.run_until(5.0);
-        simulation.links.inject(5.0, What::LinkLoss, loss, &[], Direction::Both);
+        simulation.links.inject(5.0, FaultKind::LinkLoss, loss, &[], Direction::Both);
         simulation.run_until(5.0 + seconds);
         // A death that several nodes record counts once.
         let mut deaths: Vec<(NodeId, u64)> = simulation
@@ -147,7 +147,8 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5c4ed);
     let nodes = rng.random_range(3..=8);
     let writes = Span(*[0.3, 1.0, 6.0].choose(&mut rng).unwrap_or(&1.0));
-    let mut simulation = started_simulation(nodes, seed, FleetPart { writes, ..FleetPart::default() });
+    let mut simulation =
+        started_simulation(nodes, seed, FleetSettings { writes, ..FleetSettings::default() });
     run_random_faults(&mut simulation, nodes, &mut rng);
     simulation.links.heal();
     simulation.stop_writing();
@@ -157,36 +158,36 @@
 
 /// Runs 25 s with up to three random faults of nodes and up to three of links.
 fn run_random_faults(simulation: &mut FleetSimulation, nodes: usize, rng: &mut Pcg64Mcg) {
-    let mut node_faults: Vec<(f64, NodeId, Order)> = Vec::new();
+    let mut node_faults: Vec<(f64, NodeId, NodeCommand)> = Vec::new();
     for _ in 0..rng.random_range(1..=3) {
         let node = rng.random_range(0..nodes);
         let at = rng.random_range(1.0..18.0);
         let until = at + rng.random_range(0.05..7.0);
         let (begin, end) = *[
-            (Order::Kill, Order::Start),
-            (Order::Kill, Order::StartBack),
-            (Order::Stall, Order::Wake),
-            (Order::Stop, Order::Start),
+            (NodeCommand::Kill, NodeCommand::Start),
+            (NodeCommand::Kill, NodeCommand::StartBack),
+            (NodeCommand::Stall, NodeCommand::Wake),
+            (NodeCommand::Stop, NodeCommand::Start),
         ]
         .choose(rng)
-        .unwrap_or(&(Order::Kill, Order::Start));
+        .unwrap_or(&(NodeCommand::Kill, NodeCommand::Start));
         node_faults.push((at, node, begin));
-        if begin == Order::Stop {
-            node_faults.push((until - 0.01, node, Order::Kill));
+        if begin == NodeCommand::Stop {
+            node_faults.push((until - 0.01, node, NodeCommand::Kill));
         }
         node_faults.push((until, node, end));
     }
-    let mut link_faults: Vec<(f64, What, f64, Vec<NodeId>, Direction)> = Vec::new();
+    let mut link_faults: Vec<(f64, FaultKind, f64, Vec<NodeId>, Direction)> = Vec::new();
     for _ in 0..rng.random_range(0..=3) {
-        let what = What::FLEET[rng.random_range(0..7)];
-        let by = match what {
-            What::LinkDelay => rng.random_range(0.01..2.0),
-            What::LinkSlow => rng.random_range(300.0..20_000.0),
+        let kind = FaultKind::FLEET[rng.random_range(0..7)];
+        let by = match kind {
+            FaultKind::LinkDelay => rng.random_range(0.01..2.0),
+            FaultKind::LinkSlow => rng.random_range(300.0..20_000.0),
             _ => rng.random_range(0.1..0.9),
         };
         let nodes = (0..nodes).filter(|_| rng.random_bool(0.4)).collect();
         let way = *[Direction::Both, Direction::Out, Direction::In].choose(rng).unwrap_or(&Direction::Both);
-        link_faults.push((rng.random_range(1.0..18.0), what, by, nodes, way));
+        link_faults.push((rng.random_range(1.0..18.0), kind, by, nodes, way));
     }
     node_faults.sort_by(|one, two| one.0.total_cmp(&two.0));
     link_faults.sort_by(|one, two| one.0.total_cmp(&two.0));
@@ -200,14 +201,14 @@
         match (node_fault, link_fault) {
             (Some(at), link_fault) if link_fault.is_none_or(|link_fault| at <= link_fault) => {
                 simulation.run_until(at);
-                if let Some((at, node, order)) = node_faults.next() {
-                    simulation.order(at, node, order);
+                if let Some((at, node, command)) = node_faults.next() {
+                    simulation.execute_command(at, node, command);
                 }
             }
             (_, Some(at)) => {
                 simulation.run_until(at);
-                if let Some((at, what, by, nodes, way)) = link_faults.next() {
-                    simulation.links.inject(at, what, by, &nodes, way);
+                if let Some((at, kind, by, nodes, way)) = link_faults.next() {
+                    simulation.links.inject(at, kind, by, &nodes, way);
                 }
             }
             _ => break,
@@ -266,7 +267,7 @@
 
 /// A simulation without faults, with all processes started and one shared limit.
 fn simulation_with_limit(nodes: usize, seed: u64, limit: (f64, f64, bool)) -> FleetSimulation {
-    let mut simulation = empty_simulation(nodes, seed, FleetPart::default());
+    let mut simulation = empty_simulation(nodes, seed, FleetSettings::default());
     simulation.set_limits(terms(&simulation, limit));
     (0..nodes).for_each(|node| simulation.start(0.0, node, false));
     simulation
@@ -360,7 +361,7 @@
 /// Traffic without faults, where each of `tenants` tenants requests more than its share at one node in ten and nothing at
 /// the others. With `partitioned` the two halves of the nodes do not reach each other.
 pub fn traffic(nodes: usize, tenants: u32, partitioned: bool) -> Traffic {
-    let mut simulation = empty_simulation(nodes, 1, FleetPart::default());
+    let mut simulation = empty_simulation(nodes, 1, FleetSettings::default());
     let limit = |id| Limit { id, most: 100.0, window: 10.0, strict: false };
     if tenants > 0 {
         let terms =
@@ -375,7 +376,7 @@
     if partitioned {
         let half: Vec<NodeId> = (0..nodes / 2).collect();
         simulation.run_until(start);
-        simulation.links.inject(start, What::LinkCut, 1.0, &half, Direction::Both);
+        simulation.links.inject(start, FaultKind::LinkCut, 1.0, &half, Direction::Both);
         // By then each half holds all members of the other half to be dead.
         start += 20.0;
     }
--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -12,7 +12,7 @@
 
 use super::checker::Checker;
 use super::simulation::{fleet_config, member};
-use crate::scenario::FleetPart;
+use crate::scenario::FleetSettings;
 use crate::world::NodeId;
 
 /// One transition of the model.
@@ -102,7 +102,7 @@
 impl FleetModel {
     /// `drift` is that of the clocks; the configuration allows for 1%.
     pub fn new(nodes: usize, drift: f64) -> Self {
-        FleetModel { nodes, config: fleet_config(nodes, &FleetPart::default(), addr), drift }
+        FleetModel { nodes, config: fleet_config(nodes, &FleetSettings::default(), addr), drift }
     }
 
     fn local_time(&self, node: NodeId, now: f64) -> f64 {
--- a/crates/coveroute-emu/src/fleet/processes.rs
+++ b/crates/coveroute-emu/src/fleet/processes.rs
@@ -18,7 +18,7 @@
 
 use super::links::Links;
 use super::simulation::{fleet_config, member};
-use crate::scenario::{Direction, FleetPart, Scenario, What};
+use crate::scenario::{Direction, FaultKind, FleetSettings, Scenario};
 use crate::search::drawn;
 use crate::world::NodeId;
 
@@ -40,7 +40,7 @@
     program: PathBuf,
     dir: PathBuf,
     block: u8,
-    part: FleetPart,
+    settings: FleetSettings,
     tenant: Option<(String, f64)>,
     processes: Vec<NodeProcess>,
     links: Arc<Mutex<Links>>,
@@ -135,8 +135,8 @@
 }
 
 /// The operators' file of `node`, with relays as the addresses of the other members.
-pub fn config_for_node(block: u8, nodes: usize, part: &FleetPart, node: NodeId) -> FleetConfig {
-    fleet_config(nodes, part, |other| {
+pub fn config_for_node(block: u8, nodes: usize, settings: &FleetSettings, node: NodeId) -> FleetConfig {
+    fleet_config(nodes, settings, |other| {
         if other == node {
             member_addr(block, node)
         } else {
@@ -147,15 +147,15 @@
 
 impl Processes {
     /// Starts `nodes` processes of the program, each with the others in its operators' file.
-    pub fn start(program: &Path, nodes: usize, part: FleetPart) -> Result<Self, String> {
-        Self::start_with_share(program, nodes, part, None)
+    pub fn start(program: &Path, nodes: usize, settings: FleetSettings) -> Result<Self, String> {
+        Self::start_with_share(program, nodes, settings, None)
     }
 
     /// The same with a tenant whose share, in invocations per second, applies to the nodes together.
     pub fn start_with_share(
         program: &Path,
         nodes: usize,
-        part: FleetPart,
+        settings: FleetSettings,
         tenant: Option<(&str, f64)>,
     ) -> Result<Self, String> {
         static STARTED: AtomicU32 = AtomicU32::new(0);
@@ -172,7 +172,7 @@
         std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         let mut scenario: Scenario = drawn(1);
         let latency = crate::scenario::Span(0.0);
-        (scenario.fleet, scenario.faults) = (Some(FleetPart { latency, ..part.clone() }), Vec::new());
+        (scenario.fleet, scenario.faults) = (Some(FleetSettings { latency, ..settings.clone() }), Vec::new());
         let links = Arc::new(Mutex::new(Links::new(&scenario, 1, &vec!["a".into(); nodes])));
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
@@ -191,7 +191,7 @@
             program,
             dir,
             block,
-            part,
+            settings,
             tenant,
             processes,
             links,
@@ -235,7 +235,7 @@
 
     /// Writes the operators' file of the node, with the members for which `fits` holds.
     pub fn write_member_file(&self, node: NodeId, fits: impl Fn(NodeId) -> bool) -> Result<(), String> {
-        let mut config = config_for_node(self.block, self.processes.len(), &self.part, node);
+        let mut config = config_for_node(self.block, self.processes.len(), &self.settings, node);
         config.limits.tenants = self.tenant.is_some();
         config.members.retain(|name, _| name[1..].parse().is_ok_and(&fits));
         self.write(&format!("f{node}.toml"), &config_to_toml(&config))
@@ -315,8 +315,8 @@
         self.signal(node, Signal::SIGHUP);
     }
 
-    pub fn inject_link_fault(&self, what: What, by: f64, set: &[NodeId], way: Direction) {
-        lock_links(&self.links).inject(self.start.elapsed().as_secs_f64(), what, by, set, way);
+    pub fn inject_link_fault(&self, kind: FaultKind, by: f64, set: &[NodeId], way: Direction) {
+        lock_links(&self.links).inject(self.start.elapsed().as_secs_f64(), kind, by, set, way);
     }
 
     pub fn heal(&self) {
@@ -396,14 +396,14 @@
         checksums.iter().all(|checksum| checksum.is_some() && *checksum == checksums[0])
     }
 
-    /// Waits until the condition holds; returns how long that took, in seconds, or none after `within` seconds.
-    pub fn wait_until(&self, within: f64, condition: impl Fn(&Processes) -> bool) -> Option<f64> {
+    /// Waits until the condition holds; returns how long that took, in seconds, or none after `timeout` seconds.
+    pub fn wait_until(&self, timeout: f64, condition: impl Fn(&Processes) -> bool) -> Option<f64> {
         let start = Instant::now();
         loop {
             if condition(self) {
                 return Some(start.elapsed().as_secs_f64());
             }
-            if start.elapsed().as_secs_f64() > within {
+            if start.elapsed().as_secs_f64() > timeout {
                 return None;
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -444,7 +444,7 @@
 
     #[test]
     fn a_written_configuration_parses_to_the_same_configuration() {
-        let config = fleet_config(3, &FleetPart::default(), |node| member_addr(16, node));
+        let config = fleet_config(3, &FleetSettings::default(), |node| member_addr(16, node));
         assert_eq!(FleetConfig::parse(&config_to_toml(&config)), Ok(config));
     }
 }
--- a/crates/coveroute-emu/src/fleet/proof.rs
+++ b/crates/coveroute-emu/src/fleet/proof.rs
@@ -16,8 +16,8 @@
 use super::processes::Processes;
 use crate::load::{load, Members, Plan};
 use crate::loopback::{self, taken_by};
-use crate::proof::{Place, Proof};
-use crate::scenario::{Direction, FleetPart, Scenario, What};
+use crate::proof::{Proof, ProofContext};
+use crate::scenario::{Direction, FaultKind, FleetSettings, Scenario};
 use crate::search::{drawn_fleet, search};
 use crate::world::NodeId;
 
@@ -32,20 +32,23 @@
 const SERVICE_PAIRS: usize = 3;
 
 /// The proof `fleet`: failure detection and equal tables.
-pub fn fleet(place: &Place) -> Result<Proof, String> {
+pub fn fleet(context: &ProofContext) -> Result<Proof, String> {
     let mut proof = Proof::new();
-    check_virtual_time(place.long, &mut proof);
-    let plans: &[(usize, usize, usize)] =
-        if place.long { &[(2, 16, 400_000), (3, 12, 250_000), (4, 10, 150_000)] } else { &[(2, 7, 30_000)] };
+    check_virtual_time(context.long, &mut proof);
+    let plans: &[(usize, usize, usize)] = if context.long {
+        &[(2, 16, 400_000), (3, 12, 250_000), (4, 10, 150_000)]
+    } else {
+        &[(2, 7, 30_000)]
+    };
     plans
         .iter()
         .for_each(|plan| explore_orders(&mut proof, *plan, &FleetModel::new(plan.0, 0.01), format_path));
-    check_all_faults(place.long, &mut proof)?;
-    let (nodes, kills, cuts, stall) = if place.long { (12, 50, 10, 20.0) } else { (5, 3, 1, 3.0) };
-    check_processes(&place.node, nodes, (kills, cuts, stall), &mut proof)?;
-    check_service(place, &mut proof)?;
-    if place.long {
-        check_call_cost(&place.node, &mut proof)?;
+    check_all_faults(context.long, &mut proof)?;
+    let (nodes, kills, cuts, stall) = if context.long { (12, 50, 10, 20.0) } else { (5, 3, 1, 3.0) };
+    check_processes(&context.node, nodes, (kills, cuts, stall), &mut proof)?;
+    check_service(context, &mut proof)?;
+    if context.long {
+        check_call_cost(&context.node, &mut proof)?;
     }
     Ok(proof)
 }
@@ -53,33 +56,33 @@
 /// Random schedules, figures by fleet size, and false deaths under loss, in virtual time.
 fn check_virtual_time(long: bool, proof: &mut Proof) {
     let all = run_schedules(1, if long { 10_000 } else { 300 });
-    proof.want(all.broken == 0, format!("schedules: {} breaches, {:?}", all.broken, all.breaches));
-    proof.want(
+    proof.require(all.broken == 0, format!("schedules: {} breaches, {:?}", all.broken, all.breaches));
+    proof.require(
         all.apart == 0,
         format!("schedules: tables differ after {} of them, seeds {:?}", all.apart, all.unequal),
     );
-    proof.want(
+    proof.require(
         all.ages.nearest <= 1.0,
         format!("a reported age is below the true one: ratio {}", all.ages.nearest),
     );
-    proof.want(all.ages.nearest >= 1.0 / 3.0, "no reported age is close to the true one".into());
+    proof.require(all.ages.nearest >= 1.0 / 3.0, "no reported age is close to the true one".into());
     proof.note("schedules", &all);
     let mut sizes = Vec::new();
     for (nodes, kills) in if long { vec![(12, 50), (30, 50), (300, 10), (1000, 3)] } else { vec![(30, 10)] } {
         let began = Instant::now();
         let size = measure_size(nodes, kills, 1);
-        proof.want(
+        proof.require(
             size.bytes <= 4096.0,
             format!("{nodes} nodes: {:.0} bytes per second each, at most 4096 allowed", size.bytes),
         );
-        proof.want(size.false_deaths == 0, format!("{nodes} nodes: {} false deaths", size.false_deaths));
+        proof.require(size.false_deaths == 0, format!("{nodes} nodes: {} false deaths", size.false_deaths));
         proof.note(&format!("size_{nodes}"), (&size, began.elapsed().as_secs_f64()));
         sizes.push(size);
     }
     if let (true, Some(least), Some(most)) = (long, sizes.get(1), sizes.last()) {
         let times = most.bytes / least.bytes;
         proof.note("bytes_30_to_1000", times);
-        proof.want(
+        proof.require(
             times <= 1.3,
             format!("{times:.2} times the bytes per node at 1,000 nodes as at 30, at most 1.3 allowed"),
         );
@@ -88,7 +91,7 @@
         let (seconds, seeds) = if long { (3600.0, 8) } else { (120.0, 8) };
         let deaths = false_deaths_an_hour(12, loss, seconds, seeds);
         proof.note(&format!("false_deaths_an_hour_{name}"), deaths);
-        proof.want(deaths == 0.0, format!("{name}: {deaths} false deaths per hour"));
+        proof.require(deaths == 0.0, format!("{name}: {deaths} false deaths per hour"));
     }
 }
 
@@ -98,7 +101,7 @@
     let searched = search(1, seeds, 0, false, drawn_fleet, || {})?;
     proof.note("searched", (seeds, searched.mean));
     for found in &searched.broken {
-        proof.want(false, format!("seed {}: {}", found.seed, found.words));
+        proof.require(false, format!("seed {}: {}", found.seed, found.words));
     }
     Ok(())
 }
@@ -117,7 +120,7 @@
     let violation = explored
         .violation
         .map(|violation| format!("{}: {}", format_path(&violation.steps), violation.description));
-    proof.want(violation.is_none(), format!("{nodes} nodes: {}", violation.unwrap_or_default()));
+    proof.require(violation.is_none(), format!("{nodes} nodes: {}", violation.unwrap_or_default()));
 }
 
 /// Quantiles of measured durations, in seconds.
@@ -143,7 +146,7 @@
     (kills, cuts, stall): (usize, usize, f64),
     proof: &mut Proof,
 ) -> Result<(), String> {
-    let mut fleet = Processes::start(program, nodes, FleetPart::default())?;
+    let mut fleet = Processes::start(program, nodes, FleetSettings::default())?;
     let all: Vec<NodeId> = (0..nodes).collect();
     let all_present = |p: &Processes| p.all_hold_states(&all, &all, &PRESENT) && p.agree_on_table(&all);
     let met_after =
@@ -163,7 +166,7 @@
         returned.push(fleet.wait_until(15.0, all_present).unwrap_or(f64::INFINITY));
     }
     let (known, returned) = (duration_quantiles(known), duration_quantiles(returned));
-    proof.want(
+    proof.require(
         known.p99 <= KILL_KNOWN_WITHIN,
         format!("all nodes know of a kill after {:.2} s, at most {KILL_KNOWN_WITHIN} allowed", known.p99),
     );
@@ -173,23 +176,26 @@
     for cut in 0..cuts {
         let side: Vec<NodeId> = (0..nodes * 5 / 12).map(|at| (at + cut) % nodes).collect();
         let rest: Vec<NodeId> = all.iter().copied().filter(|node| !side.contains(node)).collect();
-        fleet.inject_link_fault(What::LinkCut, 0.0, &side, Direction::Both);
+        fleet.inject_link_fault(FaultKind::LinkCut, 0.0, &side, Direction::Both);
         let both = |p: &Processes| {
             p.all_hold_states(&rest, &side, &["dead"]) && p.all_hold_states(&side, &rest, &["dead"])
         };
         detected.push(fleet.wait_until(15.0, both).unwrap_or(f64::INFINITY));
         let among =
             fleet.all_hold_states(&rest, &rest, &PRESENT) && fleet.all_hold_states(&side, &side, &PRESENT);
-        proof.want(among, format!("cut {cut}: a node does not hold a member of its own side to be present"));
+        proof.require(
+            among,
+            format!("cut {cut}: a node does not hold a member of its own side to be present"),
+        );
         fleet.heal();
         healed.push(fleet.wait_until(15.0, all_present).unwrap_or(f64::INFINITY));
     }
     let (detected, healed) = (duration_quantiles(detected), duration_quantiles(healed));
-    proof.want(
+    proof.require(
         detected.p99 <= CUT_KNOWN_WITHIN,
         format!("all nodes know of a cut after {:.2} s, at most {CUT_KNOWN_WITHIN} allowed", detected.p99),
     );
-    proof.want(
+    proof.require(
         healed.p99 <= CUT_END_KNOWN_WITHIN,
         format!("tables are equal {:.2} s after a cut, at most {CUT_END_KNOWN_WITHIN} allowed", healed.p99),
     );
@@ -199,7 +205,7 @@
     let rest: Vec<NodeId> = all.iter().copied().filter(|node| *node != stalled).collect();
     fleet.stall(stalled);
     std::thread::sleep(Duration::from_secs_f64(stall));
-    proof.want(
+    proof.require(
         fleet.all_hold_states(&rest, &[stalled], &["dead"]),
         format!("a node that was stalled for {stall} s is not declared dead"),
     );
@@ -207,7 +213,7 @@
     let refuted = fleet.wait_until(15.0, all_present).unwrap_or(f64::INFINITY);
     proof.note("stall_refuted", refuted);
     let words = format!("all nodes know of the end of a stall after {refuted:.2} s");
-    proof.want(
+    proof.require(
         refuted <= STALL_END_KNOWN_WITHIN,
         format!("{words}, at most {STALL_END_KNOWN_WITHIN} allowed"),
     );
@@ -225,22 +231,22 @@
 
 /// Compares the service of one scenario with and without a fleet, in pairs of consecutive runs. Load on the machine that
 /// affects both runs of a pair cancels out, and the median leaves out pairs in which it affected only one.
-fn check_service(place: &Place, proof: &mut Proof) -> Result<(), String> {
-    let mut scenario = Scenario::read(&place.scenarios.join("rehearsal-short.toml"))?;
+fn check_service(context: &ProofContext, proof: &mut Proof) -> Result<(), String> {
+    let mut scenario = Scenario::read(&context.scenarios.join("rehearsal-short.toml"))?;
     let mut pairs = [[0.0; 2]; SERVICE_PAIRS];
     for (pair, figures) in pairs.iter_mut().enumerate() {
         // The order alternates from pair to pair.
         for with in [pair % 2, 1 - pair % 2] {
-            scenario.fleet = (with == 1).then(FleetPart::default);
-            let options = loopback::Options { node: place.node.clone(), logs: None };
+            scenario.fleet = (with == 1).then(FleetSettings::default);
+            let options = loopback::Options { node: context.node.clone(), logs: None };
             let (outcome, _) = loopback::run(&scenario, scenario.seed, options)?;
-            proof.want(outcome.broken == 0, format!("service: {:?}", outcome.breaches.first()));
+            proof.require(outcome.broken == 0, format!("service: {:?}", outcome.breaches.first()));
             figures[with] = outcome.figure();
         }
     }
     proof.note("service_without_and_with", pairs);
     let difference = quantile(&mut pairs.map(|[without, with]| with - without), 0.5);
-    proof.want(
+    proof.require(
         difference >= -MAX_SERVICE_LOSS,
         format!(
             "service changes by {difference:.3} with a fleet, a loss of at most {MAX_SERVICE_LOSS} allowed"
@@ -254,7 +260,7 @@
     let mut costs = [Vec::new(), Vec::new()];
     for _ in 0..5 {
         for (with, costs) in costs.iter_mut().enumerate() {
-            let mut others = Processes::start(program, 5, FleetPart::default())?;
+            let mut others = Processes::start(program, 5, FleetSettings::default())?;
             others.kill(0);
             let (node, seconds) = (program.to_owned(), 3.0);
             let (file, member) = others.fleet_file(0);
@@ -265,7 +271,7 @@
     }
     let [without, with] = costs.map(|mut costs| quantile(&mut costs, 0.5));
     proof.note("cpu_us_a_call_without_and_with", [without, with]);
-    proof.want(
+    proof.require(
         with <= 1.1 * without,
         format!("{with:.1} us per call in a fleet, {without:.1} without, at most 1.1 times that allowed"),
     );
@@ -277,50 +283,50 @@
 const SHARE: f64 = 60.0;
 
 /// The proof `limits`: a share over all nodes is never exceeded, and is available where it is requested.
-pub fn limits(place: &Place) -> Result<Proof, String> {
+pub fn limits(context: &ProofContext) -> Result<Proof, String> {
     let mut proof = Proof::new();
-    let all = run_limited_schedules(1, if place.long { 10_000 } else { 300 });
-    proof.want(all.broken == 0, format!("schedules: {} breaches, {:?}", all.broken, all.breaches));
-    proof.want(
+    let all = run_limited_schedules(1, if context.long { 10_000 } else { 300 });
+    proof.require(all.broken == 0, format!("schedules: {} breaches, {:?}", all.broken, all.breaches));
+    proof.require(
         all.fullest >= 0.5,
         format!("the fullest window uses {:.2} of the bound, at least 0.5 wanted", all.fullest),
     );
     proof.note("schedules", &all);
     let plans: &[(usize, usize, usize)] =
-        if place.long { &[(2, 14, 400_000), (3, 10, 300_000)] } else { &[(2, 7, 30_000)] };
+        if context.long { &[(2, 14, 400_000), (3, 10, 300_000)] } else { &[(2, 7, 30_000)] };
     let format_path = |steps: &[model_limits::Step]| format!("{steps:?}");
     plans
         .iter()
         .for_each(|plan| explore_orders(&mut proof, *plan, &RightsModel::new(plan.0, 0.01), format_path));
-    for (nodes, rate) in if place.long { vec![(12, 120.0), (100, 1000.0)] } else { vec![(12, 120.0)] } {
+    for (nodes, rate) in if context.long { vec![(12, 120.0), (100, 1000.0)] } else { vec![(12, 120.0)] } {
         let (had, equal) = uneven_demand(nodes, 1, 60.0, (rate, 1.0));
         proof.note(&format!("uneven_{nodes}"), json!({ "had": had, "equal_parts": equal }));
-        proof.want(
+        proof.require(
             had >= 0.97,
             format!("{nodes} nodes: {had:.3} of a share with uneven demand is used, at least 0.97 wanted"),
         );
     }
     let small = small_limit(12, 1);
     proof.note("small_of_0.3_a_second", small);
-    proof.want(
+    proof.require(
         small >= 0.9,
         format!("{small:.2} of a share of 0.3 per second among 12 nodes is granted, at least 0.9 wanted"),
     );
     for (nodes, tenants) in
-        if place.long { vec![(12, 10), (12, 100), (100, 10), (100, 100)] } else { vec![(12, 10)] }
+        if context.long { vec![(12, 10), (12, 100), (100, 10), (100, 100)] } else { vec![(12, 10)] }
     {
         let bytes = bytes_with_limits(nodes, tenants);
         proof.note(&format!("bytes_{nodes}_nodes_{tenants}_tenants"), bytes);
     }
-    check_shared_limit(place, &mut proof)?;
+    check_shared_limit(context, &mut proof)?;
     Ok(proof)
 }
 
 /// Real processes with more demand than the share, under faults: monitors from outside what the nodes grant together.
-fn check_shared_limit(place: &Place, proof: &mut Proof) -> Result<(), String> {
-    let (nodes, rounds) = if place.long { (12, 12) } else { (5, 2) };
+fn check_shared_limit(context: &ProofContext, proof: &mut Proof) -> Result<(), String> {
+    let (nodes, rounds) = if context.long { (12, 12) } else { (5, 2) };
     let mut fleet =
-        Processes::start_with_share(&place.node, nodes, FleetPart::default(), Some((TENANT, SHARE)))?;
+        Processes::start_with_share(&context.node, nodes, FleetSettings::default(), Some((TENANT, SHARE)))?;
     let minted = |p: &Processes| {
         (0..nodes).all(|node| p.fleet_metrics(node).is_some_and(|f| f["mints"].as_u64() == Some(1)))
     };
@@ -329,13 +335,13 @@
     // Without faults: all demand at one node.
     callers[0].set_rate(0.95 * SHARE);
     std::thread::sleep(Duration::from_secs(2));
-    let within = |p: &Processes, node: NodeId| p.limit_counts(node, TENANT).unwrap_or_default();
-    let before = within(&fleet, 0);
+    let limit_counts = |p: &Processes, node: NodeId| p.limit_counts(node, TENANT).unwrap_or_default();
+    let before = limit_counts(&fleet, 0);
     std::thread::sleep(Duration::from_secs(5));
-    let after = within(&fleet, 0);
+    let after = limit_counts(&fleet, 0);
     let had = (after.1 - before.1) / (after.0 - before.0).max(1.0);
     proof.note("all_at_one_node", had);
-    proof.want(
+    proof.require(
         had >= 0.95,
         format!("all demand at one node: {had:.3} of it is within the share, at least 0.95 wanted"),
     );
@@ -346,7 +352,7 @@
     for round in 0..rounds {
         let (one, two) = (round % nodes, (round + nodes / 2) % nodes);
         let side: Vec<NodeId> = (0..nodes * 5 / 12).map(|at| (at + round) % nodes).collect();
-        fleet.inject_link_fault(What::LinkCut, 0.0, &side, Direction::Both);
+        fleet.inject_link_fault(FaultKind::LinkCut, 0.0, &side, Direction::Both);
         monitor.observe(&fleet, start, 3.0, proof);
         fleet.stall(one);
         monitor.observe(&fleet, start, 3.0, proof);
@@ -391,7 +397,7 @@
     }
 
     fn kill(&mut self, fleet: &mut Processes, node: NodeId) {
-        let had = fleet.limit_counts(node, TENANT).map_or(self.last[node], |within| within.1);
+        let had = fleet.limit_counts(node, TENANT).map_or(self.last[node], |counts| counts.1);
         fleet.kill(node);
         self.ended += had.max(self.last[node]);
         self.last[node] = 0.0;
@@ -404,15 +410,15 @@
         while start.elapsed().as_secs_f64() < until {
             let from = start.elapsed().as_secs_f64();
             for node in fleet.running() {
-                let within = fleet.limit_counts(node, TENANT);
-                self.last[node] = within.map_or(self.last[node], |within| within.1.max(self.last[node]));
+                let counts = fleet.limit_counts(node, TENANT);
+                self.last[node] = counts.map_or(self.last[node], |counts| counts.1.max(self.last[node]));
             }
             let (to, had) = (start.elapsed().as_secs_f64(), self.ended + self.last.iter().sum::<f64>());
             for (at, before) in &self.samples {
                 let most = SHARE * (to - at) * 1.02 + SHARE + 1.0;
                 self.windows += 1;
                 self.fullest = self.fullest.max((had - before) / most);
-                proof.want(
+                proof.require(
                     had - before <= most,
                     format!("{} used in {:.2} s, at most {most:.1} allowed", had - before, to - at),
                 );
--- a/crates/coveroute-emu/src/fleet/simulation.rs
+++ b/crates/coveroute-emu/src/fleet/simulation.rs
@@ -14,8 +14,8 @@
 use super::checker::Checker;
 use super::links::Links;
 use crate::queue::Queue;
-use crate::scenario::{FleetPart, Scenario};
-use crate::world::{NodeId, Order};
+use crate::scenario::{FleetSettings, Scenario};
+use crate::world::{NodeCommand, NodeId};
 
 /// Datagrams that the socket of a stalled process buffers: the usual buffer size over the usual datagram size. Further
 /// ones are lost.
@@ -34,16 +34,20 @@
 }
 
 /// The operators' file for a fleet of `nodes` nodes; `addr` gives a member's address.
-pub fn fleet_config(nodes: usize, part: &FleetPart, addr: impl Fn(NodeId) -> SocketAddr) -> FleetConfig {
-    let all = nodes + part.absent.0;
+pub fn fleet_config(
+    nodes: usize,
+    settings: &FleetSettings,
+    addr: impl Fn(NodeId) -> SocketAddr,
+) -> FleetConfig {
+    let all = nodes + settings.absent.0;
     let entry = |node: NodeId| {
         let (zone, machine) = (String::new(), String::new());
         (member(node), MemberConfig { address: addr(node), zone, machine })
     };
     let members = (0..all).map(entry).collect();
     let usual = Detector::default();
-    let suspicion = usual.suspicion * part.every.0 / usual.every;
-    let detector = Detector { every: part.every.0, suspicion, drift: part.drift.0.min(0.1), ..usual };
+    let suspicion = usual.suspicion * settings.every.0 / usual.every;
+    let detector = Detector { every: settings.every.0, suspicion, drift: settings.drift.0.min(0.1), ..usual };
     FleetConfig {
         fleet: "stage".into(),
         members,
@@ -102,7 +106,7 @@
 
 /// The simulated fleet.
 pub struct FleetSimulation {
-    part: FleetPart,
+    settings: FleetSettings,
     config: FleetConfig,
     terms: Option<LimitTerms>,
     /// Uses that were requested, and those of them that were granted.
@@ -124,17 +128,17 @@
 
 impl FleetSimulation {
     pub fn new(scenario: &Scenario, seed: u64, zones: &[String]) -> Self {
-        let part = scenario.fleet.clone().unwrap_or_default();
+        let settings = scenario.fleet.clone().unwrap_or_default();
         let count = zones.len();
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x57a6e);
-        let drift = part.drift.0.min(0.1);
+        let drift = settings.drift.0.min(0.1);
         let mut sim_node = |_| {
             let (rate, offset) = (1.0 + drift * rng.random_range(-1.0..=1.0), rng.random_range(0.0..1e6));
             let (fleet, rights, stalled) = (None, None, None);
             SimNode { fleet, process: 0, rate, offset, rights, demand: 0.0, stalled, count: 0 }
         };
         let nodes: Vec<SimNode> = (0..count).map(&mut sim_node).collect();
-        let config = fleet_config(count, &part, addr);
+        let config = fleet_config(count, &settings, addr);
         let members: Vec<Id> = (0..count).map(|node| Id::of(&member(node))).collect();
         let ids = members.iter().copied().enumerate().map(|(node, id)| (id, node)).collect();
         let mut queue = Queue::new();
@@ -143,7 +147,7 @@
         }
         FleetSimulation {
             links: Links::new(scenario, seed, zones),
-            part,
+            settings,
             config,
             terms: None,
             wanted: 0,
@@ -181,13 +185,13 @@
             Event::Arrival(from, to, bytes) => self.deliver(now, from, to, bytes),
             Event::Tick(node, process) if self.nodes[node].process == process => self.tick(now, node),
             Event::Write(node, process)
-                if self.nodes[node].process == process && self.part.writes.0 > 0.0 =>
+                if self.nodes[node].process == process && self.settings.writes.0 > 0.0 =>
             {
                 if self.nodes[node].is_running() {
                     let key = self.rng.random_range(0..4);
                     self.write(now, node, key);
                 }
-                let again = self.part.writes.0 * self.rng.random_range(0.5..1.5);
+                let again = self.settings.writes.0 * self.rng.random_range(0.5..1.5);
                 self.queue.push(now + again, Event::Write(node, process));
             }
             Event::Use(node, process) if self.nodes[node].process == process => {
@@ -204,15 +208,15 @@
 
     // Node processes.
 
-    pub fn order(&mut self, now: f64, node: NodeId, order: Order) {
-        match order {
-            Order::Start => self.start(now, node, false),
-            Order::StartBack => self.start(now, node, true),
-            Order::Kill => self.kill(node),
-            Order::Stop => self.leave(now, node),
-            Order::Stall => self.nodes[node].stalled = Some(Vec::new()),
-            Order::Wake => self.wake(now, node),
-            Order::Reload | Order::Retune | Order::Replace => {}
+    pub fn execute_command(&mut self, now: f64, node: NodeId, command: NodeCommand) {
+        match command {
+            NodeCommand::Start => self.start(now, node, false),
+            NodeCommand::StartBack => self.start(now, node, true),
+            NodeCommand::Kill => self.kill(node),
+            NodeCommand::Stop => self.leave(now, node),
+            NodeCommand::Stall => self.nodes[node].stalled = Some(Vec::new()),
+            NodeCommand::Wake => self.wake(now, node),
+            NodeCommand::Reload | NodeCommand::Retune | NodeCommand::Replace => {}
         }
     }
 
@@ -234,7 +238,7 @@
         let fleet = Fleet::new(node_state.local_time(now), &member(node), self.config.clone(), count, mark);
         (node_state.fleet, node_state.process, node_state.stalled, node_state.count) =
             (fleet.ok(), process, None, node_state.count.max(count));
-        let phase = self.rng.random_range(0.0..self.part.every.0);
+        let phase = self.rng.random_range(0.0..self.settings.every.0);
         if let (Some(terms), Some(fleet)) = (&self.terms, &node_state.fleet) {
             let (local_time, incarnation) = (node_state.local_time(now), fleet.incarnation());
             node_state.rights =
@@ -242,7 +246,7 @@
             self.schedule_use(now, node);
         }
         self.queue.push(now, Event::Tick(node, process));
-        if self.part.writes.0 > 0.0 {
+        if self.settings.writes.0 > 0.0 {
             self.queue.push(now + phase * 5.0, Event::Write(node, process));
         }
     }
@@ -290,7 +294,7 @@
 
     /// Stops the nodes' own writes, for tests that wait until all tables are equal.
     pub fn stop_writing(&mut self) {
-        self.part.writes.0 = 0.0;
+        self.settings.writes.0 = 0.0;
     }
 
     // Limits.
--- a/crates/coveroute-emu/src/fleet/tests.rs
+++ b/crates/coveroute-emu/src/fleet/tests.rs
@@ -5,13 +5,13 @@
 
 use super::measure::started_simulation;
 use super::simulation::FleetSimulation;
-use crate::scenario::{Count, Direction, FleetPart, Scenario, Span, What};
-use crate::world::{NodeId, Order};
+use crate::scenario::{Count, Direction, FaultKind, FleetSettings, Scenario, Span};
+use crate::world::{NodeCommand, NodeId};
 
 /// A fleet in which each node writes, after 5 s without faults.
 fn settled_simulation(nodes: usize, seed: u64) -> FleetSimulation {
     let mut simulation =
-        started_simulation(nodes, seed, FleetPart { writes: Span(1.0), ..FleetPart::default() });
+        started_simulation(nodes, seed, FleetSettings { writes: Span(1.0), ..FleetSettings::default() });
     simulation.run_until(5.0);
     simulation
 }
@@ -39,7 +39,7 @@
 #[test_case(12; "twelve")]
 #[test_case(60; "sixty")]
 fn nodes_that_start_together_find_each_other(nodes: usize) {
-    let mut simulation = started_simulation(nodes, 1, FleetPart::default());
+    let mut simulation = started_simulation(nodes, 1, FleetSettings::default());
     let all = range(0, nodes);
     let known = simulation.run_until_true(0.0, 5.0, |simulation| {
         all_hold_states(simulation, &all, &all, &PRESENT) && simulation.agree()
@@ -77,7 +77,7 @@
 #[test_case(Direction::In; "cannot receive")]
 fn a_node_cut_off_one_way_is_declared_dead_and_returns(way: Direction) {
     let mut simulation = settled_simulation(12, 2);
-    simulation.links.inject(5.0, What::LinkCut, 0.0, &[4], way);
+    simulation.links.inject(5.0, FaultKind::LinkCut, 0.0, &[4], way);
     let others: Vec<NodeId> = range(0, 12).into_iter().filter(|node| *node != 4).collect();
     let declared_dead = simulation
         .run_until_true(5.0, 20.0, |simulation| all_hold_states(simulation, &others, &[4], &[State::Dead]));
@@ -99,7 +99,7 @@
 #[test]
 fn a_stalled_node_returns_soon_and_declares_nobody_dead() {
     let mut simulation = settled_simulation(12, 3);
-    simulation.order(5.0, 7, Order::Stall);
+    simulation.execute_command(5.0, 7, NodeCommand::Stall);
     let others: Vec<NodeId> = range(0, 12).into_iter().filter(|node| *node != 7).collect();
     simulation.run_until(25.0);
     assert!(all_hold_states(&simulation, &others, &[7], &[State::Dead]));
@@ -115,7 +115,7 @@
 #[test]
 fn loss_of_30_percent_causes_no_false_deaths() {
     let mut simulation = settled_simulation(12, 4);
-    simulation.links.inject(5.0, What::LinkLoss, 0.3, &[], Direction::Both);
+    simulation.links.inject(5.0, FaultKind::LinkLoss, 0.3, &[], Direction::Both);
     simulation.run_until(125.0);
     assert_eq!(false_deaths(&simulation), 0);
     assert_no_breaches(&simulation);
@@ -127,7 +127,7 @@
 fn tables_are_equal_again_after_a_cut_of_a_minute(side: usize) {
     let mut simulation = settled_simulation(12, 5);
     let (cut, rest, all) = (range(0, side), range(side, 12), range(0, 12));
-    simulation.links.inject(5.0, What::LinkCut, 0.0, &cut, Direction::Both);
+    simulation.links.inject(5.0, FaultKind::LinkCut, 0.0, &cut, Direction::Both);
     let known = simulation
         .run_until_true(5.0, 15.0, |simulation| all_hold_states(simulation, &rest, &cut, &[State::Dead]));
     assert!(known.is_some_and(|at| at < 8.0), "{known:?}");
@@ -177,7 +177,8 @@
 
 #[test]
 fn a_member_that_never_started_is_not_dead() {
-    let mut simulation = started_simulation(4, 7, FleetPart { absent: Count(2), ..FleetPart::default() });
+    let mut simulation =
+        started_simulation(4, 7, FleetSettings { absent: Count(2), ..FleetSettings::default() });
     simulation.run_until(30.0);
     let unseen = simulation.figures(30.0, 0).map(|figures| figures.members[&State::Unseen]);
     assert_eq!(
@@ -189,7 +190,7 @@
 #[test]
 fn a_node_that_leaves_is_not_declared_dead() {
     let mut simulation = settled_simulation(12, 8);
-    simulation.order(5.0, 9, Order::Stop);
+    simulation.execute_command(5.0, 9, NodeCommand::Stop);
     simulation.run_until(5.05);
     simulation.kill(9);
     simulation.run_until(8.0);
@@ -199,14 +200,14 @@
 }
 
 /// Guards against faults from datagrams that arrive twice, late, out of order or damaged.
-#[test_case(What::LinkDoubles, 0.5; "doubled")]
-#[test_case(What::LinkReorders, 0.5; "out of order")]
-#[test_case(What::LinkCorrupts, 0.2; "damaged")]
-#[test_case(What::LinkDelay, 0.08; "late")]
-#[test_case(What::LinkSlow, 6000.0; "slow")]
-fn link_faults_break_no_rules(what: What, by: f64) {
+#[test_case(FaultKind::LinkDoubles, 0.5; "doubled")]
+#[test_case(FaultKind::LinkReorders, 0.5; "out of command")]
+#[test_case(FaultKind::LinkCorrupts, 0.2; "damaged")]
+#[test_case(FaultKind::LinkDelay, 0.08; "late")]
+#[test_case(FaultKind::LinkSlow, 6000.0; "slow")]
+fn link_faults_break_no_rules(kind: FaultKind, by: f64) {
     let mut simulation = settled_simulation(8, 9);
-    simulation.links.inject(5.0, what, by, &[], Direction::Both);
+    simulation.links.inject(5.0, kind, by, &[], Direction::Both);
     simulation.run_until(35.0);
     assert_eq!(false_deaths(&simulation), 0);
     simulation.links.heal();
@@ -220,8 +221,9 @@
 #[test_case(0.0; "no drift")]
 #[test_case(0.01; "one percent")]
 fn reported_ages_are_at_least_the_true_ones_and_close(drift: f64) {
-    let part = FleetPart { drift: crate::scenario::Part(drift), writes: Span(20.0), ..FleetPart::default() };
-    let mut simulation = started_simulation(20, 10, part);
+    let settings =
+        FleetSettings { drift: crate::scenario::Part(drift), writes: Span(20.0), ..FleetSettings::default() };
+    let mut simulation = started_simulation(20, 10, settings);
     simulation.run_until(120.0);
     let ages = simulation.checker.ages;
     assert!(ages.nearest <= 1.0 && ages.nearest > 0.9, "{ages:?}");
@@ -234,7 +236,7 @@
 fn the_same_seed_gives_the_same_run() {
     let run = || {
         let mut simulation = settled_simulation(8, 11);
-        simulation.links.inject(5.0, What::LinkLoss, 0.2, &[], Direction::Both);
+        simulation.links.inject(5.0, FaultKind::LinkLoss, 0.2, &[], Direction::Both);
         simulation.run_until(15.0);
         (simulation.events, simulation.checker.ages, simulation.state_changes.clone())
     };
--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -30,7 +30,7 @@
 
 use crate::fleet::simulation;
 use crate::loopback::taken_by;
-use crate::scenario::{FleetPart, Scenario};
+use crate::scenario::{FleetSettings, Scenario};
 use crate::settings;
 use crate::world::NodeId;
 
@@ -311,7 +311,7 @@
             Members::File(file, member) => Some((file, member)),
             Members::Each => {
                 let at = |node| SocketAddr::from(([127, block, 252, node as u8], 9400));
-                let mut fleet = simulation::fleet_config(self.plan.nodes, &FleetPart::default(), at);
+                let mut fleet = simulation::fleet_config(self.plan.nodes, &FleetSettings::default(), at);
                 fleet.limits.tenants = self.plan.tenants > 0;
                 let text = crate::fleet::processes::config_to_toml(&fleet);
                 Some((self.file(format!("{number}-{node}.toml"), &text)?, simulation::member(node)))
--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -36,7 +36,7 @@
 use crate::world::invariants::FinalAnswer;
 use crate::world::worker::Liveness;
 use crate::world::{
-    call, name, tri_of, Delivery, JobUpdate, NodeId, Order, Outcome, Output, TryId, WorkerId, World,
+    call, name, tri_of, Delivery, JobUpdate, NodeCommand, NodeId, Outcome, Output, TryId, WorkerId, World,
 };
 
 /// On a busy machine a forward may be seen, on arrival, this long after it was sent.
@@ -308,7 +308,7 @@
                 self.world.borrow_mut().listed(now, node, &listing);
             }
             Output::Lost { node, watch, .. } => drop(self.watches.borrow_mut().remove(&(node, watch))),
-            Output::Node { node, order } => self.order(node, order),
+            Output::Node { node, command } => self.execute_command(node, command),
         }
     }
 
@@ -362,9 +362,9 @@
             known
         };
         self.configure(node, &known, false)?;
-        if let Some(part) = &self.world.borrow().scenario.fleet {
+        if let Some(settings) = &self.world.borrow().scenario.fleet {
             let nodes = self.world.borrow().nodes.len();
-            let (path, config) = (self.member_file(node), config_for_node(self.block, nodes, part, node));
+            let (path, config) = (self.member_file(node), config_for_node(self.block, nodes, settings, node));
             std::fs::write(&path, config_to_toml(&config)).map_err(|e| format!("{}: {e}", path.display()))?;
         }
         let process = self.spawn(node)?;
@@ -541,18 +541,18 @@
         self.wakeup.notify_one();
     }
 
-    fn order(self: &Rc<Self>, node: NodeId, order: Order) {
-        let signal = match order {
-            Order::Start | Order::StartBack => return self.start(node),
-            Order::Kill => Signal::SIGKILL,
-            Order::Stall => Signal::SIGSTOP,
-            Order::Wake => Signal::SIGCONT,
-            Order::Stop => Signal::SIGTERM,
-            Order::Reload => Signal::SIGHUP,
-            Order::Retune => return drop(spawn_local(self.clone().retune(node))),
-            Order::Replace => return drop(spawn_local(self.clone().replace(node))),
+    fn execute_command(self: &Rc<Self>, node: NodeId, command: NodeCommand) {
+        let signal = match command {
+            NodeCommand::Start | NodeCommand::StartBack => return self.start(node),
+            NodeCommand::Kill => Signal::SIGKILL,
+            NodeCommand::Stall => Signal::SIGSTOP,
+            NodeCommand::Wake => Signal::SIGCONT,
+            NodeCommand::Stop => Signal::SIGTERM,
+            NodeCommand::Reload => Signal::SIGHUP,
+            NodeCommand::Retune => return drop(spawn_local(self.clone().retune(node))),
+            NodeCommand::Replace => return drop(spawn_local(self.clone().replace(node))),
         };
-        let keeps_running = matches!(order, Order::Reload | Order::Stall | Order::Wake);
+        let keeps_running = matches!(command, NodeCommand::Reload | NodeCommand::Stall | NodeCommand::Wake);
         self.single_process.borrow_mut()[node] &= keeps_running;
         self.measure(node);
         let now = self.now();
@@ -562,10 +562,10 @@
         }) else {
             return;
         };
-        match order {
+        match command {
             // Reported before its connections break, so that the tries it held are void.
-            Order::Kill => self.world.borrow_mut().node_gone(now, node),
-            Order::Stop => {
+            NodeCommand::Kill => self.world.borrow_mut().node_gone(now, node),
+            NodeCommand::Stop => {
                 self.world.borrow_mut().node_stopping(now, node);
                 let harness = self.clone();
                 spawn_local(async move {
@@ -575,9 +575,13 @@
                     }
                 });
             }
-            Order::Stall => self.world.borrow_mut().invariants.pause_node(now, node),
-            Order::Wake => self.world.borrow_mut().invariants.resume_node(now, node),
-            Order::Start | Order::StartBack | Order::Reload | Order::Retune | Order::Replace => {}
+            NodeCommand::Stall => self.world.borrow_mut().invariants.pause_node(now, node),
+            NodeCommand::Wake => self.world.borrow_mut().invariants.resume_node(now, node),
+            NodeCommand::Start
+            | NodeCommand::StartBack
+            | NodeCommand::Reload
+            | NodeCommand::Retune
+            | NodeCommand::Replace => {}
         }
         let _ = kill(Pid::from_raw(pid), signal);
     }
--- a/crates/coveroute-emu/src/main.rs
+++ b/crates/coveroute-emu/src/main.rs
@@ -6,7 +6,7 @@
 use coveroute_emu::compare::{compare, Side};
 use coveroute_emu::fleet::model::{self, FleetModel};
 use coveroute_emu::load::{load, Plan};
-use coveroute_emu::proof::Place;
+use coveroute_emu::proof::ProofContext;
 use coveroute_emu::prove::prove;
 use coveroute_emu::scenario::Scenario;
 use coveroute_emu::search::{drawn, drawn_fleet, search, Found};
@@ -318,7 +318,7 @@
             write(&to.with_extension("csv"), &report::csv(&samples))
         }
         Command::Prove { name, long, scenarios, node } => {
-            let proof = prove(&name, &Place { scenarios, node: program(node), long })?;
+            let proof = prove(&name, &ProofContext { scenarios, node: program(node), long })?;
             println!(
                 "{}",
                 json!({ "proof": name, "long": long, "figures": proof.figures, "short_of": proof.short_of })
--- a/crates/coveroute-emu/src/proof.rs
+++ b/crates/coveroute-emu/src/proof.rs
@@ -20,15 +20,15 @@
         self.figures[name] = json!(figure);
     }
 
-    pub fn want(&mut self, holds: bool, words: String) {
+    pub fn require(&mut self, holds: bool, message: String) {
         if !holds {
-            self.short_of.push(words);
+            self.short_of.push(message);
         }
     }
 }
 
 /// Where a proof finds the scenarios and the node's program. Proofs are run from the repository.
-pub struct Place {
+pub struct ProofContext {
     pub scenarios: PathBuf,
     pub node: PathBuf,
     pub long: bool,
--- a/crates/coveroute-emu/src/prove.rs
+++ b/crates/coveroute-emu/src/prove.rs
@@ -7,7 +7,7 @@
 use crate::capacity::capacity;
 use crate::fleet::proof::{fleet, limits};
 use crate::loopback;
-use crate::proof::{Place, Proof};
+use crate::proof::{Proof, ProofContext};
 use crate::scenario::Scenario;
 use crate::search::{drawn, search};
 use crate::sink::Digest;
@@ -15,13 +15,13 @@
 
 pub const NAMES: [&str; 5] = ["emulator", "daily", "fleet", "limits", "capacity"];
 
-pub fn prove(name: &str, place: &Place) -> Result<Proof, String> {
+pub fn prove(name: &str, context: &ProofContext) -> Result<Proof, String> {
     match name {
-        "emulator" => emulator(place),
-        "daily" => daily(place),
-        "fleet" => fleet(place),
-        "limits" => limits(place),
-        "capacity" => capacity(place),
+        "emulator" => emulator(context),
+        "daily" => daily(context),
+        "fleet" => fleet(context),
+        "limits" => limits(context),
+        "capacity" => capacity(context),
         other => Err(format!("unknown proof {other}; available: {}", NAMES.join(", "))),
     }
 }
@@ -44,65 +44,70 @@
 
 /// Proves the emulator itself: runs repeat exactly in virtual time, loopback agrees with virtual time, and
 /// search finds no breach.
-fn emulator(place: &Place) -> Result<Proof, String> {
+fn emulator(context: &ProofContext) -> Result<Proof, String> {
     let mut proof = Proof::new();
-    let path = place.scenarios.join(if place.long { "rehearsal.toml" } else { "rehearsal-short.toml" });
+    let path = context.scenarios.join(if context.long { "rehearsal.toml" } else { "rehearsal-short.toml" });
     let scenario = Scenario::read(&path)?;
     let (figure, digest, same, broken) = run_twice(&scenario)?;
     proof.note("virtual", figure);
     proof.note("events", digest.events);
-    proof.want(same, "two virtual runs of one seed differ".into());
-    proof.want(broken == 0, format!("{broken} rules broken in virtual time"));
-    let runs = if place.long { 5 } else { 1 };
+    proof.require(same, "two virtual runs of one seed differ".into());
+    proof.require(broken == 0, format!("{broken} rules broken in virtual time"));
+    let runs = if context.long { 5 } else { 1 };
     let mut figures = Vec::new();
     for _ in 0..runs {
-        let options = loopback::Options { node: place.node.clone(), logs: None };
+        let options = loopback::Options { node: context.node.clone(), logs: None };
         let (outcome, machines) = loopback::run(&scenario, scenario.seed, options)?;
         proof.note("machines", machines);
-        proof.want(outcome.broken == 0, format!("loopback: {:?}", outcome.breaches.first()));
-        proof.want(outcome.counts.duplicates == 0, "loopback: a payment ran twice".into());
+        proof.require(outcome.broken == 0, format!("loopback: {:?}", outcome.breaches.first()));
+        proof.require(outcome.counts.duplicates == 0, "loopback: a payment ran twice".into());
         figures.push(outcome.figure());
     }
     let (mean, relative_spread) = spread(&figures);
     proof.note("loopback", &figures);
     proof.note("loopback_spread", relative_spread);
-    proof
-        .want(relative_spread <= 0.03, format!("loopback runs differ by {relative_spread:.3}, 0.03 allowed"));
+    proof.require(
+        relative_spread <= 0.03,
+        format!("loopback runs differ by {relative_spread:.3}, 0.03 allowed"),
+    );
     let off = (mean - figure).abs() / figure;
     proof.note("loopback_off_virtual", off);
-    proof.want(off <= 0.05, format!("the loopback mean differs by {off:.3} from virtual time, 0.05 allowed"));
+    proof.require(
+        off <= 0.05,
+        format!("the loopback mean differs by {off:.3} from virtual time, 0.05 allowed"),
+    );
     for name in SCENARIOS {
-        let scenario = Scenario::read(&place.scenarios.join(name))?;
+        let scenario = Scenario::read(&context.scenarios.join(name))?;
         let (figure, _, same, broken) = run_twice(&scenario)?;
         proof.note(name, figure);
-        proof.want(same && broken == 0, format!("{name}: runs equal: {same}, {broken} rules broken"));
+        proof.require(same && broken == 0, format!("{name}: runs equal: {same}, {broken} rules broken"));
     }
-    let seeds = if place.long { 10_000 } else { 300 };
+    let seeds = if context.long { 10_000 } else { 300 };
     let searched = search(1, seeds, 0, false, drawn, || {})?;
     proof.note("searched", seeds);
     proof.note("search_mean", searched.mean);
     proof.note("search_seconds", searched.wall);
     for found in &searched.broken {
-        proof.want(false, format!("seed {}: {}", found.seed, found.words));
+        proof.require(false, format!("seed {}: {}", found.seed, found.words));
     }
-    if place.long {
-        measure_sizes(&place.scenarios, &mut proof)?;
+    if context.long {
+        measure_sizes(&context.scenarios, &mut proof)?;
     }
     Ok(proof)
 }
 
 /// Proves daily operation with real processes under load: replacing processes, changing settings, and
 /// metrics that match what clients saw.
-fn daily(place: &Place) -> Result<Proof, String> {
+fn daily(context: &ProofContext) -> Result<Proof, String> {
     let mut proof = Proof::new();
     for name in ["replace.toml", "retune.toml"] {
-        let scenario = Scenario::read(&place.scenarios.join(name))?;
-        let options = loopback::Options { node: place.node.clone(), logs: None };
+        let scenario = Scenario::read(&context.scenarios.join(name))?;
+        let options = loopback::Options { node: context.node.clone(), logs: None };
         let (outcome, _) = loopback::run(&scenario, scenario.seed, options)?;
         proof.note(name, outcome.figure());
-        proof.want(outcome.broken == 0, format!("{name}: {:?}", outcome.breaches.first()));
-        proof.want(outcome.counts.duplicates == 0, format!("{name}: a payment ran twice"));
-        proof.want(
+        proof.require(outcome.broken == 0, format!("{name}: {:?}", outcome.breaches.first()));
+        proof.require(outcome.counts.duplicates == 0, format!("{name}: a payment ran twice"));
+        proof.require(
             outcome.figure() >= 0.9,
             format!("{name}: {:.3} served in time, 0.9 required", outcome.figure()),
         );
@@ -129,8 +134,8 @@
             "figure": outcome.figure(), "times_real": real, "events_a_second": pace.events as f64 / pace.wall,
             "peak_mb": loopback::taken_by(std::process::id() as i32).peak_mb, "broken": outcome.broken,
         }));
-        proof.want(times.is_none_or(|times| real >= times), format!("{name}: {real:.1} times real time"));
-        proof.want(outcome.broken == 0, format!("{name}: {:?}", outcome.breaches.first()));
+        proof.require(times.is_none_or(|times| real >= times), format!("{name}: {real:.1} times real time"));
+        proof.require(outcome.broken == 0, format!("{name}: {:?}", outcome.breaches.first()));
     }
     Ok(())
 }
--- a/crates/coveroute-emu/src/scenario.rs
+++ b/crates/coveroute-emu/src/scenario.rs
@@ -85,7 +85,7 @@
     pub platform: Platform,
     /// The fleet: nodes that know each other, over links that can fail.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<FleetPart>,
+    pub fleet: Option<FleetSettings>,
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
@@ -93,7 +93,7 @@
 /// How the nodes of a fleet know each other; the members are n0, n1 and so on.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct FleetPart {
+pub struct FleetSettings {
     /// Interval at which a member is probed.
     pub every: Positive,
     /// One-way latency between nodes; each datagram adds a random delay of up to as much again.
@@ -106,10 +106,10 @@
     pub absent: Count,
 }
 
-impl Default for FleetPart {
+impl Default for FleetSettings {
     fn default() -> Self {
         let (every, latency, drift) = (Positive(0.15), Span(0.0005), Part(0.01));
-        FleetPart { every, latency, drift, writes: Span(0.0), absent: Count(0) }
+        FleetSettings { every, latency, drift, writes: Span(0.0), absent: Count(0) }
     }
 }
 
@@ -396,7 +396,7 @@
     /// 0 for a momentary fault, or one that lasts to the end.
     #[serde(default, rename = "for")]
     pub lasts: Span,
-    pub what: What,
+    pub what: FaultKind,
     /// The strength, for faults that have one: a fraction (`stolen`, `errors`, `loses`, `gives-back`,
     /// `resets-before`, `resets-after`), seconds (`late-news`, `slow-acks`, `old-reports`, `latency`,
     /// `list-late`), a multiple (`surge`, `heavy`) or a count (`connections`).
@@ -444,7 +444,7 @@
 /// The kind of a fault, in workers, the network, discovery, nodes or clients.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Accepts and runs jobs but sends nothing; sends the results when the fault ends.
     Silent,
     /// Like `Silent`, but the worker dies at the end.
@@ -517,7 +517,7 @@
 
 /// Where a fault takes effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
+pub enum FaultScope {
     Workers,
     Network,
     List,
@@ -537,95 +537,102 @@
     Rate,
 }
 
-impl What {
+impl FaultKind {
     /// The faults that search adds for fleets.
-    pub const FLEET: [What; 9] = [
-        What::LinkCut,
-        What::LinkLoss,
-        What::LinkDelay,
-        What::LinkDoubles,
-        What::LinkReorders,
-        What::LinkCorrupts,
-        What::LinkSlow,
-        What::NodesStall,
-        What::NodesSetBack,
+    pub const FLEET: [FaultKind; 9] = [
+        FaultKind::LinkCut,
+        FaultKind::LinkLoss,
+        FaultKind::LinkDelay,
+        FaultKind::LinkDoubles,
+        FaultKind::LinkReorders,
+        FaultKind::LinkCorrupts,
+        FaultKind::LinkSlow,
+        FaultKind::NodesStall,
+        FaultKind::NodesSetBack,
     ];
 
     /// The faults that search draws from: all that virtual time supports without a fleet. The order is
     /// fixed, since recorded seeds depend on it.
-    pub const ALL: [What; 29] = [
-        What::Silent,
-        What::SilentThenDies,
-        What::Pause,
-        What::Stolen,
-        What::Errors,
-        What::Loses,
-        What::GivesBack,
-        What::LateNews,
-        What::DoubledNews,
-        What::SlowAcks,
-        What::OldReports,
-        What::Connections,
-        What::Dies,
-        What::Vanishes,
-        What::Drains,
-        What::Release,
-        What::ResetsBefore,
-        What::ResetsAfter,
-        What::Latency,
-        What::Partition,
-        What::ListDown,
-        What::ListLate,
-        What::ListStale,
-        What::ListEmpty,
-        What::NodesKilled,
-        What::NodesStop,
-        What::NodesReload,
-        What::Surge,
-        What::Heavy,
+    pub const ALL: [FaultKind; 29] = [
+        FaultKind::Silent,
+        FaultKind::SilentThenDies,
+        FaultKind::Pause,
+        FaultKind::Stolen,
+        FaultKind::Errors,
+        FaultKind::Loses,
+        FaultKind::GivesBack,
+        FaultKind::LateNews,
+        FaultKind::DoubledNews,
+        FaultKind::SlowAcks,
+        FaultKind::OldReports,
+        FaultKind::Connections,
+        FaultKind::Dies,
+        FaultKind::Vanishes,
+        FaultKind::Drains,
+        FaultKind::Release,
+        FaultKind::ResetsBefore,
+        FaultKind::ResetsAfter,
+        FaultKind::Latency,
+        FaultKind::Partition,
+        FaultKind::ListDown,
+        FaultKind::ListLate,
+        FaultKind::ListStale,
+        FaultKind::ListEmpty,
+        FaultKind::NodesKilled,
+        FaultKind::NodesStop,
+        FaultKind::NodesReload,
+        FaultKind::Surge,
+        FaultKind::Heavy,
     ];
 
-    pub fn place(self) -> Place {
+    pub fn scope(self) -> FaultScope {
         match self {
-            What::ResetsBefore | What::ResetsAfter | What::Latency | What::Partition => Place::Network,
-            What::ListDown | What::ListLate | What::ListStale | What::ListEmpty => Place::List,
-            What::NodesKilled
-            | What::NodesStop
-            | What::NodesReload
-            | What::NodesRetune
-            | What::NodesReplace
-            | What::NodesStall
-            | What::NodesSetBack => Place::Nodes,
-            What::LinkCut
-            | What::LinkLoss
-            | What::LinkDelay
-            | What::LinkDoubles
-            | What::LinkReorders
-            | What::LinkCorrupts
-            | What::LinkSlow => Place::Links,
-            What::Surge | What::Heavy => Place::Clients,
-            _ => Place::Workers,
+            FaultKind::ResetsBefore | FaultKind::ResetsAfter | FaultKind::Latency | FaultKind::Partition => {
+                FaultScope::Network
+            }
+            FaultKind::ListDown | FaultKind::ListLate | FaultKind::ListStale | FaultKind::ListEmpty => {
+                FaultScope::List
+            }
+            FaultKind::NodesKilled
+            | FaultKind::NodesStop
+            | FaultKind::NodesReload
+            | FaultKind::NodesRetune
+            | FaultKind::NodesReplace
+            | FaultKind::NodesStall
+            | FaultKind::NodesSetBack => FaultScope::Nodes,
+            FaultKind::LinkCut
+            | FaultKind::LinkLoss
+            | FaultKind::LinkDelay
+            | FaultKind::LinkDoubles
+            | FaultKind::LinkReorders
+            | FaultKind::LinkCorrupts
+            | FaultKind::LinkSlow => FaultScope::Links,
+            FaultKind::Surge | FaultKind::Heavy => FaultScope::Clients,
+            _ => FaultScope::Workers,
         }
     }
 
     pub fn strength(self) -> Strength {
         match self {
-            What::Stolen | What::Errors | What::Loses | What::GivesBack => Strength::Part,
-            What::ResetsBefore | What::ResetsAfter => Strength::Part,
-            What::LateNews | What::SlowAcks | What::OldReports => Strength::Seconds,
-            What::Latency | What::ListLate => Strength::Seconds,
-            What::Surge | What::Heavy => Strength::Times,
-            What::Connections => Strength::Count,
-            What::LinkLoss | What::LinkDoubles | What::LinkReorders | What::LinkCorrupts => Strength::Part,
-            What::LinkDelay => Strength::Seconds,
-            What::LinkSlow => Strength::Rate,
+            FaultKind::Stolen | FaultKind::Errors | FaultKind::Loses | FaultKind::GivesBack => Strength::Part,
+            FaultKind::ResetsBefore | FaultKind::ResetsAfter => Strength::Part,
+            FaultKind::LateNews | FaultKind::SlowAcks | FaultKind::OldReports => Strength::Seconds,
+            FaultKind::Latency | FaultKind::ListLate => Strength::Seconds,
+            FaultKind::Surge | FaultKind::Heavy => Strength::Times,
+            FaultKind::Connections => Strength::Count,
+            FaultKind::LinkLoss
+            | FaultKind::LinkDoubles
+            | FaultKind::LinkReorders
+            | FaultKind::LinkCorrupts => Strength::Part,
+            FaultKind::LinkDelay => Strength::Seconds,
+            FaultKind::LinkSlow => Strength::Rate,
             _ => Strength::None,
         }
     }
 }
 
 impl Fault {
-    pub fn new(what: What, at: f64, lasts: f64) -> Self {
+    pub fn new(what: FaultKind, at: f64, lasts: f64) -> Self {
         let (way, flaps) = (Direction::Both, Span(0.0));
         let (by, count, zone, kind, nodes) = (None, None, None, None, None);
         Fault { at: Span(at), lasts: Span(lasts), what, by, count, zone, kind, nodes, way, flaps }
@@ -754,10 +761,10 @@
         if let Some(kind) = f.kind.as_ref().filter(|kind| !self.workers.iter().any(|w| w.kind == **kind)) {
             return fault(format!("kind {kind}: no worker has it"));
         }
-        if f.what == What::Partition && f.zone.is_none() {
+        if f.what == FaultKind::Partition && f.zone.is_none() {
             return fault("zone: a partition needs a zone".into());
         }
-        let links = f.what.place() == Place::Links;
+        let links = f.what.scope() == FaultScope::Links;
         if links && self.fleet.is_none() {
             return fault(format!("what: {:?} needs a table [fleet]", f.what));
         }
@@ -770,7 +777,7 @@
         if f.nodes.is_some() && (f.count.is_some() || f.zone.is_some()) {
             return fault("nodes: not together with count or zone".into());
         }
-        let counted = matches!(f.what.place(), Place::Workers | Place::Nodes | Place::Links);
+        let counted = matches!(f.what.scope(), FaultScope::Workers | FaultScope::Nodes | FaultScope::Links);
         if f.count.is_some() && !counted {
             return fault(format!("count: {:?} does not take it", f.what));
         }
--- a/crates/coveroute-emu/src/search.rs
+++ b/crates/coveroute-emu/src/search.rs
@@ -10,8 +10,8 @@
 
 use crate::baseline::Choice;
 use crate::scenario::{
-    Amount, Count, Direction, Effect, Fault, FleetPart, Group, Nodes, Operation, Part, Place, Positive,
-    Scenario, Span, Strength, What, Workers,
+    Amount, Count, Direction, Effect, Fault, FaultKind, FaultScope, FleetSettings, Group, Nodes, Operation,
+    Part, Positive, Scenario, Span, Strength, Workers,
 };
 use crate::virtual_time::{run, Policy};
 
@@ -125,12 +125,12 @@
     let mut scenario = drawn(seed);
     let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0xf1ee7);
     scenario.nodes.count = Count(draw.random_range(2..=6));
-    scenario.fleet = Some(FleetPart { writes: Span(0.5), ..FleetPart::default() });
-    scenario.faults.retain(|fault| fault.what.place() != Place::Nodes);
+    scenario.fleet = Some(FleetSettings { writes: Span(0.5), ..FleetSettings::default() });
+    scenario.faults.retain(|fault| fault.what.scope() != FaultScope::Nodes);
     for _ in 0..draw.random_range(1..=4) {
-        let what = *What::FLEET.choose(&mut draw).unwrap_or(&What::LinkCut);
+        let what = *FaultKind::FLEET.choose(&mut draw).unwrap_or(&FaultKind::LinkCut);
         let mut fault = fault_of(what, &scenario, &mut draw);
-        if what.place() == Place::Links {
+        if what.scope() == FaultScope::Links {
             fault.way =
                 *[Direction::Both, Direction::Out, Direction::In].choose(&mut draw).unwrap_or(&fault.way);
             fault.flaps = Span(if draw.random_bool(0.2) { draw.random_range(0.2..2.0) } else { 0.0 });
@@ -141,11 +141,11 @@
 }
 
 fn fault(scenario: &Scenario, draw: &mut Pcg64Mcg) -> Fault {
-    let what = *What::ALL.choose(draw).unwrap_or(&What::Pause);
+    let what = *FaultKind::ALL.choose(draw).unwrap_or(&FaultKind::Pause);
     fault_of(what, scenario, draw)
 }
 
-fn fault_of(what: What, scenario: &Scenario, draw: &mut Pcg64Mcg) -> Fault {
+fn fault_of(what: FaultKind, scenario: &Scenario, draw: &mut Pcg64Mcg) -> Fault {
     let at = Span((draw.random_range(2.0..14.0_f64) * 10.0).round() / 10.0);
     let lasts = Span((draw.random_range(1.0..10.0_f64) * 10.0).round() / 10.0);
     let by = match what.strength() {
@@ -157,12 +157,14 @@
         Strength::Rate => Some(draw.random_range(500.0..20_000.0)),
     };
     let all: usize = scenario.workers.iter().map(|w| w.count.0).sum();
-    let count = match what.place() {
-        Place::Workers => Some(Count(draw.random_range(1..=all.div_ceil(2)))),
-        Place::Nodes | Place::Links => Some(Count(draw.random_range(1..scenario.nodes.count.0.max(2)))),
+    let count = match what.scope() {
+        FaultScope::Workers => Some(Count(draw.random_range(1..=all.div_ceil(2)))),
+        FaultScope::Nodes | FaultScope::Links => {
+            Some(Count(draw.random_range(1..scenario.nodes.count.0.max(2))))
+        }
         _ => None,
     };
-    let zone = (what == What::Partition).then(|| scenario.workers[0].zone.clone());
+    let zone = (what == FaultKind::Partition).then(|| scenario.workers[0].zone.clone());
     let by = by.map(|by: f64| Amount((by * 100.0).round() / 100.0));
     Fault { by, count, zone, ..Fault::new(what, at.0, lasts.0) }
 }
@@ -306,10 +308,11 @@
     fn a_loss_is_shrunk_to_the_fault_that_causes_it() {
         let mut scenario = drawn(1);
         let fault = |what, by| Fault { by, ..Fault::new(what, 5.0, 8.0) };
-        scenario.faults = vec![fault(What::DoubledNews, None), fault(What::Heavy, Some(Amount(9.0)))];
+        scenario.faults =
+            vec![fault(FaultKind::DoubledNews, None), fault(FaultKind::Heavy, Some(Amount(9.0)))];
         let found = evaluate(scenario, false).expect("a run");
         let loss = 1.0 - found.figure;
         let least = shrink(found, |f| 1.0 - f.figure >= 0.9 * loss, false).expect("a run");
-        assert_eq!(least.scenario.faults.iter().map(|f| f.what).collect::<Vec<_>>(), [What::Heavy]);
+        assert_eq!(least.scenario.faults.iter().map(|f| f.what).collect::<Vec<_>>(), [FaultKind::Heavy]);
     }
 }
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -17,13 +17,13 @@
 use crate::fleet::simulation::FleetSimulation;
 use crate::queue::Queue;
 use crate::report::Sample;
-use crate::scenario::{Scenario, What};
+use crate::scenario::{FaultKind, Scenario};
 use crate::settings;
 use crate::sink::Sink;
 use crate::world::invariants::FinalAnswer;
 use crate::world::worker::Liveness;
 use crate::world::{
-    call, name, tri_of, Delivery, JobUpdate, NodeId, Order, Outcome, Output, TryId, WorkerId, World,
+    call, name, tri_of, Delivery, JobUpdate, NodeCommand, NodeId, Outcome, Output, TryId, WorkerId, World,
 };
 
 /// The engines' clock at the scenario's start. It is far from zero because a start time of zero means "long
@@ -281,7 +281,7 @@
     sink: Option<&'a mut dyn Sink>,
     samples: Option<&'a mut Vec<Sample>>,
 ) -> Result<(Outcome, RunStats), String> {
-    if scenario.faults.iter().any(|fault| fault.what == What::NodesReplace) {
+    if scenario.faults.iter().any(|fault| fault.what == FaultKind::NodesReplace) {
         return Err("nodes-replace is supported on loopback only: use --loopback".into());
     }
     let began = std::time::Instant::now();
@@ -447,37 +447,39 @@
         self.deliver_outputs(now, &mut outputs);
     }
 
-    fn order(&mut self, now: f64, node: NodeId, order: Order) {
-        if matches!(order, Order::Stop | Order::Stall | Order::Wake) && self.hosts[node].is_some() {
-            self.fleet.iter_mut().for_each(|fleet| fleet.order(now, node, order));
+    fn execute_command(&mut self, now: f64, node: NodeId, command: NodeCommand) {
+        if matches!(command, NodeCommand::Stop | NodeCommand::Stall | NodeCommand::Wake)
+            && self.hosts[node].is_some()
+        {
+            self.fleet.iter_mut().for_each(|fleet| fleet.execute_command(now, node, command));
         }
-        match order {
-            Order::Start => self.start(now, node),
-            Order::StartBack => {
+        match command {
+            NodeCommand::Start => self.start(now, node),
+            NodeCommand::StartBack => {
                 // Only its part in the fleet uses the clock that was set back.
-                self.fleet.iter_mut().for_each(|fleet| fleet.order(now, node, order));
+                self.fleet.iter_mut().for_each(|fleet| fleet.execute_command(now, node, command));
                 self.start(now, node);
             }
-            Order::Stall if self.hosts[node].is_some() && self.paused[node].is_none() => {
+            NodeCommand::Stall if self.hosts[node].is_some() && self.paused[node].is_none() => {
                 self.paused[node] = Some(Vec::new());
                 self.world.invariants.pause_node(now, node);
             }
-            Order::Stall => {}
-            Order::Wake => {
+            NodeCommand::Stall => {}
+            NodeCommand::Wake => {
                 for queued in self.paused[node].take().unwrap_or_default() {
                     self.deliver(now, queued);
                 }
                 self.wake(now, node);
                 self.world.invariants.resume_node(now, node);
             }
-            Order::Kill => self.end(now, node),
-            Order::Stop if self.hosts[node].is_some() => {
+            NodeCommand::Kill => self.end(now, node),
+            NodeCommand::Stop if self.hosts[node].is_some() => {
                 self.world.node_stopping(now, node);
                 self.notify(now, node, Event::Stop);
             }
-            Order::Stop => {}
-            Order::Reload => self.notify(now, node, Event::Reread { tuning: None, moved: true }),
-            Order::Retune => {
+            NodeCommand::Stop => {}
+            NodeCommand::Reload => self.notify(now, node, Event::Reread { tuning: None, moved: true }),
+            NodeCommand::Retune => {
                 let world = &self.world;
                 let tuning = settings::tuning(&world.scenario, node, &world.nodes[node].zone, true);
                 self.notify(now, node, Event::NotReread); // The truncated file.
@@ -486,7 +488,7 @@
                 }
             }
             // Rejected before the run starts.
-            Order::Replace => {}
+            NodeCommand::Replace => {}
         }
     }
 
@@ -535,7 +537,7 @@
             Output::Lost { node, watch, loss } => {
                 self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Lost(loss) });
             }
-            Output::Node { node, order } => self.order(now, node, order),
+            Output::Node { node, command } => self.execute_command(now, node, command),
         }
     }
 
--- a/crates/coveroute-emu/src/virtual_time/tests.rs
+++ b/crates/coveroute-emu/src/virtual_time/tests.rs
@@ -4,12 +4,12 @@
 use test_case::test_case;
 
 use super::*;
-use crate::scenario::{Amount, Count, Effect, Fault, Positive, What};
+use crate::scenario::{Amount, Count, Effect, Fault, FaultKind, Positive};
 use crate::search::drawn;
 use crate::sink::Digest;
 use crate::world::invariants::Rule;
 
-fn fault(at: f64, lasts: f64, what: What, by: Option<f64>, count: Option<usize>) -> Fault {
+fn fault(at: f64, lasts: f64, what: FaultKind, by: Option<f64>, count: Option<usize>) -> Fault {
     let (by, count) = (by.map(Amount), count.map(Count));
     Fault { by, count, ..Fault::new(what, at, lasts) }
 }
@@ -34,9 +34,9 @@
 
 // Each deliberately wrong policy must be detected, and the node's own policy must break no rule under the
 // same faults.
-#[test_case(Violation::RepeatsUnsafely, fault(3.0, 8.0, What::ResetsAfter, Some(0.5), None), Rule::NoEffectTwice; "repeats unsafely")]
-#[test_case(Violation::SendsToGone, fault(3.0, 12.0, What::Drains, None, Some(4)), Rule::NothingToTheGone; "sends to gone workers")]
-#[test_case(Violation::OverloadsCold, fault(3.0, 2.0, What::Dies, None, Some(1)), Rule::NoColdWorkerPushedOver; "overloads cold workers")]
+#[test_case(Violation::RepeatsUnsafely, fault(3.0, 8.0, FaultKind::ResetsAfter, Some(0.5), None), Rule::NoEffectTwice; "repeats unsafely")]
+#[test_case(Violation::SendsToGone, fault(3.0, 12.0, FaultKind::Drains, None, Some(4)), Rule::NothingToTheGone; "sends to gone workers")]
+#[test_case(Violation::OverloadsCold, fault(3.0, 2.0, FaultKind::Dies, None, Some(1)), Rule::NoColdWorkerPushedOver; "overloads cold workers")]
 fn a_policy_that_breaks_a_rule_is_detected(violation: Violation, injected: Fault, rule: Rule) {
     let scenario = with(vec![injected]);
     let outcome = |policy| run(&scenario, 4, policy, None).expect("a run").0;
@@ -49,7 +49,7 @@
 // The engine answers at the client's deadline if the policy never does.
 #[test]
 fn unanswered_operations_end_at_the_deadline() {
-    let scenario = with(vec![fault(3.0, 18.0, What::Dies, None, None)]);
+    let scenario = with(vec![fault(3.0, 18.0, FaultKind::Dies, None, None)]);
     let outcome = run(&scenario, 4, Policy::Violation(Violation::NeverAnswers), None).expect("a run").0;
     assert_eq!(outcome.breaches, []);
     assert!(outcome.service.whole.failed > 100, "{:?}", outcome.service.whole);
@@ -73,7 +73,7 @@
 // A payment whose connection breaks after its last byte ends with an error and runs once.
 #[test]
 fn a_non_idempotent_operation_that_may_have_run_is_not_repeated() {
-    let mut scenario = with(vec![fault(2.0, 20.0, What::ResetsAfter, Some(0.6), None)]);
+    let mut scenario = with(vec![fault(2.0, 20.0, FaultKind::ResetsAfter, Some(0.6), None)]);
     scenario.operations.retain(|op| op.effect == Effect::NonIdempotent);
     scenario.operations[0].rate = Amount(20.0);
     let outcome = run(&scenario, 4, Policy::Node, None).expect("a run").0;
@@ -84,7 +84,7 @@
 
 #[test]
 fn killed_nodes_lose_only_their_open_operations() {
-    let scenario = with(vec![fault(6.0, 4.0, What::NodesKilled, None, Some(1))]);
+    let scenario = with(vec![fault(6.0, 4.0, FaultKind::NodesKilled, None, Some(1))]);
     let outcome = run(&scenario, 4, Policy::Node, None).expect("a run").0;
     assert_eq!((outcome.broken, outcome.counts.duplicates), (0, 0));
     assert!(outcome.figure() > 0.9, "{}", outcome.figure());
@@ -124,7 +124,8 @@
 #[test]
 fn slow_workers_and_tight_objectives_lower_the_service() {
     let served = |faults| run(&with(faults), 4, Policy::Node, None).expect("a run").0.figure();
-    let (well, slow) = (served(Vec::new()), served(vec![fault(2.0, 20.0, What::Heavy, Some(4.0), None)]));
+    let (well, slow) =
+        (served(Vec::new()), served(vec![fault(2.0, 20.0, FaultKind::Heavy, Some(4.0), None)]));
     assert!(well > slow + 0.2, "{well} {slow}");
     let mut late = with(Vec::new());
     late.operations.iter_mut().for_each(|op| op.objective = Positive(0.05));
--- a/crates/coveroute-emu/src/world/clients.rs
+++ b/crates/coveroute-emu/src/world/clients.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-use crate::scenario::{Effect, Group, Operation, Scenario, What};
+use crate::scenario::{Effect, FaultKind, Group, Operation, Scenario};
 use crate::world::invariants::{FinalAnswer, Terms};
 use crate::world::{uniform_draw, NodeId, TryId};
 
@@ -128,7 +128,7 @@
             tenants: named(scenario.tenants.iter().map(|tenant| &tenant.name).collect()),
             ..Service::default()
         };
-        let surges = scenario.faults.iter().filter(|f| f.what == What::Surge);
+        let surges = scenario.faults.iter().filter(|f| f.what == FaultKind::Surge);
         let peak_surge = surges.map(|f| f.strength().max(1.0)).product::<f64>().max(1.0);
         let streams = (0..scenario.operations.len()).map(stream).collect();
         Clients { asks: Vec::new(), tries: Vec::new(), service, open: 0, streams, peak_surge }
--- a/crates/coveroute-emu/src/world/mod.rs
+++ b/crates/coveroute-emu/src/world/mod.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 
 use crate::queue::Queue;
-use crate::scenario::{Fault, Place, Scenario, What};
+use crate::scenario::{Fault, FaultKind, FaultScope, Scenario};
 use clients::{AskId, Clients, End, NextStep, Service};
 use discovery::Discovery;
 use invariants::{Breach, FinalAnswer, InvariantChecker, Proof};
@@ -91,7 +91,7 @@
     },
     Node {
         node: NodeId,
-        order: Order,
+        command: NodeCommand,
     },
 }
 
@@ -105,7 +105,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum NodeCommand {
     Start,
     Kill,
     Stop,
@@ -152,7 +152,7 @@
     StopDrained(WorkerId),
     Restart(WorkerId),
     SetRotation(NodeId, bool, u64),
-    NodeOrder(NodeId, Order),
+    NodeCommand(NodeId, NodeCommand),
     Prune,
 }
 
@@ -386,7 +386,7 @@
                 self.nodes[node].in_rotation = in_rotation;
             }
             Event::SetRotation(..) => {}
-            Event::NodeOrder(node, order) => out.push(Output::Node { node, order }),
+            Event::NodeCommand(node, command) => out.push(Output::Node { node, command }),
             Event::Prune => {
                 self.invariants.prune(now);
                 self.schedule(now + PRUNE_INTERVAL, Event::Prune);
@@ -869,15 +869,15 @@
             fault.zone.as_ref().is_none_or(|wanted| wanted == zone)
                 && fault.kind.as_ref().is_none_or(|wanted| Some(wanted) == kind)
         };
-        let mut fit: Vec<usize> = match fault.what.place() {
-            Place::Workers => {
+        let mut fit: Vec<usize> = match fault.what.scope() {
+            FaultScope::Workers => {
                 let fits = |w: &Worker| fits(&w.spec.zone, Some(&w.spec.kind));
                 (0..self.workers.len()).filter(|&at| fits(&self.workers[at])).collect()
             }
-            Place::Nodes => (0..self.nodes.len())
+            FaultScope::Nodes => (0..self.nodes.len())
                 .filter(|&at| fault.zone.as_ref().is_none_or(|z| *z == self.nodes[at].zone))
                 .collect(),
-            Place::Network | Place::List | Place::Clients | Place::Links => Vec::new(),
+            FaultScope::Network | FaultScope::List | FaultScope::Clients | FaultScope::Links => Vec::new(),
         };
         if let Some(count) = fault.count {
             fit.shuffle(&mut self.draw);
@@ -894,34 +894,36 @@
         let spread = if fault.lasts.0 > 0.0 { fault.lasts.0 / targets.len().max(1) as f64 } else { 0.0 };
         for (nth, target) in targets.into_iter().enumerate() {
             match fault.what {
-                What::Dies => self.stop_worker(now, target, Liveness::Down),
-                What::Vanishes => self.stop_worker(now, target, Liveness::Vanished),
-                What::Drains => self.drain(now, target),
-                What::Release => {
+                FaultKind::Dies => self.stop_worker(now, target, Liveness::Down),
+                FaultKind::Vanishes => self.stop_worker(now, target, Liveness::Vanished),
+                FaultKind::Drains => self.drain(now, target),
+                FaultKind::Release => {
                     let (drained, begun) = (self.scenario.discovery.drains.0, now + nth as f64 * spread);
                     self.schedule(begun, Event::Drain(target));
                     self.schedule(begun + drained + RESTART_DELAY, Event::Restart(target));
                 }
-                What::NodesKilled => self.schedule(now, Event::NodeOrder(target, Order::Kill)),
-                What::NodesStop => self.schedule(now, Event::NodeOrder(target, Order::Stop)),
-                What::NodesReload => self.schedule(now, Event::NodeOrder(target, Order::Reload)),
-                What::NodesRetune => self.schedule(now, Event::NodeOrder(target, Order::Retune)),
-                What::NodesReplace => self.schedule(now, Event::NodeOrder(target, Order::Replace)),
-                What::NodesSetBack => self.schedule(now, Event::NodeOrder(target, Order::Kill)),
-                What::NodesStall => self.schedule(now, Event::NodeOrder(target, Order::Stall)),
+                FaultKind::NodesKilled => self.schedule(now, Event::NodeCommand(target, NodeCommand::Kill)),
+                FaultKind::NodesStop => self.schedule(now, Event::NodeCommand(target, NodeCommand::Stop)),
+                FaultKind::NodesReload => self.schedule(now, Event::NodeCommand(target, NodeCommand::Reload)),
+                FaultKind::NodesRetune => self.schedule(now, Event::NodeCommand(target, NodeCommand::Retune)),
+                FaultKind::NodesReplace => {
+                    self.schedule(now, Event::NodeCommand(target, NodeCommand::Replace))
+                }
+                FaultKind::NodesSetBack => self.schedule(now, Event::NodeCommand(target, NodeCommand::Kill)),
+                FaultKind::NodesStall => self.schedule(now, Event::NodeCommand(target, NodeCommand::Stall)),
                 _ => self.update_worker_faults(now, target),
             }
         }
         self.update_global_faults(now);
         match fault.what {
-            What::ListDown => {
+            FaultKind::ListDown => {
                 self.list.down = true;
                 for node in 0..self.nodes.len() {
                     let lost = self.list.unwatch(node);
                     out.extend(lost.map(|watch| Output::Lost { node, watch, loss: Loss::Closed }));
                 }
             }
-            What::ListEmpty => {
+            FaultKind::ListEmpty => {
                 self.list.set_empty(true);
                 self.schedule_list_updates(now);
             }
@@ -934,8 +936,8 @@
         let targets = std::mem::take(&mut self.fault_targets[at]);
         for target in targets {
             match fault.what {
-                What::Dies | What::Drains => self.schedule(now, Event::Restart(target)),
-                What::Vanishes => {
+                FaultKind::Dies | FaultKind::Drains => self.schedule(now, Event::Restart(target)),
+                FaultKind::Vanishes => {
                     // The machine is back: connections that were open there are reset.
                     out.extend((0..self.nodes.len()).map(|node| Output::Reset {
                         node,
@@ -944,31 +946,36 @@
                     }));
                     self.schedule(now, Event::Restart(target));
                 }
-                What::SilentThenDies => {
+                FaultKind::SilentThenDies => {
                     self.update_worker_faults(now, target);
                     self.stop_worker(now, target, Liveness::Down);
                     self.schedule(now + RESTART_DELAY, Event::Restart(target));
                 }
-                What::NodesKilled | What::NodesStop => {
-                    self.schedule(now, Event::NodeOrder(target, Order::Start))
+                FaultKind::NodesKilled | FaultKind::NodesStop => {
+                    self.schedule(now, Event::NodeCommand(target, NodeCommand::Start))
+                }
+                FaultKind::NodesSetBack => {
+                    self.schedule(now, Event::NodeCommand(target, NodeCommand::StartBack))
                 }
-                What::NodesSetBack => self.schedule(now, Event::NodeOrder(target, Order::StartBack)),
-                What::NodesStall => self.schedule(now, Event::NodeOrder(target, Order::Wake)),
-                What::Release | What::NodesReload | What::NodesRetune | What::NodesReplace => {}
+                FaultKind::NodesStall => self.schedule(now, Event::NodeCommand(target, NodeCommand::Wake)),
+                FaultKind::Release
+                | FaultKind::NodesReload
+                | FaultKind::NodesRetune
+                | FaultKind::NodesReplace => {}
                 _ => self.update_worker_faults(now, target),
             }
         }
         self.update_global_faults(now);
-        if fault.what == What::ListEmpty {
+        if fault.what == FaultKind::ListEmpty {
             self.list.set_empty(false);
         }
-        if fault.what.place() == Place::List {
+        if fault.what.scope() == FaultScope::List {
             self.schedule_list_updates(now);
         }
     }
 
     /// The greatest strength among the faults of a kind that are active now.
-    fn strongest(&self, now: f64, what: What, target: Option<usize>) -> Option<f64> {
+    fn strongest(&self, now: f64, what: FaultKind, target: Option<usize>) -> Option<f64> {
         let is_active = |(at, fault): &(usize, &Fault)| {
             fault.what == what
                 && (fault.at.0..fault.until()).contains(&now)
@@ -982,17 +989,17 @@
     fn update_worker_faults(&mut self, now: f64, worker: WorkerId) {
         let by = |what| self.strongest(now, what, Some(worker));
         let faults = worker::ActiveFaults {
-            silent: by(What::Silent).or(by(What::SilentThenDies)).is_some(),
-            paused: by(What::Pause).is_some(),
-            stolen: by(What::Stolen).unwrap_or(0.0),
-            errors: by(What::Errors).unwrap_or(0.0),
-            loses: by(What::Loses).unwrap_or(0.0),
-            gives_back: by(What::GivesBack).unwrap_or(0.0),
-            late_news: by(What::LateNews).unwrap_or(0.0),
-            doubled_news: by(What::DoubledNews).is_some(),
-            slow_acks: by(What::SlowAcks).unwrap_or(0.0),
-            old_reports: by(What::OldReports).unwrap_or(0.0),
-            connections: by(What::Connections).map(|most| most as usize),
+            silent: by(FaultKind::Silent).or(by(FaultKind::SilentThenDies)).is_some(),
+            paused: by(FaultKind::Pause).is_some(),
+            stolen: by(FaultKind::Stolen).unwrap_or(0.0),
+            errors: by(FaultKind::Errors).unwrap_or(0.0),
+            loses: by(FaultKind::Loses).unwrap_or(0.0),
+            gives_back: by(FaultKind::GivesBack).unwrap_or(0.0),
+            late_news: by(FaultKind::LateNews).unwrap_or(0.0),
+            doubled_news: by(FaultKind::DoubledNews).is_some(),
+            slow_acks: by(FaultKind::SlowAcks).unwrap_or(0.0),
+            old_reports: by(FaultKind::OldReports).unwrap_or(0.0),
+            connections: by(FaultKind::Connections).map(|most| most as usize),
         };
         let (mut messages, target) = (Vec::new(), &mut self.workers[worker]);
         target.steal(now, faults.stolen);
@@ -1012,12 +1019,12 @@
     /// Recomputes the faults that affect clients, the network and discovery as a whole.
     fn update_global_faults(&mut self, now: f64) {
         let by = |what| self.strongest(now, what, None);
-        let (surge, heavy) = (by(What::Surge).unwrap_or(1.0), by(What::Heavy).unwrap_or(1.0));
-        let latency = by(What::Latency).unwrap_or(0.0);
-        let resets = (by(What::ResetsBefore).unwrap_or(0.0), by(What::ResetsAfter).unwrap_or(0.0));
-        let (down, stale) = (by(What::ListDown).is_some(), by(What::ListStale).is_some());
-        let late = by(What::ListLate).unwrap_or(0.0);
-        let cut = |f: &&Fault| f.what == What::Partition && (f.at.0..f.until()).contains(&now);
+        let (surge, heavy) = (by(FaultKind::Surge).unwrap_or(1.0), by(FaultKind::Heavy).unwrap_or(1.0));
+        let latency = by(FaultKind::Latency).unwrap_or(0.0);
+        let resets = (by(FaultKind::ResetsBefore).unwrap_or(0.0), by(FaultKind::ResetsAfter).unwrap_or(0.0));
+        let (down, stale) = (by(FaultKind::ListDown).is_some(), by(FaultKind::ListStale).is_some());
+        let late = by(FaultKind::ListLate).unwrap_or(0.0);
+        let cut = |f: &&Fault| f.what == FaultKind::Partition && (f.at.0..f.until()).contains(&now);
         self.partitions = self.scenario.faults.iter().filter(cut).filter_map(|f| f.zone.clone()).collect();
         (self.surge, self.heavy, self.latency, self.resets) = (surge, heavy, latency, resets);
         if !self.list.is_healthy() {
--- a/crates/coveroute-node/tests/fleet.rs
+++ b/crates/coveroute-node/tests/fleet.rs
@@ -3,15 +3,15 @@
 use std::path::Path;
 
 use coveroute_emu::fleet::processes::Processes;
-use coveroute_emu::scenario::{Count, Direction, FleetPart, What};
+use coveroute_emu::scenario::{Count, Direction, FaultKind, FleetSettings};
 use test_case::test_case;
 
 const ALIVE: [&str; 2] = ["alive", "returned"];
 
 /// Starts this many processes and waits until all hold each other to be alive.
-fn start_connected(nodes: usize, part: FleetPart) -> Processes {
+fn start_connected(nodes: usize, settings: FleetSettings) -> Processes {
     let program = Path::new(env!("CARGO_BIN_EXE_coveroute"));
-    let processes = Processes::start(program, nodes, part).expect("failed to start the processes");
+    let processes = Processes::start(program, nodes, settings).expect("failed to start the processes");
     let all: Vec<usize> = (0..nodes).collect();
     let known =
         processes.wait_until(20.0, |p| p.all_hold_states(&all, &all, &ALIVE) && p.agree_on_table(&all));
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_kill_is_detected_by_all_and_a_restarted_process_rejoins() {
-    let mut fleet = start_connected(5, FleetPart::default());
+    let mut fleet = start_connected(5, FleetSettings::default());
     let rest = others(5, 2);
     fleet.kill(2);
     let known = fleet.wait_until(2.0 * TIME_LIMIT_FACTOR, |p| p.all_hold_states(&rest, &[2], &["dead"]));
@@ -46,7 +46,7 @@
 /// superseded.
 #[test]
 fn a_restart_within_the_detectors_timeout_is_noticed() {
-    let mut fleet = start_connected(4, FleetPart::default());
+    let mut fleet = start_connected(4, FleetSettings::default());
     let before = fleet.fleet_metrics(1).expect("no metrics")["incarnation"].as_u64();
     fleet.kill(1);
     fleet.start_node(1).expect("failed to start the process");
@@ -61,9 +61,9 @@
 #[test_case(Direction::Both, &["dead"]; "both ways")]
 #[test_case(Direction::Out, &["dead"]; "only outgoing")]
 fn a_partition_is_detected_and_heals(way: Direction, states: &[&str]) {
-    let fleet = start_connected(5, FleetPart::default());
+    let fleet = start_connected(5, FleetSettings::default());
     let (cut, rest, all) = ([0, 1], [2, 3, 4], [0, 1, 2, 3, 4]);
-    fleet.inject_link_fault(What::LinkCut, 0.0, &cut, way);
+    fleet.inject_link_fault(FaultKind::LinkCut, 0.0, &cut, way);
     let known = fleet.wait_until(3.0 * TIME_LIMIT_FACTOR, |p| p.all_hold_states(&rest, &cut, states));
     assert!(known.is_some() && fleet.all_hold_states(&rest, &rest, &ALIVE), "{:?}", fleet.fleet_metrics(2));
     assert!(fleet.all_hold_states(&cut, &cut, &ALIVE), "{:?}", fleet.fleet_metrics(0));
@@ -78,7 +78,7 @@
 /// dead for messages that it missed while stopped.
 #[test]
 fn a_resumed_process_rejoins_at_once_and_declares_nobody_dead() {
-    let mut fleet = start_connected(5, FleetPart::default());
+    let mut fleet = start_connected(5, FleetSettings::default());
     let (rest, all) = (others(5, 3), [0, 1, 2, 3, 4]);
     fleet.stall(3);
     assert!(fleet
@@ -92,13 +92,13 @@
     assert_eq!((own["buried"].as_u64(), own["stalls"].as_u64() >= Some(1)), (Some(0), true), "{own}");
 }
 
-#[test_case(What::LinkLoss, 0.3; "a third lost")]
-#[test_case(What::LinkDoubles, 0.5; "doubled")]
-#[test_case(What::LinkCorrupts, 0.2; "damaged")]
-#[test_case(What::LinkReorders, 0.5; "out of order")]
-fn faulty_links_cause_no_false_deaths(what: What, by: f64) {
-    let fleet = start_connected(5, FleetPart::default());
-    fleet.inject_link_fault(what, by, &[], Direction::Both);
+#[test_case(FaultKind::LinkLoss, 0.3; "a third lost")]
+#[test_case(FaultKind::LinkDoubles, 0.5; "doubled")]
+#[test_case(FaultKind::LinkCorrupts, 0.2; "damaged")]
+#[test_case(FaultKind::LinkReorders, 0.5; "out of order")]
+fn faulty_links_cause_no_false_deaths(kind: FaultKind, by: f64) {
+    let fleet = start_connected(5, FleetSettings::default());
+    fleet.inject_link_fault(kind, by, &[], Direction::Both);
     std::thread::sleep(std::time::Duration::from_secs(6));
     let buried = |node: usize| fleet.fleet_metrics(node).and_then(|own| own["buried"].as_u64());
     assert_eq!((0..5).map(buried).collect::<Vec<_>>(), vec![Some(0); 5]);
@@ -109,7 +109,7 @@
 /// A replacement process is the same member: nobody declares it dead or left in the meantime.
 #[test]
 fn a_replacement_is_one_member() {
-    let mut fleet = start_connected(4, FleetPart::default());
+    let mut fleet = start_connected(4, FleetSettings::default());
     let (rest, all) = (others(4, 0), [0, 1, 2, 3]);
     fleet.replace(0).expect("failed to start the process");
     // The new process never becomes ready, as there is no discovery here: the old one serves until it is stopped.
@@ -127,7 +127,7 @@
 /// A process that is told to stop announces its departure, so that the others need not detect it.
 #[test]
 fn a_stopped_member_has_left() {
-    let mut fleet = start_connected(4, FleetPart::default());
+    let mut fleet = start_connected(4, FleetSettings::default());
     fleet.stop(3);
     let known = fleet.wait_until(2.0 * TIME_LIMIT_FACTOR, |p| p.all_hold_states(&[0, 1, 2], &[3], &["left"]));
     assert!(known.is_some(), "{:?}", fleet.fleet_metrics(0));
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_member_that_never_starts_is_not_declared_dead() {
-    let fleet = start_connected(3, FleetPart { absent: Count(1), ..FleetPart::default() });
+    let fleet = start_connected(3, FleetSettings { absent: Count(1), ..FleetSettings::default() });
     std::thread::sleep(std::time::Duration::from_secs(3));
     assert_eq!(fleet.fleet_metrics(0).expect("no metrics")["states"]["n3"], "unseen");
 }
@@ -143,7 +143,7 @@
 /// SIGHUP with a file that lacks a live member, and then with an invalid one.
 #[test]
 fn a_reload_removes_a_live_member_or_changes_nothing() {
-    let fleet = start_connected(4, FleetPart::default());
+    let fleet = start_connected(4, FleetSettings::default());
     (0..3).for_each(|node| {
         fleet.write_member_file(node, |other| other != 3).expect("failed to write the file")
     });
--- a/crates/coveroute-node/tests/limits.rs
+++ b/crates/coveroute-node/tests/limits.rs
@@ -5,7 +5,7 @@
 
 use coveroute_emu::fleet::callers::Caller;
 use coveroute_emu::fleet::processes::Processes;
-use coveroute_emu::scenario::{Direction, FleetPart, What};
+use coveroute_emu::scenario::{Direction, FaultKind, FleetSettings};
 
 const TENANT: &str = "acme";
 const SHARE: f64 = 40.0;
@@ -19,7 +19,7 @@
 fn start_connected(nodes: usize) -> (Processes, Vec<Caller>) {
     let program = Path::new(env!("CARGO_BIN_EXE_coveroute"));
     let tenant = Some((TENANT, SHARE));
-    let fleet = Processes::start_with_share(program, nodes, FleetPart::default(), tenant)
+    let fleet = Processes::start_with_share(program, nodes, FleetSettings::default(), tenant)
         .expect("failed to start the processes");
     let mints = |p: &Processes| (0..nodes).all(|node| mints(p, node) == Some(1));
     assert!(fleet.wait_until(20.0, mints).is_some(), "{:?} {}", fleet.fleet_metrics(0), fleet.log(0));
@@ -122,7 +122,7 @@
         if due > step {
             step = due;
             match step {
-                1 => fleet.inject_link_fault(What::LinkCut, 0.0, &[0, 1], Direction::Both),
+                1 => fleet.inject_link_fault(FaultKind::LinkCut, 0.0, &[0, 1], Direction::Both),
                 2 => fleet.stall(4),
                 3 => fleet.heal(),
                 4 => fleet.resume(4),
@@ -132,8 +132,8 @@
                     (ended, last[1]) = (ended + own.max(last[1]), 0.0);
                     fleet.start_node(1).expect("failed to start the process");
                 }
-                6 => fleet.inject_link_fault(What::LinkDoubles, 0.5, &[], Direction::Both),
-                _ => fleet.inject_link_fault(What::LinkLoss, 0.3, &[], Direction::Both),
+                6 => fleet.inject_link_fault(FaultKind::LinkDoubles, 0.5, &[], Direction::Both),
+                _ => fleet.inject_link_fault(FaultKind::LinkLoss, 0.3, &[], Direction::Both),
             }
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -150,7 +150,7 @@
     let all = [0, 1, 2, 3];
     callers.iter().for_each(|caller| caller.set_rate(SHARE / 2.0));
     std::thread::sleep(Duration::from_secs(2));
-    fleet.inject_link_fault(What::LinkCut, 0.0, &[3], Direction::Both);
+    fleet.inject_link_fault(FaultKind::LinkCut, 0.0, &[3], Direction::Both);
     fleet.set_share(&all, SHARE / 4.0).expect("failed to write the files");
     all.iter().for_each(|node| fleet.reload(*node));
     let lower = |p: &Processes| all.iter().all(|node| share_in_force(p, *node) == Some(SHARE / 4.0));
@@ -183,7 +183,7 @@
 fn a_partitioned_node_falls_back_to_an_equal_part() {
     let (fleet, callers) = start_connected(4);
     callers[3].set_rate(SHARE);
-    fleet.inject_link_fault(What::LinkCut, 0.0, &[3], Direction::Both);
+    fleet.inject_link_fault(FaultKind::LinkCut, 0.0, &[3], Direction::Both);
     let alone = |p: &Processes| mints(p, 3) == Some(0) && mints(p, 0).is_some_and(|mints| mints >= 1);
     assert!(fleet.wait_until(10.0, alone).is_some(), "{:?}", fleet.fleet_metrics(3));
     let others = |p: &Processes| [0, 1, 2].map(|node| mints(p, node).unwrap_or(0)).iter().sum::<u64>() == 4;
