--- a/crates/coveroute-emu/src/capacity/mod.rs
+++ b/crates/coveroute-emu/src/capacity/mod.rs
@@ -11,7 +11,7 @@
 use self::fit::{fit, median_ratio, Fit};
 use self::rig_group::{IdleFigures, LoadFigures, RigGroup};
 use crate::fleet::measure::{traffic, Traffic};
-use crate::load::{on_runtime, Members, Plan};
+use crate::load::{on_runtime, LoadPlan, Members};
 use crate::proof::{Proof, ProofContext};
 
 pub mod fit;
@@ -104,15 +104,16 @@
     let (mut proof, began) = (Proof::new(), Instant::now());
     let bound = descriptor_limit();
     proof.note("descriptors", bound);
-    let node = Plan { node: context.node.clone(), runs: JOB_MS, ..Plan::default() };
-    let plan = |executors: usize, rate: f64| Plan {
+    let node = LoadPlan { node: context.node.clone(), runs: JOB_MS, ..LoadPlan::default() };
+    let plan = |executors: usize, rate: f64| LoadPlan {
         executors,
         rate: Some(rate),
         sockets: executors + OWN_DESCRIPTORS,
         ..node.clone()
     };
     let mut slopes = Vec::new();
-    type Part = fn(&Extent, &dyn Fn(usize, f64) -> Plan, &mut Vec<Slope>, &mut Proof) -> Result<(), String>;
+    type Part =
+        fn(&Extent, &dyn Fn(usize, f64) -> LoadPlan, &mut Vec<Slope>, &mut Proof) -> Result<(), String>;
     let parts: [(&str, Part); 4] = [
         ("by executors", by_executors),
         ("by rate", by_rate),
@@ -173,15 +174,15 @@
 /// Measures starts, memory, lists, changes and new configurations by the number of executors.
 fn by_executors(
     extent: &Extent,
-    plan: &dyn Fn(usize, f64) -> Plan,
+    plan: &dyn Fn(usize, f64) -> LoadPlan,
     slopes: &mut Vec<Slope>,
     proof: &mut Proof,
 ) -> Result<(), String> {
     let (mut all, mut all_idle) = (Vec::new(), Vec::new());
     for sizes in extent.sizes {
-        let mut plans: Vec<Plan> = sizes.iter().map(|size| plan(*size, extent.rate)).collect();
+        let mut plans: Vec<LoadPlan> = sizes.iter().map(|size| plan(*size, extent.rate)).collect();
         // The first size again, with a new connection for each start.
-        plans.push(Plan { idle: IDLE_WITHOUT_REUSE, ..plans[0].clone() });
+        plans.push(LoadPlan { idle: IDLE_WITHOUT_REUSE, ..plans[0].clone() });
         let (mut loaded, mut idle) = on_runtime(async {
             let group = RigGroup::start(&plans).await?;
             let loaded = group.load(extent.warm, extent.windows, extent.each).await;
@@ -306,7 +307,7 @@
 }
 
 /// Measures a group of rigs under load.
-fn measure_load(extent: &Extent, warm: f64, plans: &[Plan]) -> Result<Vec<LoadFigures>, String> {
+fn measure_load(extent: &Extent, warm: f64, plans: &[LoadPlan]) -> Result<Vec<LoadFigures>, String> {
     on_runtime(async {
         let group = RigGroup::start(plans).await?;
         let loaded = group.load(warm, extent.windows, extent.each).await;
@@ -316,11 +317,12 @@
 
 fn by_rate(
     extent: &Extent,
-    plan: &dyn Fn(usize, f64) -> Plan,
+    plan: &dyn Fn(usize, f64) -> LoadPlan,
     slopes: &mut Vec<Slope>,
     proof: &mut Proof,
 ) -> Result<(), String> {
-    let plans: Vec<Plan> = extent.rates.iter().map(|part| plan(1_000, part * size::node_starts())).collect();
+    let plans: Vec<LoadPlan> =
+        extent.rates.iter().map(|part| plan(1_000, part * size::node_starts())).collect();
     let all = measure_load(extent, extent.warm, &plans)?;
     load_carried(proof, "by rate", &all);
     let fit = fit_line(&all, |one| one.starts, |one| one.cores);
@@ -331,12 +333,12 @@
 
 fn by_running(
     extent: &Extent,
-    plan: &dyn Fn(usize, f64) -> Plan,
+    plan: &dyn Fn(usize, f64) -> LoadPlan,
     slopes: &mut Vec<Slope>,
     proof: &mut Proof,
 ) -> Result<(), String> {
     let rate = extent.running_rate;
-    let plans: Vec<Plan> = extent
+    let plans: Vec<LoadPlan> = extent
         .running
         .iter()
         .map(|running| {
@@ -345,7 +347,7 @@
             // A node accepts no more waiting clients than fit: they may use a third of the descriptors and half of the
             // memory, with up to 192 KiB each (`docs/CAPACITY.md`, Running tasks).
             let (sockets, memory_mb) = (3 * connections, 64 + connections * 2 * 192 / 1024);
-            Plan { connections, sockets, memory_mb, runs, timeout, ..plan(1_000, rate) }
+            LoadPlan { connections, sockets, memory_mb, runs, timeout, ..plan(1_000, rate) }
         })
         .collect();
     let longest = plans.iter().map(|plan| plan.runs / 1e3).fold(0.0, f64::max);
@@ -362,15 +364,18 @@
 
 fn by_teams(
     extent: &Extent,
-    plan: &dyn Fn(usize, f64) -> Plan,
+    plan: &dyn Fn(usize, f64) -> LoadPlan,
     slopes: &mut Vec<Slope>,
     proof: &mut Proof,
 ) -> Result<(), String> {
     if extent.teams.is_empty() {
         return Ok(());
     }
-    let plans: Vec<Plan> =
-        extent.teams.iter().map(|tenants| Plan { tenants: *tenants, ..plan(1_000, extent.rate) }).collect();
+    let plans: Vec<LoadPlan> = extent
+        .teams
+        .iter()
+        .map(|tenants| LoadPlan { tenants: *tenants, ..plan(1_000, extent.rate) })
+        .collect();
     let all = measure_load(extent, extent.warm, &plans)?;
     load_carried(proof, "by teams", &all);
     let fit = fit_line(&all, |one| one.tenants as f64, |one| one.start_us);
@@ -400,14 +405,14 @@
 }
 
 /// Measures a fleet of 21 real nodes with shares for 130 teams and up to 7,800 workers, at rising fractions of the peak.
-fn all_nodes(node: &Plan, bound: usize, proof: &mut Proof) -> Result<(), String> {
+fn all_nodes(node: &LoadPlan, bound: usize, proof: &mut Proof) -> Result<(), String> {
     // This process needs a descriptor for each worker, and one for the other end of each of the nodes' sockets.
     let sockets = (bound - size::WORKERS - OWN_DESCRIPTORS) / size::NODES;
     let mut figures = Vec::new();
     let plans: [(usize, &[f64]); 3] = [(1_000, &[0.2, 0.4]), (3_000, &[0.2]), (size::WORKERS, &[0.05, 0.1])];
     for (executors, parts) in plans {
         for part in parts {
-            let plan = Plan {
+            let plan = LoadPlan {
                 nodes: size::NODES,
                 executors,
                 rate: Some(part * size::STARTS_A_SECOND),
@@ -417,15 +422,15 @@
                 members: Members::Each,
                 ..node.clone()
             };
-            let (loaded, turned_away) = on_runtime(async {
+            let (loaded, failed_accepts) = on_runtime(async {
                 let group = RigGroup::start(std::slice::from_ref(&plan)).await?;
                 let loaded = group.load(12.0, 8, 1.0).await;
-                let turned_away = group.turned_away();
-                group.stop().await.map(|()| (loaded, turned_away))
+                let failed_accepts = group.failed_accepts();
+                group.stop().await.map(|()| (loaded, failed_accepts))
             })?;
             let carried =
                 loaded.iter().all(|one| one.starts >= MIN_ACHIEVED * one.rate && one.other <= MAX_FAILED);
-            figures.push((loaded, turned_away));
+            figures.push((loaded, failed_accepts));
             if !carried {
                 break;
             }
@@ -437,7 +442,7 @@
 }
 
 /// Measures a node at its share of the peak, before and after it loses discovery and goes on with the list it has.
-fn without_discovery(plan: &dyn Fn(usize, f64) -> Plan, proof: &mut Proof) -> Result<(), String> {
+fn without_discovery(plan: &dyn Fn(usize, f64) -> LoadPlan, proof: &mut Proof) -> Result<(), String> {
     let plan = plan(size::WORKERS, size::node_starts());
     let figures = on_runtime(async {
         let group = RigGroup::start(std::slice::from_ref(&plan)).await?;
@@ -452,14 +457,14 @@
 }
 
 /// Measures how long calls of any urgency wait for their start if the workers have no free slots.
-fn without_free_slots(plan: &dyn Fn(usize, f64) -> Plan, proof: &mut Proof) -> Result<(), String> {
+fn without_free_slots(plan: &dyn Fn(usize, f64) -> LoadPlan, proof: &mut Proof) -> Result<(), String> {
     // 320 slots; jobs last as long as at the designed size, where 77,000 run and 6,900 start per second.
     let runs = 1e3 * size::RUNNING as f64 / size::STARTS_A_SECOND;
     let most = 320.0 / (runs / 1e3);
     let mut figures = Vec::new();
-    let plans: Vec<Plan> = [0.9, 1.1, 1.5]
+    let plans: Vec<LoadPlan> = [0.9, 1.1, 1.5]
         .iter()
-        .map(|part| Plan {
+        .map(|part| LoadPlan {
             connections: 2_000,
             sockets: 6_000,
             memory_mb: 900,
--- a/crates/coveroute-emu/src/capacity/rig_group.rs
+++ b/crates/coveroute-emu/src/capacity/rig_group.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::fit::{expected_max_over_mean, median};
-use crate::load::{shares, Look, Plan, Rig};
+use crate::load::{shares, LoadPlan, Rig, Snapshot};
 
 /// Measurements of a rig under load.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -69,7 +69,7 @@
 
 /// Rigs that run side by side.
 pub struct RigGroup {
-    rigs: Vec<(Plan, Rig)>,
+    rigs: Vec<(LoadPlan, Rig)>,
     /// Version of the next list.
     version: AtomicU64,
 }
@@ -81,21 +81,21 @@
 
 impl RigGroup {
     /// Starts a rig for each plan, one after the other.
-    pub async fn start(plans: &[Plan]) -> Result<RigGroup, String> {
+    pub async fn start(plans: &[LoadPlan]) -> Result<RigGroup, String> {
         let mut rigs = Vec::new();
         for plan in plans {
-            rigs.push((plan.clone(), Rig::begin(plan).await?));
+            rigs.push((plan.clone(), Rig::start(plan).await?));
         }
         Ok(RigGroup { rigs, version: AtomicU64::new(100) })
     }
 
-    fn sample(&self) -> Vec<Look> {
-        self.rigs.iter().map(|(_, rig)| rig.look()).collect()
+    fn sample(&self) -> Vec<Snapshot> {
+        self.rigs.iter().map(|(_, rig)| rig.snapshot()).collect()
     }
 
     /// Starts the load, and measures `windows` windows of `each` seconds after a warm-up of `warm` seconds.
     pub async fn load(&self, warm: f64, windows: usize, each: f64) -> Vec<LoadFigures> {
-        self.rigs.iter().for_each(|(_, rig)| rig.call());
+        self.rigs.iter().for_each(|(_, rig)| rig.start_clients());
         self.continue_load(warm, windows, each).await
     }
 
@@ -114,12 +114,12 @@
 
     /// Makes discovery unreachable for all nodes from now on.
     pub fn cut_discovery(&self) {
-        self.rigs.iter().for_each(|(_, rig)| rig.part());
+        self.rigs.iter().for_each(|(_, rig)| rig.disconnect_discovery());
     }
 
     /// Stops the calls and waits until the running jobs have ended.
     pub async fn stop_calls(&self) {
-        self.rigs.iter().for_each(|(_, rig)| rig.hush());
+        self.rigs.iter().for_each(|(_, rig)| rig.stop_calls());
         let longest = self.rigs.iter().map(|(plan, _)| plan.runs).fold(0.0, f64::max);
         sleep(Duration::from_secs_f64(0.5 + longest / 1e3)).await;
     }
@@ -207,25 +207,25 @@
     /// rig.
     fn send_listing(&self, listing: impl Fn(&Listing) -> Listing) -> Vec<usize> {
         let version = self.version.fetch_add(1, Ordering::Relaxed);
-        self.rigs.iter().map(|(_, rig)| rig.tell(&Listing { version, ..listing(&rig.list) })).collect()
+        self.rigs.iter().map(|(_, rig)| rig.publish(&Listing { version, ..listing(&rig.list) })).collect()
     }
 
     /// Number of connections for which this process had no descriptor.
-    pub fn turned_away(&self) -> u64 {
-        self.rigs.iter().map(|(_, rig)| rig.turned_away()).sum()
+    pub fn failed_accepts(&self) -> u64 {
+        self.rigs.iter().map(|(_, rig)| rig.failed_accepts()).sum()
     }
 
     /// Stops all rigs; fails if a node had ended before.
     pub async fn stop(self) -> Result<(), String> {
         for (_, rig) in self.rigs {
-            rig.end().await?;
+            rig.stop().await?;
         }
         Ok(())
     }
 }
 
-fn load_figures(plan: &Plan, rig: &Rig, samples: &[&Look]) -> LoadFigures {
-    let us_per_start = |pair: &[&Look]| {
+fn load_figures(plan: &LoadPlan, rig: &Rig, samples: &[&Snapshot]) -> LoadFigures {
+    let us_per_start = |pair: &[&Snapshot]| {
         1e6 * (pair[1].cpu() - pair[0].cpu()) / (pair[1].starts() - pair[0].starts()).max(1) as f64
     };
     let windows: Vec<f64> = samples.windows(2).map(us_per_start).collect();
@@ -246,7 +246,7 @@
         windows,
         cores: (last.cpu() - first.cpu()) / elapsed / nodes,
         starved: (last.waited.iter().sum::<f64>() - first.waited.iter().sum::<f64>()) / elapsed / nodes,
-        dials: (last.dialled - first.dialled) as f64 / starts.max(1.0),
+        dials: (last.connections_accepted - first.connections_accepted) as f64 / starts.max(1.0),
         running: rig.running() as f64 / nodes,
         resident_mb: rig.resident().into_iter().fold(0.0, f64::max),
         share_least,
--- a/crates/coveroute-emu/src/compare.rs
+++ b/crates/coveroute-emu/src/compare.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::scenario::Scenario;
-use crate::search::on_all_cores;
+use crate::search::parallel_map;
 use crate::virtual_time::{run, Policy};
 
 /// One side of a comparison.
@@ -52,7 +52,7 @@
 
 pub fn compare(path: &Path, one: &Side, two: &Side, seeds: u64) -> Result<Compared, String> {
     let scenario = Scenario::read(path)?;
-    let figures = on_all_cores(seeds, |seed| {
+    let figures = parallel_map(seeds, |seed| {
         let of = |side: &Side| side.figure(&scenario, path, 1 + seed);
         Ok((of(one)?, of(two)?))
     });
--- a/crates/coveroute-emu/src/fleet/links.rs
+++ b/crates/coveroute-emu/src/fleet/links.rs
@@ -179,7 +179,7 @@
     use super::*;
 
     fn links(faults: Vec<Fault>) -> Links {
-        let mut scenario = crate::search::drawn(1);
+        let mut scenario = crate::search::random_scenario(1);
         (scenario.fleet, scenario.faults) = (Some(Default::default()), faults);
         Links::new(&scenario, 1, &vec!["a".into(); 4])
     }
--- a/crates/coveroute-emu/src/fleet/measure.rs
+++ b/crates/coveroute-emu/src/fleet/measure.rs
@@ -11,12 +11,12 @@
 use super::checker::Ages;
 use super::simulation::FleetSimulation;
 use crate::scenario::{Direction, FaultKind, FleetSettings, Scenario, Span};
-use crate::search::{drawn, on_all_cores};
+use crate::search::{parallel_map, random_scenario};
 use crate::world::{NodeCommand, NodeId};
 
 /// A simulation without faults and with no process started.
 fn empty_simulation(nodes: usize, seed: u64, settings: FleetSettings) -> FleetSimulation {
-    let mut scenario: Scenario = drawn(1);
+    let mut scenario: Scenario = random_scenario(1);
     (scenario.fleet, scenario.faults) = (Some(settings), Vec::new());
     FleetSimulation::new(&scenario, seed, &vec!["a".into(); nodes])
 }
@@ -107,7 +107,7 @@
 
 /// Members wrongly declared dead per hour, in a fleet where none dies and the fraction `loss` of all datagrams is lost.
 pub fn false_deaths_an_hour(nodes: usize, loss: f64, seconds: f64, seeds: u64) -> f64 {
-    let deaths = on_all_cores(seeds, |seed| {
+    let deaths = parallel_map(seeds, |seed| {
         let mut simulation = started_simulation(nodes, 100 + seed, FleetSettings::default());
         simulation.run_until(5.0);
         simulation.links.inject(5.0, FaultKind::LinkLoss, loss, &[], Direction::Both);
@@ -219,7 +219,7 @@
 
 /// Runs `many` random schedules with seeds from `from`.
 pub fn run_schedules(from: u64, many: u64) -> Schedules {
-    let results = on_all_cores(many, |at| {
+    let results = parallel_map(many, |at| {
         let (simulation, equal) = run_schedule(from + at);
         (from + at, simulation.checker.broken, simulation.checker.breaches, simulation.checker.ages, equal)
     });
@@ -291,7 +291,7 @@
 
 /// Runs `many` random schedules with a shared limit, with seeds from `from`.
 pub fn run_limited_schedules(from: u64, many: u64) -> Limited {
-    let results = on_all_cores(many, |at| {
+    let results = parallel_map(many, |at| {
         let simulation = run_limited_schedule(from + at);
         let FleetSimulation { checker, wanted, had, .. } = simulation;
         (from + at, checker, wanted, had)
--- a/crates/coveroute-emu/src/fleet/processes.rs
+++ b/crates/coveroute-emu/src/fleet/processes.rs
@@ -19,7 +19,7 @@
 use super::links::Links;
 use super::simulation::{fleet_config, member};
 use crate::scenario::{Direction, FaultKind, FleetSettings, Scenario};
-use crate::search::drawn;
+use crate::search::random_scenario;
 use crate::world::NodeId;
 
 const CONFIG: &str = include_str!("../../../../examples/config.json");
@@ -170,7 +170,7 @@
         let block = 16 + ((std::process::id() + 101 * number) % 200) as u8;
         let dir = std::env::temp_dir().join(format!("coveroute-fleet-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-        let mut scenario: Scenario = drawn(1);
+        let mut scenario: Scenario = random_scenario(1);
         let latency = crate::scenario::Span(0.0);
         (scenario.fleet, scenario.faults) = (Some(FleetSettings { latency, ..settings.clone() }), Vec::new());
         let links = Arc::new(Mutex::new(Links::new(&scenario, 1, &vec!["a".into(); nodes])));
--- a/crates/coveroute-emu/src/fleet/proof.rs
+++ b/crates/coveroute-emu/src/fleet/proof.rs
@@ -14,11 +14,11 @@
 use super::model::{format_path, FleetModel};
 use super::model_limits::{self, RightsModel};
 use super::processes::Processes;
-use crate::load::{load, Members, Plan};
-use crate::loopback::{self, taken_by};
+use crate::load::{load, LoadPlan, Members};
+use crate::loopback::{self, resource_usage};
 use crate::proof::{Proof, ProofContext};
 use crate::scenario::{Direction, FaultKind, FleetSettings, Scenario};
-use crate::search::{drawn_fleet, search};
+use crate::search::{random_fleet_scenario, search};
 use crate::world::NodeId;
 
 const PRESENT: [&str; 2] = ["alive", "returned"];
@@ -98,7 +98,7 @@
 /// Random scenarios that combine the fleet's faults with all others, under load.
 fn check_all_faults(long: bool, proof: &mut Proof) -> Result<(), String> {
     let seeds = if long { 5000 } else { 300 };
-    let searched = search(1, seeds, 0, false, drawn_fleet, || {})?;
+    let searched = search(1, seeds, 0, false, random_fleet_scenario, || {})?;
     proof.note("searched", (seeds, searched.mean));
     for found in &searched.broken {
         proof.require(false, format!("seed {}: {}", found.seed, found.words));
@@ -220,7 +220,7 @@
     let cpu = |fleet: &Processes| {
         all.iter()
             .filter_map(|node| fleet.pid(*node))
-            .map(|pid| taken_by(pid as i32).cpu_seconds)
+            .map(|pid| resource_usage(pid as i32).cpu_seconds)
             .sum::<f64>()
     };
     let (before, span) = (cpu(&fleet), 5.0);
@@ -265,7 +265,7 @@
             let (node, seconds) = (program.to_owned(), 3.0);
             let (file, member) = others.fleet_file(0);
             let members = if with == 1 { Members::File(file, member) } else { Members::Nobody };
-            let plan = Plan { node, seconds, members, ..Plan::default() };
+            let plan = LoadPlan { node, seconds, members, ..LoadPlan::default() };
             costs.push(load(&plan)?.cpu_us_a_call);
         }
     }
--- a/crates/coveroute-emu/src/fleet/tests.rs
+++ b/crates/coveroute-emu/src/fleet/tests.rs
@@ -246,7 +246,7 @@
 #[test]
 fn random_fleet_scenarios_are_valid() {
     for seed in 0..100 {
-        let scenario = crate::search::drawn_fleet(seed);
+        let scenario = crate::search::random_fleet_scenario(seed);
         assert_eq!(Scenario::parse(&scenario.text()).as_ref(), Ok(&scenario));
     }
 }
--- a/crates/coveroute-emu/src/load.rs
+++ b/crates/coveroute-emu/src/load.rs
@@ -29,7 +29,7 @@
 use tokio::time::{sleep, sleep_until};
 
 use crate::fleet::simulation;
-use crate::loopback::taken_by;
+use crate::loopback::resource_usage;
 use crate::scenario::{FleetSettings, Scenario};
 use crate::settings;
 use crate::world::NodeId;
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct LoadPlan {
     pub node: PathBuf,
     pub nodes: usize,
     pub executors: usize,
@@ -68,9 +68,9 @@
     pub members: Members,
 }
 
-impl Default for Plan {
+impl Default for LoadPlan {
     fn default() -> Self {
-        Plan {
+        LoadPlan {
             node: PathBuf::new(),
             nodes: 1,
             executors: 16,
@@ -89,7 +89,7 @@
 }
 
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Loaded {
+pub struct LoadResult {
     pub executors: usize,
     pub connections: usize,
     pub served: u64,
@@ -114,7 +114,7 @@
     jobs: Vec<AtomicU64>,
     inflight: Vec<AtomicU64>,
     /// Connections that executors have accepted.
-    dialled: AtomicU64,
+    connections_accepted: AtomicU64,
     stop: AtomicBool,
     served: AtomicU64,
     other: AtomicU64,
@@ -126,7 +126,7 @@
     watches: Mutex<Vec<mpsc::UnboundedSender<Bytes>>>,
     full_list: Mutex<Bytes>,
     /// Connections that could not be accepted, for example because this process had no descriptor left.
-    turned_away: AtomicU64,
+    failed_accepts: AtomicU64,
     /// Discovery is unreachable.
     discovery_down: AtomicBool,
 }
@@ -141,7 +141,7 @@
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The scenario that the nodes' settings are derived from.
-fn scenario(plan: &Plan) -> Result<Scenario, String> {
+fn scenario(plan: &LoadPlan) -> Result<Scenario, String> {
     let mut text = format!(
         "name = \"load\"\nseconds = 60\n[nodes]\ncount = {}\nsockets = {}\nmemory_mb = {}\n[[workers]]\ncount = {}\n\
          slots = {SLOTS}\n[platform]\nprogress = 0\ntells_start = false\nidle = {:?}\n[[operations]]\nname = \"look\"\n\
@@ -164,7 +164,7 @@
 
 /// Real nodes with their executors, clients and discovery, on a block of loopback addresses of their own.
 pub struct Rig {
-    plan: Plan,
+    plan: LoadPlan,
     shared: Arc<SharedState>,
     children: Vec<Child>,
     files: Vec<PathBuf>,
@@ -177,19 +177,19 @@
 
 /// A snapshot of the totals of a rig's nodes, executors and clients.
 #[derive(Clone, Debug)]
-pub struct Look {
+pub struct Snapshot {
     pub at: Instant,
     /// Processor time of each node, in seconds.
     pub cpu: Vec<f64>,
     /// How long each node's threads were runnable without a core, in seconds.
     pub waited: Vec<f64>,
     pub jobs: Vec<u64>,
-    pub dialled: u64,
+    pub connections_accepted: u64,
     pub served: u64,
     pub other: u64,
 }
 
-impl Look {
+impl Snapshot {
     pub fn cpu(&self) -> f64 {
         self.cpu.iter().sum()
     }
@@ -210,7 +210,7 @@
     };
     let counted = threads.filter_map(|thread| counts(thread.path()));
     match counted.fold([0, 0], |sum, thread| [sum[0] + thread[0], sum[1] + thread[1]]) {
-        [0, _] => (taken_by(pid).cpu_seconds, 0.0),
+        [0, _] => (resource_usage(pid).cpu_seconds, 0.0),
         [ran, waited] => (ran as f64 / 1e9, waited as f64 / 1e9),
     }
 }
@@ -223,7 +223,7 @@
 
 impl Rig {
     /// Starts everything except the clients, and waits until the nodes are ready.
-    pub async fn begin(plan: &Plan) -> Result<Rig, String> {
+    pub async fn start(plan: &LoadPlan) -> Result<Rig, String> {
         static STARTED: AtomicU32 = AtomicU32::new(0);
         if !plan.node.is_file() {
             return Err(format!("{}: not found; build it first", plan.node.display()));
@@ -252,7 +252,7 @@
             news,
             jobs: counts(),
             inflight: counts(),
-            dialled: AtomicU64::new(0),
+            connections_accepted: AtomicU64::new(0),
             stop: AtomicBool::new(false),
             served: AtomicU64::new(0),
             other: AtomicU64::new(0),
@@ -262,7 +262,7 @@
             tenants: plan.tenants,
             watches: Mutex::new(Vec::new()),
             full_list: Mutex::new(Bytes::from(format!("{full_list}\n"))),
-            turned_away: AtomicU64::new(0),
+            failed_accepts: AtomicU64::new(0),
             discovery_down: AtomicBool::new(false),
         });
         for executor in 0..plan.executors {
@@ -289,7 +289,7 @@
         for node in 0..rig.plan.nodes {
             rig.wait_until_ready(node, began).await?;
         }
-        (rig.up, rig.up_cpu) = (began.elapsed().as_secs_f64(), rig.look().cpu());
+        (rig.up, rig.up_cpu) = (began.elapsed().as_secs_f64(), rig.snapshot().cpu());
         Ok(rig)
     }
 
@@ -339,7 +339,7 @@
     }
 
     /// Starts the clients.
-    pub fn call(&self) {
+    pub fn start_clients(&self) {
         let gap = |rate: f64| Duration::from_secs_f64(self.plan.connections as f64 / rate.max(1e-3));
         for connection in 0..self.plan.connections {
             tokio::spawn(run_client(self.shared.clone(), connection, self.plan.rate.map(gap)));
@@ -347,7 +347,7 @@
     }
 
     /// Lets no client begin another call.
-    pub fn hush(&self) {
+    pub fn stop_calls(&self) {
         self.shared.stop.store(true, Ordering::Relaxed);
     }
 
@@ -355,15 +355,15 @@
         self.children.iter().filter_map(|child| Some(child.id()? as i32))
     }
 
-    pub fn look(&self) -> Look {
+    pub fn snapshot(&self) -> Snapshot {
         let shared = &self.shared;
         let (cpu, waited) = self.pids().map(processor_time).unzip();
-        Look {
+        Snapshot {
             at: Instant::now(),
             cpu,
             waited,
             jobs: shared.jobs.iter().map(|jobs| jobs.load(Ordering::Relaxed)).collect(),
-            dialled: shared.dialled.load(Ordering::Relaxed),
+            connections_accepted: shared.connections_accepted.load(Ordering::Relaxed),
             served: shared.served.load(Ordering::Relaxed),
             other: shared.other.load(Ordering::Relaxed),
         }
@@ -380,7 +380,7 @@
     }
 
     /// Sends a list update to every watch; returns its size in bytes.
-    pub fn tell(&self, listing: &Listing) -> usize {
+    pub fn publish(&self, listing: &Listing) -> usize {
         let line = Bytes::from(format!("{}\n", settings::hosts(listing, 0.0)));
         let mut watches = lock(&self.shared.watches);
         watches.retain(|watch| watch.send(line.clone()).is_ok());
@@ -388,7 +388,7 @@
     }
 
     /// Makes discovery unreachable: open watches end, and new connections are closed.
-    pub fn part(&self) {
+    pub fn disconnect_discovery(&self) {
         self.shared.discovery_down.store(true, Ordering::Relaxed);
         lock(&self.shared.watches).clear();
     }
@@ -405,8 +405,8 @@
 
     /// Connections to executors that this process could not accept. If there are any, the figures don't
     /// measure the nodes.
-    pub fn turned_away(&self) -> u64 {
-        self.shared.turned_away.load(Ordering::Relaxed)
+    pub fn failed_accepts(&self) -> u64 {
+        self.shared.failed_accepts.load(Ordering::Relaxed)
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -416,8 +416,8 @@
     }
 
     /// Ends everything; an error if a node had ended before.
-    pub async fn end(mut self) -> Result<(), String> {
-        self.hush();
+    pub async fn stop(mut self) -> Result<(), String> {
+        self.stop_calls();
         let mut ended = None;
         for child in &mut self.children {
             ended = ended.or(child.try_wait().map_err(|e| e.to_string())?);
@@ -432,7 +432,7 @@
 }
 
 /// The fewest and the most jobs that one executor got between two snapshots, relative to the mean.
-pub fn shares(before: &Look, after: &Look) -> (f64, f64) {
+pub fn shares(before: &Snapshot, after: &Snapshot) -> (f64, f64) {
     let each: Vec<f64> = after.jobs.iter().zip(&before.jobs).map(|(now, then)| (now - then) as f64).collect();
     let mean = (each.iter().sum::<f64>() / each.len() as f64).max(1e-9);
     let least = each.iter().copied().fold(f64::INFINITY, f64::min);
@@ -453,27 +453,27 @@
 }
 
 /// Runs a load test and measures it.
-pub fn load(plan: &Plan) -> Result<Loaded, String> {
-    on_runtime(work(plan))
+pub fn load(plan: &LoadPlan) -> Result<LoadResult, String> {
+    on_runtime(run_load(plan))
 }
 
-async fn work(plan: &Plan) -> Result<Loaded, String> {
-    let rig = Rig::begin(plan).await?;
-    rig.call();
+async fn run_load(plan: &LoadPlan) -> Result<LoadResult, String> {
+    let rig = Rig::start(plan).await?;
+    rig.start_clients();
     sleep(WARMUP).await;
-    let before = rig.look();
+    let before = rig.snapshot();
     rig.reset();
     sleep(Duration::from_secs_f64(plan.seconds)).await;
-    let after = rig.look();
-    let taken = rig.pids().map(taken_by).fold((0.0, 0), |(mb, held): (f64, usize), taken| {
-        (mb.max(taken.peak_mb), held.max(taken.most_descriptors))
+    let after = rig.snapshot();
+    let usage = rig.pids().map(resource_usage).fold((0.0, 0), |(mb, held): (f64, usize), usage| {
+        (mb.max(usage.peak_mb), held.max(usage.most_descriptors))
     });
     let latencies = lock(&rig.shared.latencies).clone();
-    rig.end().await?;
+    rig.stop().await?;
     let (served, other) = (after.served - before.served, after.other - before.other);
     let at = |part: f64| latencies.value_at_quantile(part) as f64 / 1e3;
     let (share_least, share_most) = shares(&before, &after);
-    Ok(Loaded {
+    Ok(LoadResult {
         executors: plan.executors,
         connections: plan.connections,
         served,
@@ -484,8 +484,8 @@
         p99_ms: at(0.99),
         p999_ms: at(0.999),
         longest_ms: latencies.max() as f64 / 1e3,
-        peak_mb: taken.0,
-        descriptors: taken.1,
+        peak_mb: usage.0,
+        descriptors: usage.1,
         share_least,
         share_most,
     })
@@ -525,13 +525,13 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Keeps the executor listening after this process has run out of descriptors.
-            shared.turned_away.fetch_add(1, Ordering::Relaxed);
+            shared.failed_accepts.fetch_add(1, Ordering::Relaxed);
             sleep(Duration::from_millis(50)).await;
             continue;
         };
         let shared = shared.clone();
         let _ = stream.set_nodelay(true);
-        shared.dialled.fetch_add(1, Ordering::Relaxed);
+        shared.connections_accepted.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
             let service = service_fn(|request| respond(shared.clone(), executor, request));
             let _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -588,11 +588,11 @@
 
     fn measure(&self, node: NodeId) {
         let Some(pid) = self.processes.borrow()[node].as_ref().map(|process| process.pid) else { return };
-        let took = taken_by(pid);
+        let usage = resource_usage(pid);
         let mut all = self.machines.get();
-        all.cpu_seconds += took.cpu_seconds;
-        all.peak_mb = all.peak_mb.max(took.peak_mb);
-        all.most_descriptors = all.most_descriptors.max(took.most_descriptors);
+        all.cpu_seconds += usage.cpu_seconds;
+        all.peak_mb = all.peak_mb.max(usage.peak_mb);
+        all.most_descriptors = all.most_descriptors.max(usage.most_descriptors);
         self.machines.set(all);
     }
 
@@ -605,7 +605,7 @@
 }
 
 /// Resources that a process has used so far.
-pub fn taken_by(pid: i32) -> ResourceUsage {
+pub fn resource_usage(pid: i32) -> ResourceUsage {
     let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
     // Fields 14 and 15, counted after the name, which may contain spaces; in hundredths of a second.
     let stat = read("stat");
--- a/crates/coveroute-emu/src/main.rs
+++ b/crates/coveroute-emu/src/main.rs
@@ -5,11 +5,11 @@
 use clap::{Parser, Subcommand};
 use coveroute_emu::compare::{compare, Side};
 use coveroute_emu::fleet::model::{self, FleetModel};
-use coveroute_emu::load::{load, Plan};
+use coveroute_emu::load::{load, LoadPlan};
 use coveroute_emu::proof::ProofContext;
 use coveroute_emu::prove::prove;
 use coveroute_emu::scenario::Scenario;
-use coveroute_emu::search::{drawn, drawn_fleet, search, Found};
+use coveroute_emu::search::{random_fleet_scenario, random_scenario, search, Found};
 use coveroute_emu::virtual_time::{run, run_sampled, Policy, RunStats};
 use coveroute_emu::world::Outcome;
 use coveroute_emu::{loopback, report, trace};
@@ -267,8 +267,17 @@
         },
         Command::Load { nodes, executors, connections, seconds, rate, sockets, runs, node } => {
             let node = program(node);
-            let plan =
-                Plan { node, nodes, executors, connections, seconds, rate, sockets, runs, ..Plan::default() };
+            let plan = LoadPlan {
+                node,
+                nodes,
+                executors,
+                connections,
+                seconds,
+                rate,
+                sockets,
+                runs,
+                ..LoadPlan::default()
+            };
             println!("{}", json!(load(&plan)?));
             Ok(())
         }
@@ -278,7 +287,7 @@
             Ok(())
         }
         Command::Search { seeds, from, worst, baselines, fleet, to } => {
-            let draws = if fleet { drawn_fleet } else { drawn };
+            let draws = if fleet { random_fleet_scenario } else { random_scenario };
             let progress_bar = progress_bar(seeds, "searching");
             let searched = search(from, seeds, worst, baselines, draws, || progress_bar.inc(1))?;
             progress_bar.finish_and_clear();
--- a/crates/coveroute-emu/src/prove.rs
+++ b/crates/coveroute-emu/src/prove.rs
@@ -9,7 +9,7 @@
 use crate::loopback;
 use crate::proof::{Proof, ProofContext};
 use crate::scenario::Scenario;
-use crate::search::{drawn, search};
+use crate::search::{random_scenario, search};
 use crate::sink::Digest;
 use crate::virtual_time::{run, Policy};
 
@@ -83,7 +83,7 @@
         proof.require(same && broken == 0, format!("{name}: runs equal: {same}, {broken} rules broken"));
     }
     let seeds = if context.long { 10_000 } else { 300 };
-    let searched = search(1, seeds, 0, false, drawn, || {})?;
+    let searched = search(1, seeds, 0, false, random_scenario, || {})?;
     proof.note("searched", seeds);
     proof.note("search_mean", searched.mean);
     proof.note("search_seconds", searched.wall);
@@ -132,7 +132,7 @@
         let real = pace.seconds / pace.wall;
         proof.note(name, json!({
             "figure": outcome.figure(), "times_real": real, "events_a_second": pace.events as f64 / pace.wall,
-            "peak_mb": loopback::taken_by(std::process::id() as i32).peak_mb, "broken": outcome.broken,
+            "peak_mb": loopback::resource_usage(std::process::id() as i32).peak_mb, "broken": outcome.broken,
         }));
         proof.require(times.is_none_or(|times| real >= times), format!("{name}: {real:.1} times real time"));
         proof.require(outcome.broken == 0, format!("{name}: {:?}", outcome.breaches.first()));
--- a/crates/coveroute-emu/src/report.rs
+++ b/crates/coveroute-emu/src/report.rs
@@ -194,7 +194,7 @@
 
     #[test]
     fn the_page_is_self_contained_and_shows_the_faults() {
-        let mut scenario = crate::search::drawn(3);
+        let mut scenario = crate::search::random_scenario(3);
         scenario.name = "<odd>".into();
         let mut samples = Vec::new();
         let (outcome, _) = crate::virtual_time::run_sampled(&scenario, 3, &mut samples).expect("a run");
--- a/crates/coveroute-emu/src/search.rs
+++ b/crates/coveroute-emu/src/search.rs
@@ -16,7 +16,7 @@
 use crate::virtual_time::{run, Policy};
 
 /// Calls `act` for each number below `most`, on all cores; the results are in order.
-pub fn on_all_cores<T: Send>(most: u64, act: impl Fn(u64) -> T + Sync) -> Vec<T> {
+pub fn parallel_map<T: Send>(most: u64, act: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(0);
     let done = Mutex::new(Vec::new());
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
@@ -62,7 +62,7 @@
 }
 
 /// A small random scenario: two to four nodes, six to twelve workers, 24 s, and some faults.
-pub fn drawn(seed: u64) -> Scenario {
+pub fn random_scenario(seed: u64) -> Scenario {
     let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0x5ea7c4);
     let zones = draw.random_range(1..=2);
     let zone = |at: usize| ["a", "b"][at % zones].to_owned();
@@ -121,8 +121,8 @@
 }
 
 /// A random scenario with a fleet and one to four additional faults of the fleet.
-pub fn drawn_fleet(seed: u64) -> Scenario {
-    let mut scenario = drawn(seed);
+pub fn random_fleet_scenario(seed: u64) -> Scenario {
+    let mut scenario = random_scenario(seed);
     let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0xf1ee7);
     scenario.nodes.count = Count(draw.random_range(2..=6));
     scenario.fleet = Some(FleetSettings { writes: Span(0.5), ..FleetSettings::default() });
@@ -259,12 +259,12 @@
 ) -> Result<Searched, String> {
     const MAX_SHRUNK_BREACHES: usize = 8; // Further breaches most likely have the same cause.
     let began = std::time::Instant::now();
-    let looked = on_all_cores(seeds, |at| {
+    let results = parallel_map(seeds, |at| {
         let found = evaluate(generate(from + at), baselines);
         tick();
         found
     });
-    let found: Vec<Found> = looked.into_iter().collect::<Result<_, String>>()?;
+    let found: Vec<Found> = results.into_iter().collect::<Result<_, String>>()?;
     let mean = found.iter().map(|f| f.figure).sum::<f64>() / found.len().max(1) as f64;
     let breaches = found.iter().filter(|f| f.broken > 0).take(MAX_SHRUNK_BREACHES).cloned();
     let broken = breaches.map(|f| shrink(f, |f| f.broken > 0, false)).collect::<Result<_, _>>()?;
@@ -296,7 +296,7 @@
     #[test]
     fn drawn_scenarios_are_valid() {
         for seed in 0..200 {
-            let scenario = drawn(seed);
+            let scenario = random_scenario(seed);
             assert_eq!(
                 Scenario::parse(&scenario.text()).as_ref().map(|s| s.faults.len()),
                 Ok(scenario.faults.len())
@@ -306,7 +306,7 @@
 
     #[test]
     fn a_loss_is_shrunk_to_the_fault_that_causes_it() {
-        let mut scenario = drawn(1);
+        let mut scenario = random_scenario(1);
         let fault = |what, by| Fault { by, ..Fault::new(what, 5.0, 8.0) };
         scenario.faults =
             vec![fault(FaultKind::DoubledNews, None), fault(FaultKind::Heavy, Some(Amount(9.0)))];
--- a/crates/coveroute-emu/src/trace.rs
+++ b/crates/coveroute-emu/src/trace.rs
@@ -126,7 +126,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::search::drawn;
+    use crate::search::random_scenario;
 
     fn path(name: &str) -> std::path::PathBuf {
         std::env::temp_dir().join(format!("coveroute-emu-{}-{name}", std::process::id()))
@@ -135,10 +135,10 @@
     #[test]
     fn records_replay_and_report_the_first_difference() {
         let (one, two) = (path("one"), path("two"));
-        let outcome = record(&drawn(5), 5, Policy::Node, &one).expect("recorded");
+        let outcome = record(&random_scenario(5), 5, Policy::Node, &one).expect("recorded");
         assert_eq!(replay(&one).map(|again| again.figure()), Ok(outcome.figure()));
         assert_eq!(diff(&one, &one), Ok(None));
-        record(&drawn(5), 6, Policy::Node, &two).expect("recorded");
+        record(&random_scenario(5), 6, Policy::Node, &two).expect("recorded");
         assert!(matches!(diff(&one, &two), Ok(Some((at, a, b))) if at >= 1 && a != b));
         // An altered event is reported with its number.
         let text = std::fs::read_to_string(&one).expect("a record");
--- a/crates/coveroute-emu/src/virtual_time/tests.rs
+++ b/crates/coveroute-emu/src/virtual_time/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::scenario::{Amount, Count, Effect, Fault, FaultKind, Positive};
-use crate::search::drawn;
+use crate::search::random_scenario;
 use crate::sink::Digest;
 use crate::world::invariants::Rule;
 
@@ -15,7 +15,7 @@
 }
 
 fn with(faults: Vec<Fault>) -> Scenario {
-    let mut scenario = drawn(4);
+    let mut scenario = random_scenario(4);
     scenario.faults = faults;
     scenario.platform.cancelling = true;
     scenario
@@ -25,7 +25,7 @@
 fn equal_seeds_give_equal_runs() {
     let digest = |seed: u64| {
         let mut digest = Digest::default();
-        let outcome = run(&drawn(9), seed, Policy::Node, Some(&mut digest)).expect("a run").0;
+        let outcome = run(&random_scenario(9), seed, Policy::Node, Some(&mut digest)).expect("a run").0;
         (digest, outcome)
     };
     assert_eq!(digest(9), digest(9));
@@ -63,7 +63,7 @@
 #[test_case(Choice::Oracle; "oracle")]
 fn baselines_keep_the_rules(choice: Choice) {
     for seed in 0..12 {
-        let outcome = run(&drawn(seed), seed, Policy::Baseline(choice), None).expect("a run").0;
+        let outcome = run(&random_scenario(seed), seed, Policy::Baseline(choice), None).expect("a run").0;
         let cold = |rule: Rule| rule == Rule::NoColdWorkerPushedOver;
         let broken: Vec<_> = outcome.breaches.iter().filter(|breach| !cold(breach.rule)).collect();
         assert!(broken.is_empty(), "{seed}: {broken:?}");
--- a/crates/coveroute-emu/tests/restarts.rs
+++ b/crates/coveroute-emu/tests/restarts.rs
@@ -1,6 +1,6 @@
 //! All nodes of a large fleet restart at once, while discovery handles some tens of calls per second.
 use coveroute_emu::scenario::{Amount, Scenario};
-use coveroute_emu::search::drawn;
+use coveroute_emu::search::random_scenario;
 use coveroute_emu::virtual_time::{run, Policy};
 use test_case::test_case;
 
@@ -77,6 +77,6 @@
 #[test_case(8046)]
 #[test_case(16012)]
 fn a_worker_restarted_according_to_the_previous_list_may_be_used(seed: u64) {
-    let (outcome, _) = run(&drawn(seed), seed, Policy::Node, None).expect("a run");
+    let (outcome, _) = run(&random_scenario(seed), seed, Policy::Node, None).expect("a run");
     assert_eq!(outcome.breaches, Vec::new());
 }
--- a/crates/coveroute-node/tests/crowds/descriptors.rs
+++ b/crates/coveroute-node/tests/crowds/descriptors.rs
@@ -6,7 +6,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use coveroute_emu::loopback::taken_by;
+use coveroute_emu::loopback::resource_usage;
 use test_case::test_case;
 
 use crate::harness::{
@@ -77,7 +77,7 @@
     }
 
     fn open_descriptors(&self) -> usize {
-        taken_by(self.process.id()).most_descriptors
+        resource_usage(self.process.id()).most_descriptors
     }
 
     /// Waits until the node is ready, and checks that it serves calls through its executor.
@@ -157,9 +157,9 @@
     let fixture = Fixture::new(options);
     let _idle = open_idle_connections(fixture.process.node, 2 * DESCRIPTORS);
     thread::sleep(Duration::from_millis(500));
-    let (cpu, begun) = (taken_by(fixture.process.id()).cpu_seconds, Instant::now());
+    let (cpu, begun) = (resource_usage(fixture.process.id()).cpu_seconds, Instant::now());
     thread::sleep(Duration::from_secs(2));
-    let spent = (taken_by(fixture.process.id()).cpu_seconds - cpu) / begun.elapsed().as_secs_f64();
+    let spent = (resource_usage(fixture.process.id()).cpu_seconds - cpu) / begun.elapsed().as_secs_f64();
     println!("{spent:.3} of a core, {} descriptors", fixture.open_descriptors());
     assert!(spent < MAX_CPU, "{spent} of a core: {}", fixture.process.log());
     fixture.discovery.start();
