--- a/crates/coveroute-emu/src/compare.rs
+++ b/crates/coveroute-emu/src/compare.rs
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Compared {
+pub struct Comparison {
     pub seeds: usize,
     pub one: f64,
     pub two: f64,
@@ -50,24 +50,24 @@
     pub within: f64,
 }
 
-pub fn compare(path: &Path, one: &Side, two: &Side, seeds: u64) -> Result<Compared, String> {
+pub fn compare(path: &Path, one: &Side, two: &Side, seeds: u64) -> Result<Comparison, String> {
     let scenario = Scenario::read(path)?;
     let figures = parallel_map(seeds, |seed| {
         let of = |side: &Side| side.figure(&scenario, path, 1 + seed);
         Ok((of(one)?, of(two)?))
     });
     let figures: Vec<(f64, f64)> = figures.into_iter().collect::<Result<_, String>>()?;
-    Ok(paired(&figures))
+    Ok(compare_pairs(&figures))
 }
 
-fn paired(figures: &[(f64, f64)]) -> Compared {
+fn compare_pairs(figures: &[(f64, f64)]) -> Comparison {
     let n = figures.len().max(1) as f64;
     let mean = |of: &dyn Fn(&(f64, f64)) -> f64| figures.iter().map(of).sum::<f64>() / n;
     let difference = mean(&|f| f.0 - f.1);
     let spread = figures.iter().map(|f| (f.0 - f.1 - difference).powi(2)).sum::<f64>();
     let deviation = (spread / (n - 1.0).max(1.0)).sqrt();
     let within = student(figures.len().saturating_sub(1)) * deviation / n.sqrt();
-    Compared { seeds: figures.len(), one: mean(&|f| f.0), two: mean(&|f| f.1), difference, within }
+    Comparison { seeds: figures.len(), one: mean(&|f| f.0), two: mean(&|f| f.1), difference, within }
 }
 
 /// Student's t quantile at 97.5%, from a standard table; the normal quantile beyond thirty degrees of
@@ -90,9 +90,9 @@
     #[test]
     fn differences_are_computed_pairwise() {
         let same: Vec<(f64, f64)> = (0..9).map(|i| (f64::from(i) + 0.5, f64::from(i))).collect();
-        let compared = paired(&same);
+        let compared = compare_pairs(&same);
         assert!((compared.difference - 0.5).abs() < 1e-12 && compared.within < 1e-12, "{compared:?}");
-        let compared = paired(&[(1.0, 0.0), (0.0, 1.0)]);
+        let compared = compare_pairs(&[(1.0, 0.0), (0.0, 1.0)]);
         assert!(
             compared.difference == 0.0 && compared.within > 1.0,
             "two seeds give a wide interval: {compared:?}"
--- a/crates/coveroute-emu/src/fleet/measure.rs
+++ b/crates/coveroute-emu/src/fleet/measure.rs
@@ -37,7 +37,7 @@
 
 /// Figures of a fleet of one size.
 #[derive(Clone, Debug, Serialize)]
-pub struct Size {
+pub struct SizeFigures {
     pub nodes: usize,
     /// Time from a kill until the first node (`known`) and until all nodes (`told`) hold the member to be dead: median and
     /// 99th percentile, in seconds.
@@ -51,7 +51,7 @@
 }
 
 /// Measures a fleet of `nodes` nodes: 30 s idle, then `kills` rounds of a kill, a restart and a write.
-pub fn measure_size(nodes: usize, kills: usize, seed: u64) -> Size {
+pub fn measure_size(nodes: usize, kills: usize, seed: u64) -> SizeFigures {
     let mut simulation = started_simulation(nodes, seed, FleetSettings::default());
     // One status record per node, as real nodes write.
     for node in 0..nodes {
@@ -88,14 +88,14 @@
         now += 5.0;
         simulation.run_until(now);
         simulation.write(now, writer, 1);
-        let all = simulation.run_until_true(now, now + 60.0, FleetSimulation::agree);
+        let all = simulation.run_until_true(now, now + 60.0, FleetSimulation::agree_on_table);
         written.push(all.map_or(f64::INFINITY, |all| all - now));
         now = all.unwrap_or(now + 60.0) + 1.0;
         simulation.run_until(now);
     }
     let median_and_p99 = |figures: &mut Vec<f64>| (quantile(figures, 0.5), quantile(figures, 0.99));
     let false_deaths = simulation.state_changes.iter().filter(|change| change.false_death).count();
-    Size {
+    SizeFigures {
         nodes,
         known: median_and_p99(&mut known),
         told: median_and_p99(&mut told),
@@ -128,7 +128,7 @@
 
 /// Results of random schedules of all faults.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Schedules {
+pub struct ScheduleResults {
     pub schedules: u64,
     /// Number of breaches, over all schedules.
     pub broken: u64,
@@ -152,7 +152,7 @@
     run_random_faults(&mut simulation, nodes, &mut rng);
     simulation.links.heal();
     simulation.stop_writing();
-    let equal = simulation.run_until_true(25.0, 35.0, FleetSimulation::agree).is_some();
+    let equal = simulation.run_until_true(25.0, 35.0, FleetSimulation::agree_on_table).is_some();
     (simulation, equal)
 }
 
@@ -218,12 +218,12 @@
 }
 
 /// Runs `many` random schedules with seeds from `from`.
-pub fn run_schedules(from: u64, many: u64) -> Schedules {
+pub fn run_schedules(from: u64, many: u64) -> ScheduleResults {
     let results = parallel_map(many, |at| {
         let (simulation, equal) = run_schedule(from + at);
         (from + at, simulation.checker.broken, simulation.checker.breaches, simulation.checker.ages, equal)
     });
-    let mut all = Schedules { schedules: many, ..Schedules::default() };
+    let mut all = ScheduleResults { schedules: many, ..ScheduleResults::default() };
     for (seed, broken, breaches, ages, equal) in results {
         all.broken += broken;
         let remaining = 10_usize.saturating_sub(all.breaches.len());
@@ -248,7 +248,7 @@
 
 /// Results of random schedules with a limit shared by the whole fleet.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Limited {
+pub struct LimitScheduleResults {
     pub schedules: u64,
     pub broken: u64,
     pub breaches: Vec<String>,
@@ -290,13 +290,13 @@
 }
 
 /// Runs `many` random schedules with a shared limit, with seeds from `from`.
-pub fn run_limited_schedules(from: u64, many: u64) -> Limited {
+pub fn run_limited_schedules(from: u64, many: u64) -> LimitScheduleResults {
     let results = parallel_map(many, |at| {
         let simulation = run_limited_schedule(from + at);
         let FleetSimulation { checker, wanted, had, .. } = simulation;
         (from + at, checker, wanted, had)
     });
-    let mut all = Limited { schedules: many, ..Limited::default() };
+    let mut all = LimitScheduleResults { schedules: many, ..LimitScheduleResults::default() };
     for (seed, checker, wanted, had) in results {
         all.broken += checker.broken;
         let remaining = 10_usize.saturating_sub(all.breaches.len());
--- a/crates/coveroute-emu/src/fleet/simulation.rs
+++ b/crates/coveroute-emu/src/fleet/simulation.rs
@@ -215,7 +215,7 @@
             NodeCommand::Kill => self.kill(node),
             NodeCommand::Stop => self.leave(now, node),
             NodeCommand::Stall => self.nodes[node].stalled = Some(Vec::new()),
-            NodeCommand::Wake => self.wake(now, node),
+            NodeCommand::Wake => self.resume(now, node),
             NodeCommand::Reload | NodeCommand::Retune | NodeCommand::Replace => {}
         }
     }
@@ -261,7 +261,7 @@
         self.with_fleet(now, node, |fleet, _, actions| fleet.leave(actions));
     }
 
-    pub fn wake(&mut self, now: f64, node: NodeId) {
+    pub fn resume(&mut self, now: f64, node: NodeId) {
         let buffered = self.nodes[node].stalled.take().unwrap_or_default();
         // Buffered datagrams are read before the timers run: the process does not know that it was stalled.
         for (from, bytes) in buffered {
@@ -378,7 +378,7 @@
 
     fn tick(&mut self, now: f64, node: NodeId) {
         if self.nodes[node].stalled.is_some() {
-            return; // `wake` runs the next tick.
+            return; // `resume` runs the next tick.
         }
         self.with_fleet(now, node, |fleet, local_time, actions| fleet.advance(local_time, actions));
         self.advance_rights(now, node);
@@ -461,7 +461,7 @@
     }
 
     /// Whether all running processes have equal tables.
-    pub fn agree(&self) -> bool {
+    pub fn agree_on_table(&self) -> bool {
         let mut checksums =
             self.nodes.iter().filter(|s| s.is_running()).filter_map(|s| s.fleet.as_ref()).map(Fleet::sum);
         let first = checksums.next();
--- a/crates/coveroute-emu/src/fleet/tests.rs
+++ b/crates/coveroute-emu/src/fleet/tests.rs
@@ -42,7 +42,7 @@
     let mut simulation = started_simulation(nodes, 1, FleetSettings::default());
     let all = range(0, nodes);
     let known = simulation.run_until_true(0.0, 5.0, |simulation| {
-        all_hold_states(simulation, &all, &all, &PRESENT) && simulation.agree()
+        all_hold_states(simulation, &all, &all, &PRESENT) && simulation.agree_on_table()
     });
     assert!(known.is_some_and(|at| at < 3.0), "{known:?}");
     assert_no_breaches(&simulation);
@@ -88,7 +88,7 @@
     simulation.stop_writing();
     let (all, healed) = (range(0, 12), declared_dead.unwrap_or(0.0));
     let back = simulation.run_until_true(healed, 35.0, |simulation| {
-        all_hold_states(simulation, &all, &all, &PRESENT) && simulation.agree()
+        all_hold_states(simulation, &all, &all, &PRESENT) && simulation.agree_on_table()
     });
     assert!(back.is_some_and(|at| at < healed + 3.0), "{back:?}");
     assert_no_breaches(&simulation);
@@ -103,7 +103,7 @@
     let others: Vec<NodeId> = range(0, 12).into_iter().filter(|node| *node != 7).collect();
     simulation.run_until(25.0);
     assert!(all_hold_states(&simulation, &others, &[7], &[State::Dead]));
-    simulation.wake(25.0, 7);
+    simulation.resume(25.0, 7);
     let back = simulation
         .run_until_true(25.0, 30.0, |simulation| all_hold_states(simulation, &others, &[7], &PRESENT));
     assert!(back.is_some_and(|at| at < 26.0), "{back:?}");
@@ -139,7 +139,7 @@
     simulation.links.heal();
     simulation.stop_writing();
     let healed = simulation.run_until_true(65.0, 75.0, |simulation| {
-        all_hold_states(simulation, &all, &all, &PRESENT) && simulation.agree()
+        all_hold_states(simulation, &all, &all, &PRESENT) && simulation.agree_on_table()
     });
     assert!(healed.is_some_and(|at| at < 67.0), "{healed:?}");
     assert_no_breaches(&simulation);
@@ -212,7 +212,7 @@
     assert_eq!(false_deaths(&simulation), 0);
     simulation.links.heal();
     simulation.stop_writing();
-    let agree = simulation.run_until_true(35.0, 45.0, FleetSimulation::agree);
+    let agree = simulation.run_until_true(35.0, 45.0, FleetSimulation::agree_on_table);
     assert!(agree.is_some(), "tables differ");
     assert_no_breaches(&simulation);
 }
--- a/crates/coveroute-emu/src/world/clients.rs
+++ b/crates/coveroute-emu/src/world/clients.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::scenario::{Effect, FaultKind, Group, Operation, Scenario};
-use crate::world::invariants::{FinalAnswer, Terms};
+use crate::world::invariants::{FinalAnswer, OperationTerms};
 use crate::world::{uniform_draw, NodeId, TryId};
 
 pub type AskId = usize;
@@ -257,7 +257,7 @@
     }
 }
 
-pub fn terms(scenario: &Scenario, op: usize) -> Terms {
+pub fn operation_terms(scenario: &Scenario, op: usize) -> OperationTerms {
     let op = &scenario.operations[op];
-    Terms { effect: op.effect, group: op.group, window: op.window.0 }
+    OperationTerms { effect: op.effect, group: op.group, window: op.window.0 }
 }
--- a/crates/coveroute-emu/src/world/invariants.rs
+++ b/crates/coveroute-emu/src/world/invariants.rs
@@ -44,7 +44,7 @@
 
 /// The properties of an operation that the rules depend on.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct OperationTerms {
     pub effect: Effect,
     pub group: Group,
     pub window: f64,
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 struct TrackedTry {
     node: NodeId,
-    terms: Terms,
+    terms: OperationTerms,
     taken: f64,
     deadline: f64,
     answer: Option<(f64, FinalAnswer)>,
@@ -156,7 +156,7 @@
     }
 
     /// A node has received a request: its last byte was written to a live node.
-    pub fn taken(&mut self, now: f64, tri: TryId, node: NodeId, terms: Terms, deadline: f64) {
+    pub fn taken(&mut self, now: f64, tri: TryId, node: NodeId, terms: OperationTerms, deadline: f64) {
         let (answer, forwards, void, ran) = (None, Vec::new(), false, false);
         self.tracked
             .insert(tri, TrackedTry { node, terms, taken: now, deadline, answer, forwards, void, ran });
@@ -256,11 +256,11 @@
         };
         let node = tried.node;
         self.breach(Rule::OneAnswer, now, node, Some(tri), "the connection ended without an answer".into());
-        self.void(tri);
+        self.waive_answer(tri);
     }
 
     /// No answer is owed any more: the client left, or its node died.
-    pub fn void(&mut self, tri: TryId) {
+    pub fn waive_answer(&mut self, tri: TryId) {
         self.tracked.entry(tri).and_modify(|tried| tried.void = true);
     }
 
@@ -271,7 +271,7 @@
         };
         let (node, late) = (tried.node, now - tried.deadline);
         if self.paused.contains_key(&node) {
-            return self.void(tri); // A paused node can't answer.
+            return self.waive_answer(tri); // A paused node can't answer.
         }
         self.breach(
             Rule::OneAnswer,
@@ -280,7 +280,7 @@
             Some(tri),
             format!("no answer {late:.3} s after the deadline"),
         );
-        self.void(tri);
+        self.waive_answer(tri);
     }
 
     /// The node's process died: it knows nothing any more, and its open tries are void.
--- a/crates/coveroute-emu/src/world/invariants/tests.rs
+++ b/crates/coveroute-emu/src/world/invariants/tests.rs
@@ -5,7 +5,7 @@
 fn invariants(effect: Effect, group: Group) -> InvariantChecker {
     let places = vec![("a".into(), 0), ("a".into(), 1), ("b".into(), 2)];
     let mut invariants = InvariantChecker::new(1, places, 0.05, 0.5);
-    invariants.taken(0.0, 1, 0, Terms { effect, group, window: 2.0 }, 5.0);
+    invariants.taken(0.0, 1, 0, OperationTerms { effect, group, window: 2.0 }, 5.0);
     invariants
 }
 
@@ -23,7 +23,7 @@
 #[test_case(|r| r.answered(5.04, 1, FinalAnswer::Failed), &[]; "within the slack")]
 #[test_case(|r| r.answered(5.1, 1, FinalAnswer::Failed), &[Rule::OneAnswer]; "late")]
 #[test_case(|r| r.expired(5.2, 1), &[Rule::OneAnswer]; "no answer")]
-#[test_case(|r| { r.void(1); r.expired(5.2, 1) }, &[]; "client left")]
+#[test_case(|r| { r.waive_answer(1); r.expired(5.2, 1) }, &[]; "client left")]
 #[test_case(|r| { r.node_died(0); r.expired(5.2, 1) }, &[]; "node killed")]
 #[test_case(|r| r.dropped(1.0, 1), &[Rule::OneAnswer]; "connection closed")]
 #[test_case(|r| r.answered(1.0, 1, FinalAnswer::Served), &[Rule::OneAnswer]; "served although nothing ran")]
--- a/crates/coveroute-emu/src/world/mod.rs
+++ b/crates/coveroute-emu/src/world/mod.rs
@@ -434,7 +434,7 @@
     /// A node has received a try's request: its last byte was written to the node.
     pub fn taken(&mut self, now: f64, tri: TryId) {
         let clients::Try { node, deadline, .. } = self.clients.tries[tri as usize];
-        let terms = clients::terms(&self.scenario, self.clients.ask_of(tri).op);
+        let terms = clients::operation_terms(&self.scenario, self.clients.ask_of(tri).op);
         self.invariants.taken(now, tri, node, terms, deadline);
     }
 
@@ -466,7 +466,7 @@
         if self.nodes[self.clients.tries[tri as usize].node].alive {
             self.invariants.dropped(now, tri);
         }
-        self.invariants.void(tri);
+        self.invariants.waive_answer(tri);
         self.try_ended(now, tri, None, 0.0);
     }
 
@@ -496,7 +496,7 @@
         if was_over {
             return;
         }
-        self.invariants.void(tri);
+        self.invariants.waive_answer(tri);
         self.clients.end(&self.scenario, self.start_delay, ask, End::Left);
         out.push(Output::Leave { node: self.clients.tries[tri as usize].node, tri });
     }
--- a/crates/coveroute-emu/src/world/worker.rs
+++ b/crates/coveroute-emu/src/world/worker.rs
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
+enum JobStage {
     Queued,
     Running,
 }
@@ -46,7 +46,7 @@
     node: NodeId,
     left: f64,
     memory: f64,
-    stage: Stage,
+    stage: JobStage,
     acked: bool,
     last_progress: f64,
 }
@@ -210,7 +210,7 @@
     }
 
     fn running(&self) -> usize {
-        self.jobs.iter().filter(|job| job.stage == Stage::Running).count()
+        self.jobs.iter().filter(|job| job.stage == JobStage::Running).count()
     }
 
     pub fn queued(&self) -> usize {
@@ -241,7 +241,7 @@
         let done = self.rate_per_job(0.5 * (self.updated_at + now)) * (now - self.updated_at).max(0.0);
         self.cold_load.work += if self.warmth(now) < 1.0 { done * self.running() as f64 } else { 0.0 };
         self.updated_at = now;
-        let running = self.jobs.iter_mut().filter(|job| job.stage == Stage::Running);
+        let running = self.jobs.iter_mut().filter(|job| job.stage == JobStage::Running);
         running.for_each(|job| job.left -= done);
     }
 
@@ -251,7 +251,7 @@
         if rate_per_job <= 0.0 || self.running() == 0 {
             return None;
         }
-        let running = || self.jobs.iter().filter(|job| job.stage == Stage::Running);
+        let running = || self.jobs.iter().filter(|job| job.stage == JobStage::Running);
         let ends = running().map(|job| job.left.max(0.0) / rate_per_job).fold(f64::INFINITY, f64::min);
         let record_report = |job: &Job| {
             if self.progress > 0.0 {
@@ -268,7 +268,7 @@
     /// Processes everything due by `now`.
     pub fn advance(&mut self, now: f64, out: &mut Vec<WorkerMessage>) {
         self.progress_jobs(now);
-        let ended = |job: &Job| job.stage == Stage::Running && job.left <= 1e-9;
+        let ended = |job: &Job| job.stage == JobStage::Running && job.left <= 1e-9;
         let mut at = 0;
         while at < self.jobs.len() {
             if ended(&self.jobs[at]) {
@@ -281,7 +281,7 @@
         }
         if self.progress > 0.0 && !self.faults.paused {
             let due = |job: &&mut Job| {
-                job.stage == Stage::Running && now - job.last_progress >= self.progress - 1e-9
+                job.stage == JobStage::Running && now - job.last_progress >= self.progress - 1e-9
             };
             let due: Vec<(TryId, NodeId)> = self
                 .jobs
@@ -305,15 +305,15 @@
         }
         loop {
             let running = self.running();
-            let used: f64 = self.jobs.iter().filter(|j| j.stage == Stage::Running).map(|j| j.memory).sum();
+            let used: f64 = self.jobs.iter().filter(|j| j.stage == JobStage::Running).map(|j| j.memory).sum();
             let spare = self.memory() - used;
             let slot = running < self.spec.slots.0;
-            let first = self.jobs.iter_mut().find(|job| job.stage == Stage::Queued);
+            let first = self.jobs.iter_mut().find(|job| job.stage == JobStage::Queued);
             // A job larger than the whole memory runs alone.
             let Some(job) = first.filter(|j| slot && (j.memory <= spare + 1e-9 || running == 0)) else {
                 return;
             };
-            (job.stage, job.last_progress) = (Stage::Running, now);
+            (job.stage, job.last_progress) = (JobStage::Running, now);
             let (tri, node) = (job.tri, job.node);
             if self.tells_start {
                 self.emit(tri, node, JobAction::Started, out);
@@ -368,7 +368,7 @@
             }
             _ => {
                 self.ack(tri, node, out);
-                let (stage, acked) = (Stage::Queued, !self.faults.silent);
+                let (stage, acked) = (JobStage::Queued, !self.faults.silent);
                 self.jobs.push(Job {
                     tri,
                     node,
@@ -496,7 +496,7 @@
 
     fn current_report(&self) -> Report {
         let (running, queued) = (self.running() as f64, self.queued() as f64);
-        let used: f64 = self.jobs.iter().filter(|j| j.stage == Stage::Running).map(|j| j.memory).sum();
+        let used: f64 = self.jobs.iter().filter(|j| j.stage == JobStage::Running).map(|j| j.memory).sum();
         let slots = self.spec.slots.0 as f64;
         Report {
             free: Some((slots - running).max(0.0)),
--- a/crates/coveroute-fleet/src/rights.rs
+++ b/crates/coveroute-fleet/src/rights.rs
@@ -218,7 +218,7 @@
 }
 
 /// A message and its receiver.
-pub type Post = (Id, Vec<u8>);
+pub type OutgoingMessage = (Id, Vec<u8>);
 
 /// Renewals per lease: two consecutive losses are harmless.
 const RENEWALS_PER_LEASE: f64 = 4.0;
@@ -347,7 +347,7 @@
     // Time.
 
     /// `is_gone` tells whether a member is considered dead or has left.
-    pub fn advance(&mut self, now: f64, is_gone: impl Fn(Id) -> bool, out: &mut Vec<Post>) {
+    pub fn advance(&mut self, now: f64, is_gone: impl Fn(Id) -> bool, out: &mut Vec<OutgoingMessage>) {
         if now >= self.next_renewal {
             self.next_renewal = now + self.terms.lease / RENEWALS_PER_LEASE;
             self.renew_leases(now, &is_gone, out);
@@ -379,7 +379,7 @@
 
     /// Renews the leases of this node's own mint and of those it holds as a deputy. A dead or departed member's
     /// deputy is the next present member after it in the ring of members.
-    fn renew_leases(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
+    fn renew_leases(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<OutgoingMessage>) {
         let deputy = |mint: usize| {
             let ring = self.members[mint + 1..].iter().chain(&self.members[..mint]);
             ring.copied().find(|other| *other == self.me || !is_gone(*other))
@@ -441,7 +441,7 @@
     }
 
     /// Requests rights from other members, in rotation, for demand beyond what the mints held here yield.
-    fn request_rights(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<Post>) {
+    fn request_rights(&mut self, now: f64, is_gone: &impl Fn(Id) -> bool, out: &mut Vec<OutgoingMessage>) {
         let mut deficits: Vec<(LimitId, f64)> = Vec::new();
         let (held, members) = (self.held_mints(now) as f64, self.members.len());
         for (id, account) in &mut self.accounts {
@@ -479,7 +479,14 @@
     // Messages.
 
     /// `mark` identifies the sending process. Invalid messages are ignored.
-    pub fn handle_message(&mut self, now: f64, from: Id, mark: u64, bytes: &[u8], out: &mut Vec<Post>) {
+    pub fn handle_message(
+        &mut self,
+        now: f64,
+        from: Id,
+        mark: u64,
+        bytes: &[u8],
+        out: &mut Vec<OutgoingMessage>,
+    ) {
         let Ok((message, [])) = postcard::take_from_bytes::<Message>(bytes) else { return };
         match message {
             Message::Renew { number, mints } => {
--- a/crates/coveroute-fleet/src/tests.rs
+++ b/crates/coveroute-fleet/src/tests.rs
@@ -9,7 +9,7 @@
 use crate::explore::{explore, Model};
 use crate::member::{next_state, Claim, Effect, Id, Incarnation, Input, State};
 use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
-use crate::rights::{Limit, LimitTerms, Post, Rights};
+use crate::rights::{Limit, LimitTerms, OutgoingMessage, Rights};
 use crate::table::{Key, Kind, MergeResult, Record, Table};
 use crate::{Action, Fleet, FleetConfig, FleetEvent};
 
@@ -205,10 +205,10 @@
     (one, other)
 }
 
-/// A file reread at SIGHUP is applied completely or not at all. A live member that it no longer lists is removed,
+/// A file reloaded at SIGHUP is applied completely or not at all. A live member that it no longer lists is removed,
 /// and its messages are dropped as a stranger's.
 #[test]
-fn a_reread_file_removes_a_live_member() {
+fn a_reloaded_file_removes_a_live_member() {
     let (mut one, mut other) = two_joined_nodes();
     assert_eq!(one.state(Id::of("b")), Some(State::Alive));
     let without_b = FleetConfig::parse(&FILE.replace("b = {", "c = {")).expect("a valid file");
@@ -392,19 +392,19 @@
     let mut now = from;
     while now < to {
         now += 0.05;
-        let mut posts: Vec<(u32, u64, Post)> = Vec::new();
+        let mut messages: Vec<(u32, u64, OutgoingMessage)> = Vec::new();
         for (at, rights) in all.iter_mut().enumerate().filter(|(at, _)| !gone.contains(&(*at as u32 + 1))) {
             let mut out = Vec::new();
             rights.advance(now, |id| gone.contains(&id.0), &mut out);
-            posts.extend(out.into_iter().map(|post| (at as u32 + 1, rights.mark(), post)));
+            messages.extend(out.into_iter().map(|message| (at as u32 + 1, rights.mark(), message)));
         }
-        while let Some((from, mark, (to, bytes))) = posts.pop() {
+        while let Some((from, mark, (to, bytes))) = messages.pop() {
             if gone.contains(&to.0) {
                 continue;
             }
             let (mut out, rights) = (Vec::new(), &mut all[to.0 as usize - 1]);
             rights.handle_message(now, Id(from), mark, &bytes, &mut out);
-            posts.extend(out.into_iter().map(|post| (to.0, rights.mark(), post)));
+            messages.extend(out.into_iter().map(|message| (to.0, rights.mark(), message)));
         }
     }
 }
@@ -514,7 +514,7 @@
         one.advance(now, |_| false, &mut asks);
         asks
     };
-    let given = |other: &mut Rights, now: f64, asks: &[Post]| {
+    let given = |other: &mut Rights, now: f64, asks: &[OutgoingMessage]| {
         let mut answers = Vec::new();
         asks.iter().for_each(|(_, bytes)| other.handle_message(now, Id(1), 1, bytes, &mut answers));
         answers
@@ -522,7 +522,7 @@
     let [one, other] = &mut all;
     let asks = ask(one, 5.3);
     let answers = given(other, 5.3, &asks);
-    let take = |one: &mut Rights, now: f64, answers: &[Post]| {
+    let take = |one: &mut Rights, now: f64, answers: &[OutgoingMessage]| {
         answers.iter().for_each(|(_, bytes)| one.handle_message(now, Id(2), 2, bytes, &mut Vec::new()));
         one.available(now, 1)
     };
