--- a/crates/coveroute-emu/src/fleet/model.rs
+++ b/crates/coveroute-emu/src/fleet/model.rs
@@ -8,11 +8,11 @@
 use coveroute_fleet::explore::Model;
 use coveroute_fleet::member::Id;
 use coveroute_fleet::table::Key;
-use coveroute_fleet::{Action, Fleet, Kind, Plan};
+use coveroute_fleet::{Action, Fleet, FleetConfig, Kind};
 
 use super::checker::Checker;
-use super::stage::{member, plan};
-use crate::scenario::FleetPart;
+use super::simulation::{fleet_config, member};
+use crate::scenario::FleetSettings;
 use crate::world::NodeId;
 
 /// One transition of the model.
@@ -83,9 +83,9 @@
 }
 
 /// A fleet of `nodes` nodes.
-pub struct Few {
+pub struct FleetModel {
     pub nodes: usize,
-    plan: Plan,
+    config: FleetConfig,
     /// Clocks run at rates of up to 1 plus or minus this.
     drift: f64,
 }
@@ -99,10 +99,10 @@
     ([10, 100, 0, node as u8], 9400).into()
 }
 
-impl Few {
-    /// `drift` is that of the clocks; the plan allows for 1%.
+impl FleetModel {
+    /// `drift` is that of the clocks; the configuration allows for 1%.
     pub fn new(nodes: usize, drift: f64) -> Self {
-        Few { nodes, plan: plan(nodes, &FleetPart::default(), addr), drift }
+        FleetModel { nodes, config: fleet_config(nodes, &FleetSettings::default(), addr), drift }
     }
 
     fn local_time(&self, node: NodeId, now: f64) -> f64 {
@@ -115,7 +115,7 @@
         // Marks rise and fall: which of two processes has the greater one is random.
         let mark = coveroute::chance::mix(state.processes);
         let local_time = self.local_time(node, state.now);
-        state.fleets[node] = Fleet::new(local_time, &member(node), self.plan.clone(), count, mark).ok();
+        state.fleets[node] = Fleet::new(local_time, &member(node), self.config.clone(), count, mark).ok();
     }
 
     /// Runs `act` on the node, if it is up, and puts what it sends in flight.
@@ -140,7 +140,7 @@
 
     fn receive(&self, state: &mut State, (from, to, bytes): (NodeId, NodeId, Vec<u8>)) {
         self.with_fleet(state, to, |fleet, local_time, actions| {
-            fleet.heard(local_time, addr(from), &bytes, actions)
+            fleet.handle_datagram(local_time, addr(from), &bytes, actions)
         });
     }
 
@@ -148,11 +148,11 @@
         state.writes += 1;
         let value = state.writes.to_le_bytes();
         self.with_fleet(state, node, |fleet, local_time, actions| {
-            fleet.write(local_time, Kind::STANDING, 0, &value, actions);
+            fleet.write(local_time, Kind::NODE_STATUS, 0, &value, actions);
         });
         let local_time = self.local_time(node, state.now);
         let Some(fleet) = &state.fleets[node] else { return };
-        let key = Key { owner: fleet.me(), kind: Kind::STANDING, key: 0 };
+        let key = Key { owner: fleet.me(), kind: Kind::NODE_STATUS, key: 0 };
         let stamp = fleet.readings(local_time).find(|r| r.key == key).map(|r| (r.incarnation, r.version));
         if let Some(stamp) = stamp {
             state.checker.record_write(state.now, node, key, stamp, &value);
@@ -160,20 +160,20 @@
     }
 
     /// Replays a path in short words; an error says which rule it breaks.
-    pub fn replay(&self, way: &str) -> Result<(), String> {
-        let mut state = self.first();
-        for word in way.split_whitespace() {
-            state = self.after(&state, &word.parse()?)?;
+    pub fn replay(&self, path: &str) -> Result<(), String> {
+        let mut state = self.initial();
+        for word in path.split_whitespace() {
+            state = self.apply(&state, &word.parse()?)?;
         }
         Ok(())
     }
 }
 
-impl Model for Few {
+impl Model for FleetModel {
     type State = State;
     type Step = Step;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         let mut state = State {
             now: 0.0,
             fleets: (0..self.nodes).map(|_| None).collect(),
@@ -188,7 +188,7 @@
         state
     }
 
-    fn steps(&self, state: &State) -> Vec<Step> {
+    fn enabled_steps(&self, state: &State) -> Vec<Step> {
         let mut steps = vec![Step::Tick];
         for at in 0..state.in_flight.len() {
             steps.extend([Step::Deliver(at), Step::Drop(at)]);
@@ -207,13 +207,13 @@
         steps
     }
 
-    fn after(&self, state: &State, step: &Step) -> Result<State, String> {
+    fn apply(&self, state: &State, step: &Step) -> Result<State, String> {
         let mut state = state.clone();
         let no_datagram =
             |state: &State, at: usize| format!("no datagram {at}: {} in flight", state.in_flight.len());
         match *step {
             Step::Tick => {
-                state.now += self.plan.detector.every;
+                state.now += self.config.detector.every;
                 for node in 0..self.nodes {
                     // Four timer ticks per period, as in a node.
                     for _ in 0..4 {
@@ -258,7 +258,7 @@
         }
     }
 
-    fn print(&self, state: &State) -> u64 {
+    fn fingerprint(&self, state: &State) -> u64 {
         let mut hasher = DefaultHasher::new();
         let State { fleets, in_flight, now, processes, writes, .. } = state;
         format!("{fleets:?}").hash(&mut hasher);
@@ -268,7 +268,7 @@
 }
 
 /// Writes a path in short words, for `replay`.
-pub fn way(steps: &[Step]) -> String {
+pub fn format_path(steps: &[Step]) -> String {
     steps.iter().map(Step::to_string).collect::<Vec<_>>().join(" ")
 }
 
@@ -280,24 +280,25 @@
 
     #[test]
     fn all_interleavings_of_few_steps_keep_the_rules() {
-        let explored = explore(&Few::new(2, 0.01), 6, 20_000);
-        assert!(explored.breach.is_none(), "{explored:?}");
+        let explored = explore(&FleetModel::new(2, 0.01), 6, 20_000);
+        assert!(explored.violation.is_none(), "{explored:?}");
         assert!(explored.states > 1000, "{explored:?}");
     }
 
-    /// Checks that the explorer and the checker detect a broken bound: clocks that drift by more than the plan allows.
+    /// Checks that the explorer and the checker detect a broken bound: clocks that drift by more than the
+    /// configuration allows.
     #[test]
     fn excessive_clock_drift_is_detected() {
-        let model = Few::new(2, 0.3);
-        let breach = explore(&model, 9, 200_000).breach.expect("a breach");
-        assert!(breach.words.contains("is reported as"), "{breach:?}");
-        let words = model.replay(&way(&breach.steps)).expect_err("the same");
-        assert_eq!(words, breach.words);
+        let model = FleetModel::new(2, 0.3);
+        let violation = explore(&model, 9, 200_000).violation.expect("a violation");
+        assert!(violation.description.contains("is reported as"), "{violation:?}");
+        let description = model.replay(&format_path(&violation.steps)).expect_err("the same");
+        assert_eq!(description, violation.description);
     }
 
     #[test]
     fn an_invalid_step_is_reported() {
-        assert!(Few::new(2, 0.0).replay("t x9").expect_err("an error").contains("x9: unknown step"));
-        assert!(Few::new(2, 0.0).replay("d7").expect_err("an error").contains("in flight"));
+        assert!(FleetModel::new(2, 0.0).replay("t x9").expect_err("an error").contains("x9: unknown step"));
+        assert!(FleetModel::new(2, 0.0).replay("d7").expect_err("an error").contains("in flight"));
     }
 }
--- a/crates/coveroute-emu/src/fleet/stage.rs
+++ b/crates/coveroute-emu/src/fleet/simulation.rs
@@ -2,20 +2,20 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use coveroute_fleet::config::{Limits, MemberConfig, Records};
 use coveroute_fleet::detector::Detector;
 use coveroute_fleet::member::Id;
-use coveroute_fleet::plan::{Entry, Limits, Records};
-use coveroute_fleet::rights::{Rights, Terms};
+use coveroute_fleet::rights::{LimitTerms, Rights};
 use coveroute_fleet::table::Key;
-use coveroute_fleet::{Action, Figures, Fleet, Kind, News, Plan, State};
+use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, FleetEvent, Kind, State};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 use super::checker::Checker;
 use super::links::Links;
 use crate::queue::Queue;
-use crate::scenario::{FleetPart, Scenario};
-use crate::world::{NodeId, Order};
+use crate::scenario::{FleetSettings, Scenario};
+use crate::world::{NodeCommand, NodeId};
 
 /// Datagrams that the socket of a stalled process buffers: the usual buffer size over the usual datagram size. Further
 /// ones are lost.
@@ -34,17 +34,27 @@
 }
 
 /// The operators' file for a fleet of `nodes` nodes; `addr` gives a member's address.
-pub fn plan(nodes: usize, part: &FleetPart, addr: impl Fn(NodeId) -> SocketAddr) -> Plan {
-    let all = nodes + part.absent.0;
+pub fn fleet_config(
+    nodes: usize,
+    settings: &FleetSettings,
+    addr: impl Fn(NodeId) -> SocketAddr,
+) -> FleetConfig {
+    let all = nodes + settings.absent.0;
     let entry = |node: NodeId| {
         let (zone, machine) = (String::new(), String::new());
-        (member(node), Entry { address: addr(node), zone, machine })
+        (member(node), MemberConfig { address: addr(node), zone, machine })
     };
     let members = (0..all).map(entry).collect();
     let usual = Detector::default();
-    let suspicion = usual.suspicion * part.every.0 / usual.every;
-    let detector = Detector { every: part.every.0, suspicion, drift: part.drift.0.min(0.1), ..usual };
-    Plan { fleet: "stage".into(), members, detector, records: Records::default(), limits: Limits::default() }
+    let suspicion = usual.suspicion * settings.every.0 / usual.every;
+    let detector = Detector { every: settings.every.0, suspicion, drift: settings.drift.0.min(0.1), ..usual };
+    FleetConfig {
+        fleet: "stage".into(),
+        members,
+        detector,
+        records: Records::default(),
+        limits: Limits::default(),
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -95,10 +105,10 @@
 }
 
 /// The simulated fleet.
-pub struct Stage {
-    part: FleetPart,
-    plan: Plan,
-    terms: Option<Terms>,
+pub struct FleetSimulation {
+    settings: FleetSettings,
+    config: FleetConfig,
+    terms: Option<LimitTerms>,
     /// Uses that were requested, and those of them that were granted.
     pub wanted: u64,
     pub had: u64,
@@ -108,7 +118,7 @@
     pub links: Links,
     queue: Queue<Event>,
     rng: Pcg64Mcg,
-    pub witness: Checker,
+    pub checker: Checker,
     pub state_changes: Vec<StateChange>,
     processes: u64,
     writes: u64,
@@ -116,29 +126,29 @@
     actions: Vec<Action>,
 }
 
-impl Stage {
+impl FleetSimulation {
     pub fn new(scenario: &Scenario, seed: u64, zones: &[String]) -> Self {
-        let part = scenario.fleet.clone().unwrap_or_default();
+        let settings = scenario.fleet.clone().unwrap_or_default();
         let count = zones.len();
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x57a6e);
-        let drift = part.drift.0.min(0.1);
+        let drift = settings.drift.0.min(0.1);
         let mut sim_node = |_| {
             let (rate, offset) = (1.0 + drift * rng.random_range(-1.0..=1.0), rng.random_range(0.0..1e6));
             let (fleet, rights, stalled) = (None, None, None);
             SimNode { fleet, process: 0, rate, offset, rights, demand: 0.0, stalled, count: 0 }
         };
         let nodes: Vec<SimNode> = (0..count).map(&mut sim_node).collect();
-        let plan = plan(count, &part, addr);
+        let config = fleet_config(count, &settings, addr);
         let members: Vec<Id> = (0..count).map(|node| Id::of(&member(node))).collect();
         let ids = members.iter().copied().enumerate().map(|(node, id)| (id, node)).collect();
         let mut queue = Queue::new();
         if count > 0 {
             queue.push(CHECK_INTERVAL, Event::Check(0));
         }
-        Stage {
+        FleetSimulation {
             links: Links::new(scenario, seed, zones),
-            part,
-            plan,
+            settings,
+            config,
             terms: None,
             wanted: 0,
             had: 0,
@@ -147,7 +157,7 @@
             nodes,
             queue,
             rng,
-            witness: Checker::default(),
+            checker: Checker::default(),
             state_changes: Vec::new(),
             processes: 0,
             writes: 0,
@@ -175,13 +185,13 @@
             Event::Arrival(from, to, bytes) => self.deliver(now, from, to, bytes),
             Event::Tick(node, process) if self.nodes[node].process == process => self.tick(now, node),
             Event::Write(node, process)
-                if self.nodes[node].process == process && self.part.writes.0 > 0.0 =>
+                if self.nodes[node].process == process && self.settings.writes.0 > 0.0 =>
             {
                 if self.nodes[node].is_running() {
                     let key = self.rng.random_range(0..4);
                     self.write(now, node, key);
                 }
-                let again = self.part.writes.0 * self.rng.random_range(0.5..1.5);
+                let again = self.settings.writes.0 * self.rng.random_range(0.5..1.5);
                 self.queue.push(now + again, Event::Write(node, process));
             }
             Event::Use(node, process) if self.nodes[node].process == process => {
@@ -198,15 +208,15 @@
 
     // Node processes.
 
-    pub fn order(&mut self, now: f64, node: NodeId, order: Order) {
-        match order {
-            Order::Start => self.start(now, node, false),
-            Order::StartBack => self.start(now, node, true),
-            Order::Kill => self.kill(node),
-            Order::Stop => self.leave(now, node),
-            Order::Stall => self.nodes[node].stalled = Some(Vec::new()),
-            Order::Wake => self.wake(now, node),
-            Order::Reload | Order::Retune | Order::Replace => {}
+    pub fn execute_command(&mut self, now: f64, node: NodeId, command: NodeCommand) {
+        match command {
+            NodeCommand::Start => self.start(now, node, false),
+            NodeCommand::StartBack => self.start(now, node, true),
+            NodeCommand::Kill => self.kill(node),
+            NodeCommand::Stop => self.leave(now, node),
+            NodeCommand::Stall => self.nodes[node].stalled = Some(Vec::new()),
+            NodeCommand::Wake => self.resume(now, node),
+            NodeCommand::Reload | NodeCommand::Retune | NodeCommand::Replace => {}
         }
     }
 
@@ -225,10 +235,10 @@
         };
         let mark = self.rng.random::<u64>();
         let node_state = &mut self.nodes[node];
-        let fleet = Fleet::new(node_state.local_time(now), &member(node), self.plan.clone(), count, mark);
+        let fleet = Fleet::new(node_state.local_time(now), &member(node), self.config.clone(), count, mark);
         (node_state.fleet, node_state.process, node_state.stalled, node_state.count) =
             (fleet.ok(), process, None, node_state.count.max(count));
-        let phase = self.rng.random_range(0.0..self.part.every.0);
+        let phase = self.rng.random_range(0.0..self.settings.every.0);
         if let (Some(terms), Some(fleet)) = (&self.terms, &node_state.fleet) {
             let (local_time, incarnation) = (node_state.local_time(now), fleet.incarnation());
             node_state.rights =
@@ -236,7 +246,7 @@
             self.schedule_use(now, node);
         }
         self.queue.push(now, Event::Tick(node, process));
-        if self.part.writes.0 > 0.0 {
+        if self.settings.writes.0 > 0.0 {
             self.queue.push(now + phase * 5.0, Event::Write(node, process));
         }
     }
@@ -244,14 +254,14 @@
     pub fn kill(&mut self, node: NodeId) {
         let node_state = &mut self.nodes[node];
         (node_state.fleet, node_state.rights, node_state.stalled, node_state.process) = (None, None, None, 0);
-        self.witness.process_ended(node);
+        self.checker.process_ended(node);
     }
 
     pub fn leave(&mut self, now: f64, node: NodeId) {
         self.with_fleet(now, node, |fleet, _, actions| fleet.leave(actions));
     }
 
-    pub fn wake(&mut self, now: f64, node: NodeId) {
+    pub fn resume(&mut self, now: f64, node: NodeId) {
         let buffered = self.nodes[node].stalled.take().unwrap_or_default();
         // Buffered datagrams are read before the timers run: the process does not know that it was stalled.
         for (from, bytes) in buffered {
@@ -265,7 +275,7 @@
         let value = self.writes.to_le_bytes();
         let mut fits = false;
         self.with_fleet(now, node, |fleet, local_time, actions| {
-            fits = fleet.write(local_time, Kind::STANDING, key, &value, actions);
+            fits = fleet.write(local_time, Kind::NODE_STATUS, key, &value, actions);
         });
         self.record_write(now, node, key, &value);
         fits
@@ -275,22 +285,22 @@
     fn record_write(&mut self, now: f64, node: NodeId, number: u64, value: &[u8]) {
         let node_state = &self.nodes[node];
         let Some(fleet) = &node_state.fleet else { return };
-        let key = Key { owner: fleet.me(), kind: Kind::STANDING, key: number };
+        let key = Key { owner: fleet.me(), kind: Kind::NODE_STATUS, key: number };
         let written =
-            fleet.read(node_state.local_time(now), Kind::STANDING).find(|reading| reading.key == key);
+            fleet.read(node_state.local_time(now), Kind::NODE_STATUS).find(|reading| reading.key == key);
         let stamp = written.filter(|reading| reading.value == value).map(|r| (r.incarnation, r.version));
-        stamp.into_iter().for_each(|stamp| self.witness.record_write(now, node, key, stamp, value));
+        stamp.into_iter().for_each(|stamp| self.checker.record_write(now, node, key, stamp, value));
     }
 
     /// Stops the nodes' own writes, for tests that wait until all tables are equal.
     pub fn stop_writing(&mut self) {
-        self.part.writes.0 = 0.0;
+        self.settings.writes.0 = 0.0;
     }
 
     // Limits.
 
     /// Sets the limits for processes that start from now on.
-    pub fn set_limits(&mut self, terms: Terms) {
+    pub fn set_limits(&mut self, terms: LimitTerms) {
         self.terms = Some(terms);
     }
 
@@ -327,7 +337,7 @@
         if rights.take(local_time, limit.id, 1.0) {
             self.had += 1;
             if terms.limits.len() == 1 {
-                self.witness.record_use(now, node, 1.0, limit.bound(), limit.window);
+                self.checker.record_use(now, node, 1.0, limit.bound(), limit.window);
             }
         }
     }
@@ -335,7 +345,7 @@
     fn send_to_members(&mut self, now: f64, node: NodeId, messages: Vec<(Id, Vec<u8>)>) {
         for (to, bytes) in messages {
             self.with_fleet(now, node, |fleet, local_time, actions| {
-                fleet.say(local_time, to, Kind::RIGHTS, bytes, actions)
+                fleet.send_message(local_time, to, Kind::RIGHTS, bytes, actions)
             });
         }
     }
@@ -362,13 +372,13 @@
 
     fn receive(&mut self, now: f64, from: NodeId, to: NodeId, bytes: &[u8]) {
         self.with_fleet(now, to, |fleet, local_time, actions| {
-            fleet.heard(local_time, addr(from), bytes, actions)
+            fleet.handle_datagram(local_time, addr(from), bytes, actions)
         });
     }
 
     fn tick(&mut self, now: f64, node: NodeId) {
         if self.nodes[node].stalled.is_some() {
-            return; // `wake` runs the next tick.
+            return; // `resume` runs the next tick.
         }
         self.with_fleet(now, node, |fleet, local_time, actions| fleet.advance(local_time, actions));
         self.advance_rights(now, node);
@@ -390,15 +400,17 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { to, bytes } => self.send(now, node, to, bytes),
-                Action::News(News::Member { id, to, .. }) => self.record_state_change(now, node, id, to),
-                Action::News(_) => {}
-                Action::Said { from, mark, bytes, .. } => {
+                Action::Event(FleetEvent::Member { id, to, .. }) => {
+                    self.record_state_change(now, node, id, to)
+                }
+                Action::Event(_) => {}
+                Action::Message { from, mark, bytes, .. } => {
                     let (node_state, mut messages) = (&mut self.nodes[node], Vec::new());
                     let local_time = node_state.local_time(now);
                     node_state
                         .rights
                         .iter_mut()
-                        .for_each(|r| r.heard(local_time, from, mark, &bytes, &mut messages));
+                        .for_each(|r| r.handle_message(local_time, from, mark, &bytes, &mut messages));
                     self.send_to_members(now, node, messages);
                 }
             }
@@ -428,7 +440,7 @@
     fn check(&mut self, now: f64, node: NodeId) {
         let node_state = &self.nodes[node];
         if let Some(fleet) = node_state.fleet.as_ref().filter(|_| node_state.stalled.is_none()) {
-            self.witness.check(now, node_state.local_time(now), node, fleet, &self.members);
+            self.checker.check(now, node_state.local_time(now), node, fleet, &self.members);
         }
     }
 
@@ -449,7 +461,7 @@
     }
 
     /// Whether all running processes have equal tables.
-    pub fn agree(&self) -> bool {
+    pub fn agree_on_table(&self) -> bool {
         let mut checksums =
             self.nodes.iter().filter(|s| s.is_running()).filter_map(|s| s.fleet.as_ref()).map(Fleet::sum);
         let first = checksums.next();
@@ -461,7 +473,7 @@
         &mut self,
         now: f64,
         latest: f64,
-        condition: impl Fn(&Stage) -> bool,
+        condition: impl Fn(&FleetSimulation) -> bool,
     ) -> Option<f64> {
         let mut at = now;
         while at <= latest {
--- a/crates/coveroute-emu/src/main.rs
+++ b/crates/coveroute-emu/src/main.rs
@@ -4,12 +4,12 @@
 
 use clap::{Parser, Subcommand};
 use coveroute_emu::compare::{compare, Side};
-use coveroute_emu::fleet::model::{self, Few};
-use coveroute_emu::load::{load, Plan};
-use coveroute_emu::proof::Place;
+use coveroute_emu::fleet::model::{self, FleetModel};
+use coveroute_emu::load::{load, LoadPlan};
+use coveroute_emu::proof::ProofContext;
 use coveroute_emu::prove::prove;
 use coveroute_emu::scenario::Scenario;
-use coveroute_emu::search::{drawn, drawn_fleet, search, Found};
+use coveroute_emu::search::{random_fleet_scenario, random_scenario, search, Found};
 use coveroute_emu::virtual_time::{run, run_sampled, Policy, RunStats};
 use coveroute_emu::world::Outcome;
 use coveroute_emu::{loopback, report, trace};
@@ -267,8 +267,17 @@
         },
         Command::Load { nodes, executors, connections, seconds, rate, sockets, runs, node } => {
             let node = program(node);
-            let plan =
-                Plan { node, nodes, executors, connections, seconds, rate, sockets, runs, ..Plan::default() };
+            let plan = LoadPlan {
+                node,
+                nodes,
+                executors,
+                connections,
+                seconds,
+                rate,
+                sockets,
+                runs,
+                ..LoadPlan::default()
+            };
             println!("{}", json!(load(&plan)?));
             Ok(())
         }
@@ -278,7 +287,7 @@
             Ok(())
         }
         Command::Search { seeds, from, worst, baselines, fleet, to } => {
-            let draws = if fleet { drawn_fleet } else { drawn };
+            let draws = if fleet { random_fleet_scenario } else { random_scenario };
             let progress_bar = progress_bar(seeds, "searching");
             let searched = search(from, seeds, worst, baselines, draws, || progress_bar.inc(1))?;
             progress_bar.finish_and_clear();
@@ -294,19 +303,19 @@
             if !(1..=4).contains(&nodes) {
                 return Err(format!("nodes: {nodes} is not 1 to 4"));
             }
-            let model = Few::new(nodes, drift);
+            let model = FleetModel::new(nodes, drift);
             if let Some(way) = way {
                 return model.replay(&way);
             }
             let explored = explore(&model, depth, most);
             let (states, steps, depth) = (explored.states, explored.steps, explored.depth);
             println!("{states} states, {steps} steps, every order to depth {depth}");
-            match explored.breach {
+            match explored.violation {
                 None => Ok(()),
-                Some(breach) => {
-                    let steps = model::way(&breach.steps);
+                Some(violation) => {
+                    let steps = model::format_path(&violation.steps);
                     println!("#[test_case({nodes}, {drift:?}, {steps:?})]");
-                    Err(breach.words)
+                    Err(violation.description)
                 }
             }
         }
@@ -318,7 +327,7 @@
             write(&to.with_extension("csv"), &report::csv(&samples))
         }
         Command::Prove { name, long, scenarios, node } => {
-            let proof = prove(&name, &Place { scenarios, node: program(node), long })?;
+            let proof = prove(&name, &ProofContext { scenarios, node: program(node), long })?;
             println!(
                 "{}",
                 json!({ "proof": name, "long": long, "figures": proof.figures, "short_of": proof.short_of })
--- a/crates/coveroute-fleet/src/tests.rs
+++ b/crates/coveroute-fleet/src/tests.rs
@@ -9,15 +9,15 @@
 use crate::explore::{explore, Model};
 use crate::member::{next_state, Claim, Effect, Id, Incarnation, Input, State};
 use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
-use crate::rights::{Limit, Post, Rights, Terms};
+use crate::rights::{Limit, LimitTerms, OutgoingMessage, Rights};
 use crate::table::{Key, Kind, MergeResult, Record, Table};
-use crate::{Action, Fleet, News, Plan};
+use crate::{Action, Fleet, FleetConfig, FleetEvent};
 
 const FILE: &str = "fleet = \"north\"\n[members]\na = { address = \"10.0.0.1:9400\", zone = \"x\" }\n\
     b = { address = \"10.0.0.2:9400\", machine = \"m\" }\n";
 
-fn plan() -> Plan {
-    Plan::parse(FILE).expect("a valid file")
+fn config() -> FleetConfig {
+    FleetConfig::parse(FILE).expect("a valid file")
 }
 
 fn addr(host: u8) -> SocketAddr {
@@ -96,7 +96,7 @@
 }
 
 fn record(version: u64, age: u32) -> Record {
-    let key = Key { owner: Id(7), kind: Kind::STANDING, key: 1 };
+    let key = Key { owner: Id(7), kind: Kind::NODE_STATUS, key: 1 };
     Record { key, incarnation: Incarnation::new(1, 1), version, age, life: 10_000, value: vec![1] }
 }
 
@@ -105,7 +105,7 @@
 fn age_bounds_add_up() {
     let mut table = Table::new(0.01, 4);
     assert_eq!(table.merge(100.0, 99.0, record(1, 2000)), MergeResult::Newer);
-    let age = |table: &Table, now| table.read(now, Kind::STANDING).map(|r| r.age).next();
+    let age = |table: &Table, now| table.read(now, Kind::NODE_STATUS).map(|r| r.age).next();
     assert_eq!(age(&table, 100.0), Some(2.0 + 1.0 / 0.99));
     assert_eq!(age(&table, 103.0), Some(2.0 + 1.0 / 0.99 + 3.0 / 0.99));
     // Rounded up for sending.
@@ -160,36 +160,38 @@
 #[test_case("[members]", "[verdicts]\n[members]", "verdicts"; "an unknown section")]
 #[test_case("[members]", "[limits]\nvoters = [\"z\"]\n[members]", "limits.voters: z is not a member"; "a voter that is not a member")]
 fn an_invalid_file_is_reported_on_one_line(old: &str, new: &str, expected: &str) {
-    let error = Plan::parse(&FILE.replacen(old, new, 1)).expect_err("an error");
+    let error = FleetConfig::parse(&FILE.replacen(old, new, 1)).expect_err("an error");
     assert!(error.contains(expected) && !error.contains('\n'), "{error}");
 }
 
 #[test]
 fn the_example_file_is_valid() {
-    let plan = Plan::parse(include_str!("../../../deploy/fleet.toml")).expect("a valid file");
-    assert_eq!(plan.detector, Detector::default());
-    assert!(plan.members.len() >= 3);
+    let config = FleetConfig::parse(include_str!("../../../deploy/fleet.toml")).expect("a valid file");
+    assert_eq!(config.detector, Detector::default());
+    assert!(config.members.len() >= 3);
 }
 
 fn two_nodes() -> (Fleet, Fleet) {
-    let new = |name, mark| Fleet::new(0.0, name, plan(), 100, mark).expect("a member");
+    let new = |name, mark| Fleet::new(0.0, name, config(), 100, mark).expect("a member");
     (new("a", 1), new("b", 2))
 }
 
 /// Delivers all messages between the two, until none are left.
-fn deliver_all(now: f64, one: &mut Fleet, other: &mut Fleet, mut out: Vec<Action>) -> Vec<News> {
-    let mut news = Vec::new();
+fn deliver_all(now: f64, one: &mut Fleet, other: &mut Fleet, mut out: Vec<Action>) -> Vec<FleetEvent> {
+    let mut events = Vec::new();
     while !out.is_empty() {
         for action in std::mem::take(&mut out) {
             match action {
-                Action::Send { to, bytes } if to == addr(1) => one.heard(now, addr(2), &bytes, &mut out),
-                Action::Send { bytes, .. } => other.heard(now, addr(1), &bytes, &mut out),
-                Action::News(event) => news.push(event),
-                Action::Said { .. } => {}
+                Action::Send { to, bytes } if to == addr(1) => {
+                    one.handle_datagram(now, addr(2), &bytes, &mut out)
+                }
+                Action::Send { bytes, .. } => other.handle_datagram(now, addr(1), &bytes, &mut out),
+                Action::Event(event) => events.push(event),
+                Action::Message { .. } => {}
             }
         }
     }
-    news
+    events
 }
 
 fn two_joined_nodes() -> (Fleet, Fleet) {
@@ -203,26 +205,29 @@
     (one, other)
 }
 
-/// A file reread at SIGHUP is applied completely or not at all. A live member that it no longer lists is removed,
+/// A file reloaded at SIGHUP is applied completely or not at all. A live member that it no longer lists is removed,
 /// and its messages are dropped as a stranger's.
 #[test]
-fn a_reread_file_removes_a_live_member() {
+fn a_reloaded_file_removes_a_live_member() {
     let (mut one, mut other) = two_joined_nodes();
     assert_eq!(one.state(Id::of("b")), Some(State::Alive));
-    let without_b = Plan::parse(&FILE.replace("b = {", "c = {")).expect("a valid file");
+    let without_b = FleetConfig::parse(&FILE.replace("b = {", "c = {")).expect("a valid file");
     assert!(other
-        .reread(2.0, without_b.clone())
+        .reconfigure(2.0, without_b.clone())
         .expect_err("this node is missing")
         .contains("members: b, the name of this node, is not listed"));
-    let moved = Plan::parse(&FILE.replace("10.0.0.1", "10.0.0.9")).expect("a valid file");
-    assert!(one.reread(2.0, moved).expect_err("its own address has changed").contains("members.a.address"));
+    let moved = FleetConfig::parse(&FILE.replace("10.0.0.1", "10.0.0.9")).expect("a valid file");
+    assert!(one
+        .reconfigure(2.0, moved)
+        .expect_err("its own address has changed")
+        .contains("members.a.address"));
     assert_eq!(one.state(Id::of("b")), Some(State::Alive), "nothing has changed");
-    assert_eq!(one.reread(2.0, without_b), Ok(()));
+    assert_eq!(one.reconfigure(2.0, without_b), Ok(()));
     let mut out = Vec::new();
     (0..8).for_each(|at| other.advance(2.0 + f64::from(at) * 0.05, &mut out));
     for action in out {
         if let Action::Send { bytes, .. } = action {
-            one.heard(9.0, addr(2), &bytes, &mut Vec::new());
+            one.handle_datagram(9.0, addr(2), &bytes, &mut Vec::new());
         }
     }
     let figures = one.figures(9.0);
@@ -235,7 +240,7 @@
 #[test]
 fn of_two_processes_under_one_name_one_stops_sending() {
     let (mut one, mut first) = two_joined_nodes();
-    let mut second = Fleet::new(2.0, "b", plan(), 90, 3).expect("a member");
+    let mut second = Fleet::new(2.0, "b", config(), 90, 3).expect("a member");
     let (mut out, mut silent) = (Vec::new(), Vec::new());
     for at in 0..100 {
         let now = 2.0 + f64::from(at) * 0.05;
@@ -247,12 +252,12 @@
                 match action {
                     // Both use the same address, so each message to it is delivered to both.
                     Action::Send { to, bytes } if to == addr(2) => {
-                        first.heard(now, addr(1), &bytes, &mut out);
-                        second.heard(now, addr(1), &bytes, &mut out);
+                        first.handle_datagram(now, addr(1), &bytes, &mut out);
+                        second.handle_datagram(now, addr(1), &bytes, &mut out);
                     }
-                    Action::Send { bytes, .. } => one.heard(now, addr(2), &bytes, &mut out),
-                    Action::News(News::Doubled { yields }) => silent.push(yields),
-                    Action::News(_) | Action::Said { .. } => {}
+                    Action::Send { bytes, .. } => one.handle_datagram(now, addr(2), &bytes, &mut out),
+                    Action::Event(FleetEvent::NameConflict { yields }) => silent.push(yields),
+                    Action::Event(_) | Action::Message { .. } => {}
                 }
             }
         }
@@ -271,8 +276,8 @@
     let key = Key { owner: from, ..record(1, 0).key };
     let records = vec![Record { key, ..record(1, 0) }];
     let what = MessageBody::Answer { number: 12345, records };
-    let bytes = encode(plan().mark(), &Message { from, incarnation, sum: 0, words, what });
-    one.heard(2.0, addr(2), &bytes, &mut Vec::new());
+    let bytes = encode(config().mark(), &Message { from, incarnation, sum: 0, words, what });
+    one.handle_datagram(2.0, addr(2), &bytes, &mut Vec::new());
     assert_eq!(one.readings(2.0).count(), before);
 }
 
@@ -284,12 +289,12 @@
 fn dropped_datagrams_are_counted_by_reason(change: fn(&mut Vec<u8>), why: DropReason) {
     let (mut one, mut other) = two_nodes();
     let mut out = Vec::new();
-    other.write(0.0, Kind::STANDING, 1, b"x", &mut out);
+    other.write(0.0, Kind::NODE_STATUS, 1, b"x", &mut out);
     let words = Vec::new();
     let (from, incarnation, what) = (other.me(), other.incarnation(), MessageBody::Ping { number: 1 });
-    let mut bytes = encode(plan().mark(), &Message { from, incarnation, sum: 0, words, what });
+    let mut bytes = encode(config().mark(), &Message { from, incarnation, sum: 0, words, what });
     change(&mut bytes);
-    one.heard(0.0, addr(2), &bytes, &mut out);
+    one.handle_datagram(0.0, addr(2), &bytes, &mut out);
     assert_eq!(one.figures(0.0).counts.dropped.get(&why), Some(&1));
 }
 
@@ -298,14 +303,14 @@
     #[test]
     fn random_datagrams_are_harmless(bytes in proptest::collection::vec(any::<u8>(), 0..1300), from in 0_u8..4) {
         let (mut one, mut out) = (two_joined_nodes().0, Vec::new());
-        one.heard(3.0, addr(from), &bytes, &mut out);
+        one.handle_datagram(3.0, addr(from), &bytes, &mut out);
         // The same bytes with a valid header and checksum.
-        let mut framed = vec![crate::message::MARK, 1];
-        let mut hasher = crc32fast::Hasher::new_with_initial(plan().mark());
+        let mut framed = vec![crate::message::MARKER_BYTE, 1];
+        let mut hasher = crc32fast::Hasher::new_with_initial(config().mark());
         hasher.update(&bytes);
         framed.extend(hasher.finalize().to_le_bytes());
         framed.extend(&bytes);
-        one.heard(3.0, addr(2), &framed, &mut out);
+        one.handle_datagram(3.0, addr(2), &framed, &mut out);
         one.advance(3.0, &mut out);
         let long = |action: &Action| matches!(action, Action::Send { bytes, .. } if bytes.len() > MAX_DATAGRAM);
         let longest = out.iter().any(long);
@@ -329,7 +334,7 @@
         for (version, age) in &versions {
             table.merge(1.0, 1.0, record(*version, *age));
         }
-        let held = table.read(1.0, Kind::STANDING).map(|reading| reading.version).next();
+        let held = table.read(1.0, Kind::NODE_STATUS).map(|reading| reading.version).next();
         prop_assert_eq!(held, versions.iter().map(|version| version.0).max());
     }
 }
@@ -341,31 +346,31 @@
     type State = u32;
     type Step = u32;
 
-    fn first(&self) -> u32 {
+    fn initial(&self) -> u32 {
         0
     }
 
-    fn steps(&self, _: &u32) -> Vec<u32> {
+    fn enabled_steps(&self, _: &u32) -> Vec<u32> {
         vec![1, 2]
     }
 
-    fn after(&self, state: &u32, step: &u32) -> Result<u32, String> {
+    fn apply(&self, state: &u32, step: &u32) -> Result<u32, String> {
         match state + step {
             5 => Err("five".into()),
             sum => Ok(sum % 8),
         }
     }
 
-    fn print(&self, state: &u32) -> u64 {
+    fn fingerprint(&self, state: &u32) -> u64 {
         u64::from(*state)
     }
 }
 
 #[test]
 fn the_shortest_path_to_a_violation_is_found() {
-    let found = explore(&Counter, 9, 100).breach.map(|breach| breach.steps.len());
+    let found = explore(&Counter, 9, 100).violation.map(|violation| violation.steps.len());
     assert_eq!(found, Some(3));
-    assert_eq!(explore(&Counter, 2, 100).breach, None);
+    assert_eq!(explore(&Counter, 2, 100).violation, None);
 }
 
 // Limits.
@@ -378,7 +383,7 @@
 
 fn rights_with(me: u32, members: u32, limits: Vec<Limit>) -> Rights {
     let ids: Vec<Id> = (1..=members).map(Id).collect();
-    let terms = Terms { limits, voters: ids.clone(), lease: 2.0, drift: 0.01 };
+    let terms = LimitTerms { limits, voters: ids.clone(), lease: 2.0, drift: 0.01 };
     Rights::new(0.0, Id(me), Incarnation::new(1, u64::from(me)), ids, terms)
 }
 
@@ -387,19 +392,19 @@
     let mut now = from;
     while now < to {
         now += 0.05;
-        let mut posts: Vec<(u32, u64, Post)> = Vec::new();
+        let mut messages: Vec<(u32, u64, OutgoingMessage)> = Vec::new();
         for (at, rights) in all.iter_mut().enumerate().filter(|(at, _)| !gone.contains(&(*at as u32 + 1))) {
             let mut out = Vec::new();
             rights.advance(now, |id| gone.contains(&id.0), &mut out);
-            posts.extend(out.into_iter().map(|post| (at as u32 + 1, rights.mark(), post)));
+            messages.extend(out.into_iter().map(|message| (at as u32 + 1, rights.mark(), message)));
         }
-        while let Some((from, mark, (to, bytes))) = posts.pop() {
+        while let Some((from, mark, (to, bytes))) = messages.pop() {
             if gone.contains(&to.0) {
                 continue;
             }
             let (mut out, rights) = (Vec::new(), &mut all[to.0 as usize - 1]);
-            rights.heard(now, Id(from), mark, &bytes, &mut out);
-            posts.extend(out.into_iter().map(|post| (to.0, rights.mark(), post)));
+            rights.handle_message(now, Id(from), mark, &bytes, &mut out);
+            messages.extend(out.into_iter().map(|message| (to.0, rights.mark(), message)));
         }
     }
 }
@@ -421,9 +426,9 @@
 fn a_new_voter_grants_nothing_for_one_lease() {
     let mut all = [rights(1, 3), rights(2, 3), rights(3, 3)];
     run(&mut all, 0.0, 1.9, &[]);
-    assert!(all.iter().all(|rights| rights.holds(1.9) == 0));
+    assert!(all.iter().all(|rights| rights.held_mints(1.9) == 0));
     run(&mut all, 1.9, 3.5, &[]);
-    assert!(all.iter().all(|rights| rights.holds(3.5) == 1));
+    assert!(all.iter().all(|rights| rights.held_mints(3.5) == 1));
 }
 
 /// Unused rights lapse, so hoarding gains nothing, and a stock covers half a second.
@@ -431,10 +436,10 @@
 fn unused_rights_lapse() {
     let mut all = [rights(1, 3), rights(2, 3), rights(3, 3)];
     run(&mut all, 0.0, 10.0, &[]);
-    let has = all[0].has(10.0, 1);
-    assert!((1.5..=10.0 / 3.0 * 0.5).contains(&has), "{has}");
+    let available = all[0].available(10.0, 1);
+    assert!((1.5..=10.0 / 3.0 * 0.5).contains(&available), "{available}");
     // After a stall both its rights and its lease have expired.
-    assert_eq!((all[0].has(20.0, 1), all[0].take(20.0, 1, 0.1)), (0.0, false));
+    assert_eq!((all[0].available(20.0, 1), all[0].take(20.0, 1, 0.1)), (0.0, false));
 }
 
 #[test]
@@ -449,8 +454,8 @@
     }
     // Ten a second are wanted, as many as the whole limit; an equal part would be 30.
     assert!((75..=95).contains(&had), "{had}");
-    let covered = all[0].covered(14.0, 1).expect("known");
-    assert!((8.0..=14.0).contains(&covered), "{covered}");
+    let rate = all[0].estimated_rate(14.0, 1).expect("known");
+    assert!((8.0..=14.0).contains(&rate), "{rate}");
 }
 
 /// A hundred tenants at four nodes, one of them greedy. It gets its own share and takes nothing from the others,
@@ -490,10 +495,10 @@
     }
     let (mut asks, mut answers) = (Vec::new(), Vec::new());
     one.advance(5.3, |_| false, &mut asks);
-    let before = (one.has(5.3, 1), other.has(5.3, 1));
-    asks.iter().for_each(|(_, bytes)| other.heard(5.3, Id(1), 1, bytes, &mut answers));
-    assert!(!answers.is_empty() && other.has(5.3, 1) < before.1, "deducted before the answer is sent");
-    assert_eq!(one.has(5.3, 1), before.0);
+    let before = (one.available(5.3, 1), other.available(5.3, 1));
+    asks.iter().for_each(|(_, bytes)| other.handle_message(5.3, Id(1), 1, bytes, &mut answers));
+    assert!(!answers.is_empty() && other.available(5.3, 1) < before.1, "deducted before the answer is sent");
+    assert_eq!(one.available(5.3, 1), before.0);
 }
 
 /// Guards against an answer that arrives twice or too late: rights are received once, and only until they lapse.
@@ -509,24 +514,24 @@
         one.advance(now, |_| false, &mut asks);
         asks
     };
-    let given = |other: &mut Rights, now: f64, asks: &[Post]| {
+    let given = |other: &mut Rights, now: f64, asks: &[OutgoingMessage]| {
         let mut answers = Vec::new();
-        asks.iter().for_each(|(_, bytes)| other.heard(now, Id(1), 1, bytes, &mut answers));
+        asks.iter().for_each(|(_, bytes)| other.handle_message(now, Id(1), 1, bytes, &mut answers));
         answers
     };
     let [one, other] = &mut all;
     let asks = ask(one, 5.3);
     let answers = given(other, 5.3, &asks);
-    let take = |one: &mut Rights, now: f64, answers: &[Post]| {
-        answers.iter().for_each(|(_, bytes)| one.heard(now, Id(2), 2, bytes, &mut Vec::new()));
-        one.has(now, 1)
+    let take = |one: &mut Rights, now: f64, answers: &[OutgoingMessage]| {
+        answers.iter().for_each(|(_, bytes)| one.handle_message(now, Id(2), 2, bytes, &mut Vec::new()));
+        one.available(now, 1)
     };
     let once = take(one, 5.3, &answers);
     assert!(once > 0.1, "{once}");
     assert_eq!(take(one, 5.3, &answers), once, "a second time");
     let late = ask(one, 5.6);
     let answers = given(other, 5.6, &late);
-    let before = one.has(6.2, 1);
+    let before = one.available(6.2, 1);
     assert_eq!(take(one, 6.2, &answers), before, "after it has lapsed");
 }
 
@@ -537,8 +542,9 @@
     let mut all: Vec<Rights> = (1..=4).map(|me| rights(me, 4)).collect();
     run(&mut all, 0.0, 5.0, &[]);
     run(&mut all, 5.0, 6.5, &[2]);
-    let held =
-        |all: &[Rights], now: f64| -> usize { [0, 2, 3].iter().map(|at: &usize| all[*at].holds(now)).sum() };
+    let held = |all: &[Rights], now: f64| -> usize {
+        [0, 2, 3].iter().map(|at: &usize| all[*at].held_mints(now)).sum()
+    };
     assert_eq!(held(&all, 6.5), 3, "not while its lease may still run");
     run(&mut all, 6.5, 10.0, &[2]);
     assert_eq!(held(&all, 10.0), 4);
@@ -546,28 +552,28 @@
     let terms = all[0].terms().clone();
     all[1] = Rights::new(10.0, Id(2), Incarnation::new(1, 9), ids, terms);
     run(&mut all, 10.0, 15.0, &[]);
-    assert_eq!(all.iter().map(|rights| rights.holds(15.0)).collect::<Vec<_>>(), [1, 1, 1, 1]);
+    assert_eq!(all.iter().map(|rights| rights.held_mints(15.0)).collect::<Vec<_>>(), [1, 1, 1, 1]);
 }
 
-/// A lowered limit holds from the time it is reread; a node whose limits change starts without rights.
+/// A lowered limit holds from the time it is applied; a node whose limits change starts without rights.
 #[test]
-fn reread_limits_start_without_rights() {
+fn changed_limits_start_without_rights() {
     let mut all = [rights(1, 2), rights(2, 2)];
     run(&mut all, 0.0, 5.0, &[]);
     let (ids, terms) = (vec![Id(1), Id(2)], all[0].terms().clone());
-    all[0].reread(5.0, ids.clone(), terms.clone());
-    assert!(all[0].has(5.0, 1) > 0.0, "rereading the same limits changes nothing");
-    let lower = Terms { limits: vec![Limit { most: 3.0, ..LIMIT }], ..terms };
-    all[0].reread(5.0, ids, lower);
-    assert_eq!((all[0].has(5.0, 1), all[0].holds(5.0)), (0.0, 0));
+    all[0].reconfigure(5.0, ids.clone(), terms.clone());
+    assert!(all[0].available(5.0, 1) > 0.0, "applying the same limits again changes nothing");
+    let lower = LimitTerms { limits: vec![Limit { most: 3.0, ..LIMIT }], ..terms };
+    all[0].reconfigure(5.0, ids, lower);
+    assert_eq!((all[0].available(5.0, 1), all[0].held_mints(5.0)), (0.0, 0));
 }
 
 proptest! {
     #[test]
-    fn invalid_messages_about_rights_are_harmless(said in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn invalid_messages_about_rights_are_harmless(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut one = rights(1, 3);
-        one.heard(1.0, Id(2), 2, &said, &mut Vec::new());
+        one.handle_message(1.0, Id(2), 2, &bytes, &mut Vec::new());
         one.advance(2.0, |_| false, &mut Vec::new());
-        prop_assert!(one.has(2.0, 1) == 0.0);
+        prop_assert!(one.available(2.0, 1) == 0.0);
     }
 }
--- a/crates/coveroute-node/src/peers.rs
+++ b/crates/coveroute-node/src/peers.rs
@@ -8,7 +8,7 @@
 use actix_rt::task::JoinHandle;
 use actix_rt::time::sleep;
 use coveroute::types::Told;
-use coveroute_fleet::message::MARK;
+use coveroute_fleet::message::MARKER_BYTE;
 use coveroute_shared::{message, words};
 use log::debug;
 use tokio::net::UdpSocket;
@@ -87,7 +87,7 @@
         };
         let (bytes, Recipients { addrs, events, fleet_member }) = (&buffer[..len], &recipients);
         if let Some(fleet_member) =
-            fleet_member.as_ref().filter(|_| bytes.first() == Some(&MARK) || addrs.is_empty())
+            fleet_member.as_ref().filter(|_| bytes.first() == Some(&MARKER_BYTE) || addrs.is_empty())
         {
             fleet_member.receive(sender, bytes);
             continue;
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -15,7 +15,7 @@
 use coveroute_engine::{
     Call, Figures, ListFigures, Listing, Memory, Phase, Reply, Tally, Watched, Word, UNASKED,
 };
-use coveroute_fleet::Plan;
+use coveroute_fleet::FleetConfig;
 use test_case::test_case;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
@@ -1050,7 +1050,7 @@
             "fleet = \"f\"\n[members]\na = {{ address = \"{}\" }}\nb = {{ address = \"{}\" }}\n",
             addrs[0], addrs[1]
         );
-        let plan = Plan::parse(&text).expect("valid");
+        let plan = FleetConfig::parse(&text).expect("valid");
         let (events, mut event_receiver) = unbounded_channel();
         let mut peers = Vec::new();
         for (at, name) in ["a", "b"].into_iter().enumerate() {
