--- a/crates/coveroute-emu/src/loopback.rs
+++ b/crates/coveroute-emu/src/loopback.rs
@@ -30,13 +30,13 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use crate::fleet::links::Links;
-use crate::fleet::processes::{lock, plan_of, relays, text};
+use crate::fleet::processes::{config_for_node, config_to_toml, lock_links, start_relays};
 use crate::scenario::Scenario;
 use crate::settings;
 use crate::world::invariants::FinalAnswer;
 use crate::world::worker::Liveness;
 use crate::world::{
-    call, name, tri_of, Delivery, JobUpdate, NodeId, Order, Outcome, Output, TryId, WorkerId, World,
+    call, name, tri_of, Delivery, JobUpdate, NodeCommand, NodeId, Outcome, Output, TryId, WorkerId, World,
 };
 
 /// On a busy machine a forward may be seen, on arrival, this long after it was sent.
@@ -167,7 +167,7 @@
         if nodes > 100 {
             return Err(format!("nodes: a fleet of {nodes}; at most 100 on loopback"));
         }
-        relays(block, nodes, &links, began).await?;
+        start_relays(block, nodes, &links, began).await?;
     }
     let harness = Rc::new(Harness {
         world: RefCell::new(world),
@@ -215,7 +215,7 @@
     // The scenario's time begins when all nodes are ready.
     let ready = harness.now();
     harness.world.borrow_mut().delay(ready);
-    lock(&harness.links).delay(ready);
+    lock_links(&harness.links).postpone_faults(ready);
     let end = harness.world.borrow().end();
     loop {
         let now = harness.now();
@@ -308,7 +308,7 @@
                 self.world.borrow_mut().listed(now, node, &listing);
             }
             Output::Lost { node, watch, .. } => drop(self.watches.borrow_mut().remove(&(node, watch))),
-            Output::Node { node, order } => self.order(node, order),
+            Output::Node { node, command } => self.execute_command(node, command),
         }
     }
 
@@ -362,10 +362,10 @@
             known
         };
         self.configure(node, &known, false)?;
-        if let Some(part) = &self.world.borrow().scenario.fleet {
+        if let Some(settings) = &self.world.borrow().scenario.fleet {
             let nodes = self.world.borrow().nodes.len();
-            let (path, plan) = (self.plan_file(node), plan_of(self.block, nodes, part, node));
-            std::fs::write(&path, text(&plan)).map_err(|e| format!("{}: {e}", path.display()))?;
+            let (path, config) = (self.member_file(node), config_for_node(self.block, nodes, settings, node));
+            std::fs::write(&path, config_to_toml(&config)).map_err(|e| format!("{}: {e}", path.display()))?;
         }
         let process = self.spawn(node)?;
         let pid = process.pid;
@@ -374,7 +374,7 @@
         Ok(())
     }
 
-    fn plan_file(&self, node: NodeId) -> PathBuf {
+    fn member_file(&self, node: NodeId) -> PathBuf {
         self.dir.join(format!("f{node}.toml"))
     }
 
@@ -420,7 +420,7 @@
         let mut command = tokio::process::Command::new("/bin/sh");
         command.arg("-c").arg(run).arg(&self.options.node).arg(self.file(node));
         if self.world.borrow().scenario.fleet.is_some() {
-            command.arg("--fleet").arg(self.plan_file(node));
+            command.arg("--fleet").arg(self.member_file(node));
         }
         command.env_remove("BALANCER_LISTEN").env_remove("BALANCER_DISCOVERY").env_remove("BALANCER_CONFIG");
         command.env("BALANCER_MANAGEMENT", management.to_string()).env("TMPDIR", folder);
@@ -541,18 +541,18 @@
         self.wakeup.notify_one();
     }
 
-    fn order(self: &Rc<Self>, node: NodeId, order: Order) {
-        let signal = match order {
-            Order::Start | Order::StartBack => return self.start(node),
-            Order::Kill => Signal::SIGKILL,
-            Order::Stall => Signal::SIGSTOP,
-            Order::Wake => Signal::SIGCONT,
-            Order::Stop => Signal::SIGTERM,
-            Order::Reload => Signal::SIGHUP,
-            Order::Retune => return drop(spawn_local(self.clone().retune(node))),
-            Order::Replace => return drop(spawn_local(self.clone().replace(node))),
+    fn execute_command(self: &Rc<Self>, node: NodeId, command: NodeCommand) {
+        let signal = match command {
+            NodeCommand::Start | NodeCommand::StartBack => return self.start(node),
+            NodeCommand::Kill => Signal::SIGKILL,
+            NodeCommand::Stall => Signal::SIGSTOP,
+            NodeCommand::Wake => Signal::SIGCONT,
+            NodeCommand::Stop => Signal::SIGTERM,
+            NodeCommand::Reload => Signal::SIGHUP,
+            NodeCommand::Retune => return drop(spawn_local(self.clone().retune(node))),
+            NodeCommand::Replace => return drop(spawn_local(self.clone().replace(node))),
         };
-        let keeps_running = matches!(order, Order::Reload | Order::Stall | Order::Wake);
+        let keeps_running = matches!(command, NodeCommand::Reload | NodeCommand::Stall | NodeCommand::Wake);
         self.single_process.borrow_mut()[node] &= keeps_running;
         self.measure(node);
         let now = self.now();
@@ -562,10 +562,10 @@
         }) else {
             return;
         };
-        match order {
+        match command {
             // Reported before its connections break, so that the tries it held are void.
-            Order::Kill => self.world.borrow_mut().node_gone(now, node),
-            Order::Stop => {
+            NodeCommand::Kill => self.world.borrow_mut().node_gone(now, node),
+            NodeCommand::Stop => {
                 self.world.borrow_mut().node_stopping(now, node);
                 let harness = self.clone();
                 spawn_local(async move {
@@ -575,20 +575,24 @@
                     }
                 });
             }
-            Order::Stall => self.world.borrow_mut().invariants.pause_node(now, node),
-            Order::Wake => self.world.borrow_mut().invariants.resume_node(now, node),
-            Order::Start | Order::StartBack | Order::Reload | Order::Retune | Order::Replace => {}
+            NodeCommand::Stall => self.world.borrow_mut().invariants.pause_node(now, node),
+            NodeCommand::Wake => self.world.borrow_mut().invariants.resume_node(now, node),
+            NodeCommand::Start
+            | NodeCommand::StartBack
+            | NodeCommand::Reload
+            | NodeCommand::Retune
+            | NodeCommand::Replace => {}
         }
         let _ = kill(Pid::from_raw(pid), signal);
     }
 
     fn measure(&self, node: NodeId) {
         let Some(pid) = self.processes.borrow()[node].as_ref().map(|process| process.pid) else { return };
-        let took = taken_by(pid);
+        let usage = resource_usage(pid);
         let mut all = self.machines.get();
-        all.cpu_seconds += took.cpu_seconds;
-        all.peak_mb = all.peak_mb.max(took.peak_mb);
-        all.most_descriptors = all.most_descriptors.max(took.most_descriptors);
+        all.cpu_seconds += usage.cpu_seconds;
+        all.peak_mb = all.peak_mb.max(usage.peak_mb);
+        all.most_descriptors = all.most_descriptors.max(usage.most_descriptors);
         self.machines.set(all);
     }
 
@@ -601,7 +605,7 @@
 }
 
 /// Resources that a process has used so far.
-pub fn taken_by(pid: i32) -> ResourceUsage {
+pub fn resource_usage(pid: i32) -> ResourceUsage {
     let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
     // Fields 14 and 15, counted after the name, which may contain spaces; in hundredths of a second.
     let stat = read("stat");
--- a/crates/coveroute-emu/src/search.rs
+++ b/crates/coveroute-emu/src/search.rs
@@ -10,13 +10,13 @@
 
 use crate::baseline::Choice;
 use crate::scenario::{
-    Amount, Count, Direction, Effect, Fault, FleetPart, Group, Nodes, Operation, Part, Place, Positive,
-    Scenario, Span, Strength, What, Workers,
+    Amount, Count, Direction, Effect, Fault, FaultKind, FaultScope, FleetSettings, Group, Nodes, Operation,
+    Part, Positive, Scenario, Span, Strength, Workers,
 };
 use crate::virtual_time::{run, Policy};
 
 /// Calls `act` for each number below `most`, on all cores; the results are in order.
-pub fn on_all_cores<T: Send>(most: u64, act: impl Fn(u64) -> T + Sync) -> Vec<T> {
+pub fn parallel_map<T: Send>(most: u64, act: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(0);
     let done = Mutex::new(Vec::new());
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
@@ -62,7 +62,7 @@
 }
 
 /// A small random scenario: two to four nodes, six to twelve workers, 24 s, and some faults.
-pub fn drawn(seed: u64) -> Scenario {
+pub fn random_scenario(seed: u64) -> Scenario {
     let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0x5ea7c4);
     let zones = draw.random_range(1..=2);
     let zone = |at: usize| ["a", "b"][at % zones].to_owned();
@@ -121,16 +121,16 @@
 }
 
 /// A random scenario with a fleet and one to four additional faults of the fleet.
-pub fn drawn_fleet(seed: u64) -> Scenario {
-    let mut scenario = drawn(seed);
+pub fn random_fleet_scenario(seed: u64) -> Scenario {
+    let mut scenario = random_scenario(seed);
     let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0xf1ee7);
     scenario.nodes.count = Count(draw.random_range(2..=6));
-    scenario.fleet = Some(FleetPart { writes: Span(0.5), ..FleetPart::default() });
-    scenario.faults.retain(|fault| fault.what.place() != Place::Nodes);
+    scenario.fleet = Some(FleetSettings { writes: Span(0.5), ..FleetSettings::default() });
+    scenario.faults.retain(|fault| fault.what.scope() != FaultScope::Nodes);
     for _ in 0..draw.random_range(1..=4) {
-        let what = *What::FLEET.choose(&mut draw).unwrap_or(&What::LinkCut);
+        let what = *FaultKind::FLEET.choose(&mut draw).unwrap_or(&FaultKind::LinkCut);
         let mut fault = fault_of(what, &scenario, &mut draw);
-        if what.place() == Place::Links {
+        if what.scope() == FaultScope::Links {
             fault.way =
                 *[Direction::Both, Direction::Out, Direction::In].choose(&mut draw).unwrap_or(&fault.way);
             fault.flaps = Span(if draw.random_bool(0.2) { draw.random_range(0.2..2.0) } else { 0.0 });
@@ -141,11 +141,11 @@
 }
 
 fn fault(scenario: &Scenario, draw: &mut Pcg64Mcg) -> Fault {
-    let what = *What::ALL.choose(draw).unwrap_or(&What::Pause);
+    let what = *FaultKind::ALL.choose(draw).unwrap_or(&FaultKind::Pause);
     fault_of(what, scenario, draw)
 }
 
-fn fault_of(what: What, scenario: &Scenario, draw: &mut Pcg64Mcg) -> Fault {
+fn fault_of(what: FaultKind, scenario: &Scenario, draw: &mut Pcg64Mcg) -> Fault {
     let at = Span((draw.random_range(2.0..14.0_f64) * 10.0).round() / 10.0);
     let lasts = Span((draw.random_range(1.0..10.0_f64) * 10.0).round() / 10.0);
     let by = match what.strength() {
@@ -157,12 +157,14 @@
         Strength::Rate => Some(draw.random_range(500.0..20_000.0)),
     };
     let all: usize = scenario.workers.iter().map(|w| w.count.0).sum();
-    let count = match what.place() {
-        Place::Workers => Some(Count(draw.random_range(1..=all.div_ceil(2)))),
-        Place::Nodes | Place::Links => Some(Count(draw.random_range(1..scenario.nodes.count.0.max(2)))),
+    let count = match what.scope() {
+        FaultScope::Workers => Some(Count(draw.random_range(1..=all.div_ceil(2)))),
+        FaultScope::Nodes | FaultScope::Links => {
+            Some(Count(draw.random_range(1..scenario.nodes.count.0.max(2))))
+        }
         _ => None,
     };
-    let zone = (what == What::Partition).then(|| scenario.workers[0].zone.clone());
+    let zone = (what == FaultKind::Partition).then(|| scenario.workers[0].zone.clone());
     let by = by.map(|by: f64| Amount((by * 100.0).round() / 100.0));
     Fault { by, count, zone, ..Fault::new(what, at.0, lasts.0) }
 }
@@ -257,12 +259,12 @@
 ) -> Result<Searched, String> {
     const MAX_SHRUNK_BREACHES: usize = 8; // Further breaches most likely have the same cause.
     let began = std::time::Instant::now();
-    let looked = on_all_cores(seeds, |at| {
+    let results = parallel_map(seeds, |at| {
         let found = evaluate(generate(from + at), baselines);
         tick();
         found
     });
-    let found: Vec<Found> = looked.into_iter().collect::<Result<_, String>>()?;
+    let found: Vec<Found> = results.into_iter().collect::<Result<_, String>>()?;
     let mean = found.iter().map(|f| f.figure).sum::<f64>() / found.len().max(1) as f64;
     let breaches = found.iter().filter(|f| f.broken > 0).take(MAX_SHRUNK_BREACHES).cloned();
     let broken = breaches.map(|f| shrink(f, |f| f.broken > 0, false)).collect::<Result<_, _>>()?;
@@ -294,7 +296,7 @@
     #[test]
     fn drawn_scenarios_are_valid() {
         for seed in 0..200 {
-            let scenario = drawn(seed);
+            let scenario = random_scenario(seed);
             assert_eq!(
                 Scenario::parse(&scenario.text()).as_ref().map(|s| s.faults.len()),
                 Ok(scenario.faults.len())
@@ -304,12 +306,13 @@
 
     #[test]
     fn a_loss_is_shrunk_to_the_fault_that_causes_it() {
-        let mut scenario = drawn(1);
+        let mut scenario = random_scenario(1);
         let fault = |what, by| Fault { by, ..Fault::new(what, 5.0, 8.0) };
-        scenario.faults = vec![fault(What::DoubledNews, None), fault(What::Heavy, Some(Amount(9.0)))];
+        scenario.faults =
+            vec![fault(FaultKind::DoubledNews, None), fault(FaultKind::Heavy, Some(Amount(9.0)))];
         let found = evaluate(scenario, false).expect("a run");
         let loss = 1.0 - found.figure;
         let least = shrink(found, |f| 1.0 - f.figure >= 0.9 * loss, false).expect("a run");
-        assert_eq!(least.scenario.faults.iter().map(|f| f.what).collect::<Vec<_>>(), [What::Heavy]);
+        assert_eq!(least.scenario.faults.iter().map(|f| f.what).collect::<Vec<_>>(), [FaultKind::Heavy]);
     }
 }
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -16,16 +16,16 @@
 use coveroute_shared::mark;
 
 use crate::baseline::{Baseline, Choice, OracleView, Violation};
-use crate::fleet::stage::Stage;
+use crate::fleet::simulation::FleetSimulation;
 use crate::queue::Queue;
 use crate::report::Sample;
-use crate::scenario::{Scenario, What};
+use crate::scenario::{FaultKind, Scenario};
 use crate::settings;
 use crate::sink::Sink;
 use crate::world::invariants::FinalAnswer;
 use crate::world::worker::Liveness;
 use crate::world::{
-    call, name, tri_of, Delivery, JobUpdate, NodeId, Order, Outcome, Output, TryId, WorkerId, World,
+    call, name, tri_of, Delivery, JobUpdate, NodeCommand, NodeId, Outcome, Output, TryId, WorkerId, World,
 };
 
 /// The engines' clock at the scenario's start. It is far from zero because a start time of zero means "long
@@ -239,7 +239,7 @@
     /// Events held for paused nodes.
     paused: Vec<Option<Vec<Queued>>>,
     /// The fleet, where nodes know each other.
-    fleet: Option<Stage>,
+    fleet: Option<FleetSimulation>,
     queue: Queue<Queued>,
     policy: Policy,
     oracle: Option<OracleView>,
@@ -290,7 +290,7 @@
     sink: Option<&'a mut dyn Sink>,
     samples: Option<&'a mut Vec<Sample>>,
 ) -> Result<(Outcome, RunStats), String> {
-    if scenario.faults.iter().any(|fault| fault.what == What::NodesReplace) {
+    if scenario.faults.iter().any(|fault| fault.what == FaultKind::NodesReplace) {
         return Err("nodes-replace is supported on loopback only: use --loopback".into());
     }
     let began = std::time::Instant::now();
@@ -299,7 +299,7 @@
         (policy == Policy::Baseline(Choice::Oracle)).then(|| Rc::new(RefCell::new(BTreeMap::new())));
     let nodes = scenario.nodes.count.0;
     let zones: Vec<String> = world.nodes.iter().map(|node| node.zone.clone()).collect();
-    let fleet = scenario.fleet.as_ref().map(|_| Stage::new(scenario, seed, &zones));
+    let fleet = scenario.fleet.as_ref().map(|_| FleetSimulation::new(scenario, seed, &zones));
     let mut run = Run {
         world,
         hosts: (0..nodes).map(|_| None).collect(),
@@ -325,8 +325,9 @@
         return Err(fault);
     }
     let wall = began.elapsed().as_secs_f64();
-    for (message, stage) in run.fleet.iter().flat_map(|f| f.witness.breaches.iter().map(move |w| (w, f))) {
-        run.world.invariants.fleet_breach(message.clone(), stage.witness.broken);
+    for (message, simulation) in run.fleet.iter().flat_map(|f| f.checker.breaches.iter().map(move |w| (w, f)))
+    {
+        run.world.invariants.fleet_breach(message.clone(), simulation.checker.broken);
     }
     Ok((run.world.result(), RunStats { events: run.events, seconds: now, wall }))
 }
@@ -342,10 +343,10 @@
             }
             let host_due = self.queue.next_at();
             let world_due = self.world.next_due();
-            if let Some(at) = self.fleet.as_ref().and_then(Stage::next_due) {
+            if let Some(at) = self.fleet.as_ref().and_then(FleetSimulation::next_due) {
                 if [host_due, world_due].into_iter().flatten().all(|other| at < other) {
                     now = at;
-                    self.fleet.iter_mut().for_each(Stage::advance);
+                    self.fleet.iter_mut().for_each(FleetSimulation::advance);
                     continue;
                 }
             }
@@ -455,39 +456,41 @@
         self.deliver_outputs(now, &mut outputs);
     }
 
-    fn order(&mut self, now: f64, node: NodeId, order: Order) {
-        if matches!(order, Order::Stop | Order::Stall | Order::Wake) && self.hosts[node].is_some() {
-            self.fleet.iter_mut().for_each(|fleet| fleet.order(now, node, order));
+    fn execute_command(&mut self, now: f64, node: NodeId, command: NodeCommand) {
+        if matches!(command, NodeCommand::Stop | NodeCommand::Stall | NodeCommand::Wake)
+            && self.hosts[node].is_some()
+        {
+            self.fleet.iter_mut().for_each(|fleet| fleet.execute_command(now, node, command));
         }
-        match order {
-            Order::Start => self.start(now, node),
-            Order::StartBack => {
+        match command {
+            NodeCommand::Start => self.start(now, node),
+            NodeCommand::StartBack => {
                 // Only its part in the fleet uses the clock that was set back.
-                self.fleet.iter_mut().for_each(|fleet| fleet.order(now, node, order));
+                self.fleet.iter_mut().for_each(|fleet| fleet.execute_command(now, node, command));
                 self.start(now, node);
             }
-            Order::Stall if self.hosts[node].is_some() && self.paused[node].is_none() => {
+            NodeCommand::Stall if self.hosts[node].is_some() && self.paused[node].is_none() => {
                 self.paused[node] = Some(Vec::new());
                 self.world.invariants.pause_node(now, node);
             }
-            Order::Stall => {}
-            Order::Wake => {
+            NodeCommand::Stall => {}
+            NodeCommand::Wake => {
                 for queued in self.paused[node].take().unwrap_or_default() {
                     self.deliver(now, queued);
                 }
                 self.wake(now, node);
                 self.world.invariants.resume_node(now, node);
             }
-            Order::Kill => self.end(now, node),
-            Order::Stop if self.hosts[node].is_some() => {
+            NodeCommand::Kill => self.end(now, node),
+            NodeCommand::Stop if self.hosts[node].is_some() => {
                 self.world.node_stopping(now, node);
                 self.notify(now, node, Event::Stop);
             }
-            Order::Stop => {}
-            Order::Reload => {
+            NodeCommand::Stop => {}
+            NodeCommand::Reload => {
                 self.notify(now, node, Event::Reloaded { settings: None, list_source_changed: true })
             }
-            Order::Retune => {
+            NodeCommand::Retune => {
                 let world = &self.world;
                 let tuning = settings::tuning(&world.scenario, node, &world.nodes[node].zone, true);
                 self.notify(now, node, Event::ReloadFailed); // The truncated file.
@@ -500,7 +503,7 @@
                 }
             }
             // Rejected before the run starts.
-            Order::Replace => {}
+            NodeCommand::Replace => {}
         }
     }
 
@@ -549,7 +552,7 @@
             Output::Lost { node, watch, loss } => {
                 self.schedule(at, node, HostEvent::Watched { watch, watched: WatchEvent::Lost(loss) });
             }
-            Output::Node { node, order } => self.order(now, node, order),
+            Output::Node { node, command } => self.execute_command(now, node, command),
         }
     }
 
--- a/crates/coveroute-emu/src/world/clients.rs
+++ b/crates/coveroute-emu/src/world/clients.rs
@@ -5,8 +5,8 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-use crate::scenario::{Effect, Group, Operation, Scenario, What};
-use crate::world::invariants::{FinalAnswer, Terms};
+use crate::scenario::{Effect, FaultKind, Group, Operation, Scenario};
+use crate::world::invariants::{FinalAnswer, OperationTerms};
 use crate::world::{uniform_draw, NodeId, TryId};
 
 pub type AskId = usize;
@@ -128,7 +128,7 @@
             tenants: named(scenario.tenants.iter().map(|tenant| &tenant.name).collect()),
             ..Service::default()
         };
-        let surges = scenario.faults.iter().filter(|f| f.what == What::Surge);
+        let surges = scenario.faults.iter().filter(|f| f.what == FaultKind::Surge);
         let peak_surge = surges.map(|f| f.strength().max(1.0)).product::<f64>().max(1.0);
         let streams = (0..scenario.operations.len()).map(stream).collect();
         Clients { asks: Vec::new(), tries: Vec::new(), service, open: 0, streams, peak_surge }
@@ -257,7 +257,7 @@
     }
 }
 
-pub fn terms(scenario: &Scenario, op: usize) -> Terms {
+pub fn operation_terms(scenario: &Scenario, op: usize) -> OperationTerms {
     let op = &scenario.operations[op];
-    Terms { effect: op.effect, group: op.group, window: op.window.0 }
+    OperationTerms { effect: op.effect, group: op.group, window: op.window.0 }
 }
--- a/crates/coveroute-fleet/src/fleet.rs
+++ b/crates/coveroute-fleet/src/fleet.rs
@@ -11,10 +11,10 @@
 
 use gossip::{MAX_CONTENT_LEN, MAX_UPDATES, MAX_UPDATE_LEN};
 
+use crate::config::FleetConfig;
 use crate::detector::{Health, PendingPing, Purpose, Suspicion, TICKS_PER_PERIOD};
-use crate::member::{Claim, Id, Incarnation, MemberUpdate, Standing, State};
+use crate::member::{Claim, ClaimedStatus, Id, Incarnation, MemberUpdate, State};
 use crate::message::{DropReason, MessageBody};
-use crate::plan::Plan;
 use crate::table::{Key, Kind, Reading, Table};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -23,9 +23,9 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    News(News),
+    Event(FleetEvent),
     /// A message from an application component of another member. `mark` identifies the sending process.
-    Said {
+    Message {
         from: Id,
         mark: u64,
         kind: Kind,
@@ -35,7 +35,7 @@
 
 /// Events for the components built on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum FleetEvent {
     Member {
         id: Id,
         from: State,
@@ -44,7 +44,7 @@
     /// A new or newer record was stored.
     Record(Key),
     /// Another process uses this node's name. `yields`: this process is the one that stops sending.
-    Doubled {
+    NameConflict {
         yields: bool,
     },
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 struct Peer {
     addr: SocketAddr,
-    standing: Option<Standing>,
+    claimed_status: Option<ClaimedStatus>,
     state: State,
     state_since: f64,
     suspicion: Option<Suspicion>,
@@ -68,7 +68,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    plan: Plan,
+    config: FleetConfig,
     me: Id,
     mark: u32,
     incarnation: Incarnation,
@@ -96,12 +96,12 @@
     /// False while another process of this node takes part in its place.
     active: bool,
     left: bool,
-    counts: Counts,
+    counts: Counters,
 }
 
 /// Counters since the start of this process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Counts {
+pub struct Counters {
     pub sent: u64,
     pub sent_bytes: u64,
     pub heard: u64,
@@ -120,7 +120,7 @@
     pub full: u64,
 }
 
-/// Figures for operators, and for the emulator's referee.
+/// Figures for operators, and for the emulator's checker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figures {
     pub incarnation: u64,
@@ -135,19 +135,19 @@
     pub health: u8,
     pub doubled: bool,
     #[serde(flatten)]
-    pub counts: Counts,
+    pub counts: Counters,
 }
 
 impl Fleet {
     /// `count` is an estimate above all earlier incarnations of this member; if it is too low, messages from other
     /// members raise it. `mark` distinguishes this process from others of the same name. Fails if `name` is not
-    /// among the plan's members.
-    pub fn new(now: f64, name: &str, plan: Plan, count: u64, mark: u64) -> Result<Self, String> {
-        let me = plan.id(name).ok_or(format!("members: {name} is not listed"))?;
-        let table = Table::new(plan.detector.drift, plan.records.most);
+    /// among the configured members.
+    pub fn new(now: f64, name: &str, config: FleetConfig, count: u64, mark: u64) -> Result<Self, String> {
+        let me = config.id(name).ok_or(format!("members: {name} is not listed"))?;
+        let table = Table::new(config.detector.drift, config.records.most);
         let seed = coveroute::random::mix(mark ^ u64::from(me.0) << 24);
         let mut fleet = Fleet {
-            mark: plan.mark(),
+            mark: config.mark(),
             me,
             incarnation: Incarnation::new(count, mark),
             rng: Rng::new(seed),
@@ -164,29 +164,29 @@
             health: Health::default(),
             next_tick: now,
             ticks: 0,
-            send_budget: plan.detector.budget,
+            send_budget: config.detector.budget,
             mismatches: 0,
             sync_pings: 0,
             conflict_times: Vec::new(),
             silent_until: f64::NEG_INFINITY,
             active: true,
             left: false,
-            counts: Counts::default(),
-            plan,
+            counts: Counters::default(),
+            config,
         };
-        fleet.update_own_standing((fleet.incarnation, Claim::Alive), None);
+        fleet.update_own_status((fleet.incarnation, Claim::Alive), None);
         fleet.apply_members(now);
         Ok(fleet)
     }
 
-    /// Adopts the plan's list of members: adds new ones, removes those no longer listed.
+    /// Adopts the configured list of members: adds new ones, removes those no longer listed.
     fn apply_members(&mut self, now: f64) {
-        let members = self.plan.members.iter().map(|(name, entry)| (Id::of(name), entry.address));
+        let members = self.config.members.iter().map(|(name, entry)| (Id::of(name), entry.address));
         let members: BTreeMap<Id, SocketAddr> = members.collect();
         let gone: Vec<Id> = self.peers.keys().filter(|id| !members.contains_key(id)).copied().collect();
         for id in gone {
-            let standing = self.peers.remove(&id).and_then(|peer| peer.standing);
-            self.table.update_standing(id, standing, None);
+            let status = self.peers.remove(&id).and_then(|peer| peer.claimed_status);
+            self.table.update_claimed_status(id, status, None);
             self.table.remove_owner(id);
             self.pending_updates.remove(&id);
         }
@@ -195,7 +195,7 @@
         for (id, addr) in members.iter().filter(|(id, _)| **id != self.me) {
             let unseen = Peer {
                 addr: *addr,
-                standing: None,
+                claimed_status: None,
                 state: State::Unseen,
                 state_since: now,
                 suspicion: None,
@@ -208,33 +208,33 @@
         self.shuffle_probe_order();
     }
 
-    /// Checks that `plan` can replace the current one while the node runs.
-    pub fn check_replacement(&self, plan: &Plan) -> Result<(), String> {
-        let name = self.plan.members.keys().find(|name| Id::of(name) == self.me).cloned();
+    /// Checks that `config` can replace the current one while the node runs.
+    pub fn check_replacement(&self, config: &FleetConfig) -> Result<(), String> {
+        let name = self.config.members.keys().find(|name| Id::of(name) == self.me).cloned();
         let name = name.unwrap_or_default();
-        if plan.id(&name).is_none() {
+        if config.id(&name).is_none() {
             return Err(format!("members: {name}, the name of this node, is not listed"));
         }
-        if plan.fleet != self.plan.fleet {
+        if config.fleet != self.config.fleet {
             return Err("fleet: a change takes effect only after a restart".into());
         }
-        if plan.members[&name].address != self.plan.members[&name].address {
+        if config.members[&name].address != self.config.members[&name].address {
             return Err(format!("members.{name}.address: a change takes effect only after a restart"));
         }
         Ok(())
     }
 
-    /// Replaces the plan; if the new one doesn't fit, nothing changes.
-    pub fn reread(&mut self, now: f64, plan: Plan) -> Result<(), String> {
-        self.check_replacement(&plan)?;
-        self.table.set_limits(plan.detector.drift, plan.records.most);
-        self.plan = plan;
+    /// Replaces the configuration; if the new one doesn't fit, nothing changes.
+    pub fn reconfigure(&mut self, now: f64, config: FleetConfig) -> Result<(), String> {
+        self.check_replacement(&config)?;
+        self.table.set_limits(config.detector.drift, config.records.most);
+        self.config = config;
         self.apply_members(now);
         Ok(())
     }
 
-    pub fn plan(&self) -> &Plan {
-        &self.plan
+    pub fn config(&self) -> &FleetConfig {
+        &self.config
     }
 
     pub fn me(&self) -> Id {
@@ -252,7 +252,7 @@
     }
 
     pub fn advance(&mut self, now: f64, out: &mut Vec<Action>) {
-        let (tick, late) = (self.plan.detector.tick(), now - self.next_tick);
+        let (tick, late) = (self.config.detector.tick(), now - self.next_tick);
         if late < 0.0 {
             return;
         }
@@ -261,7 +261,7 @@
         }
         self.next_tick = if late > tick { now + tick } else { self.next_tick + tick };
         self.send_budget =
-            (self.send_budget + self.plan.detector.budget * tick).min(self.plan.detector.budget);
+            (self.send_budget + self.config.detector.budget * tick).min(self.config.detector.budget);
         if self.may_send(now) {
             self.tick(now, out);
         }
@@ -303,7 +303,7 @@
     /// Writes one of this node's own records. Returns false if there is no room for it.
     pub fn write(&mut self, now: f64, kind: Kind, key: u64, value: &[u8], out: &mut Vec<Action>) -> bool {
         let key = Key { owner: self.me, kind, key };
-        let written = self.table.write(now, key, self.incarnation, self.plan.records.life, value).is_some();
+        let written = self.table.write(now, key, self.incarnation, self.config.records.life, value).is_some();
         if written {
             let times = self.transmissions();
             self.pending_records.insert(key, times);
@@ -318,7 +318,7 @@
 
     /// Sends `bytes` to the same component at another member. Delivery is best effort: the message may be lost or
     /// duplicated.
-    pub fn say(&mut self, now: f64, to: Id, kind: Kind, bytes: Vec<u8>, out: &mut Vec<Action>) {
+    pub fn send_message(&mut self, now: f64, to: Id, kind: Kind, bytes: Vec<u8>, out: &mut Vec<Action>) {
         if self.may_send(now) && bytes.len() <= MAX_CONTENT_LEN - MAX_UPDATES * MAX_UPDATE_LEN {
             self.send(to, MessageBody::Application { kind, bytes }, out);
         }
@@ -332,8 +332,8 @@
         self.table.readings(now)
     }
 
-    pub fn standing(&self, of: Id) -> Option<Standing> {
-        self.peers.get(&of).and_then(|peer| peer.standing)
+    pub fn claimed_status(&self, of: Id) -> Option<ClaimedStatus> {
+        self.peers.get(&of).and_then(|peer| peer.claimed_status)
     }
 
     pub fn state(&self, of: Id) -> Option<State> {
@@ -341,7 +341,7 @@
     }
 
     /// Sets whether this process, of all processes of this node, takes part in the fleet.
-    pub fn take_part(&mut self, now: f64, active: bool) {
+    pub fn set_active(&mut self, now: f64, active: bool) {
         if active && !self.active {
             self.next_tick = now;
         }
@@ -356,7 +356,7 @@
         let update =
             MemberUpdate { of: self.me, incarnation: self.incarnation, claim: Claim::Left, by: self.me };
         let targets =
-            self.sample_peers(2 * self.plan.detector.relays.max(1), |_, peer| peer.state.is_present());
+            self.sample_peers(2 * self.config.detector.relays.max(1), |_, peer| peer.state.is_present());
         for to in targets {
             let number = self.next_number();
             self.transmit(to, vec![update], MessageBody::Ping { number }, out);
@@ -370,7 +370,7 @@
 
     pub fn figures(&self, now: f64) -> Figures {
         let names =
-            self.plan.members.keys().filter_map(|name| Some((name.clone(), self.state(Id::of(name))?)));
+            self.config.members.keys().filter_map(|name| Some((name.clone(), self.state(Id::of(name))?)));
         let states: BTreeMap<String, State> = names.collect();
         let mut members: BTreeMap<State, usize> = State::ALL.into_iter().map(|state| (state, 0)).collect();
         states.values().for_each(|state| *members.entry(*state).or_default() += 1);
--- a/crates/coveroute-fleet/src/fleet/gossip.rs
+++ b/crates/coveroute-fleet/src/fleet/gossip.rs
@@ -4,8 +4,8 @@
 
 use super::{Fleet, MAX_SYNC_PINGS};
 use crate::detector::{PendingPing, Purpose};
-use crate::fleet::{Action, News};
-use crate::member::{Claim, Id, Incarnation, Input, MemberUpdate, Standing, State};
+use crate::fleet::{Action, FleetEvent};
+use crate::member::{Claim, ClaimedStatus, Id, Incarnation, Input, MemberUpdate, State};
 use crate::message::{decode, encode, DropReason, Message, MessageBody, MAX_DATAGRAM};
 use crate::table::{Key, MergeResult, Record};
 
@@ -47,7 +47,7 @@
         let Some(peer) = self.peers.get_mut(&update.of) else {
             return self.count_dropped(DropReason::Stranger);
         };
-        let (known, new) = (peer.standing, (update.incarnation, update.claim));
+        let (known, new) = (peer.claimed_status, (update.incarnation, update.claim));
         if known.is_some_and(|known| new <= known) {
             if known == Some(new) && update.claim == Claim::Suspected {
                 self.apply_input(now, update.of, Input::Suspected, update.by, out);
@@ -62,8 +62,8 @@
             Claim::Dead => Input::Dead,
             Claim::Left => Input::Left,
         };
-        peer.standing = Some(new);
-        self.table.update_standing(update.of, known, Some(new));
+        peer.claimed_status = Some(new);
+        self.table.update_claimed_status(update.of, known, Some(new));
         self.queue_update(update.of);
         self.apply_input(now, update.of, input, update.by, out);
     }
@@ -94,19 +94,20 @@
     pub(super) fn raise_incarnation(&mut self, now: f64, over: Incarnation, out: &mut Vec<Action>) {
         let before = (self.incarnation, Claim::Alive);
         self.incarnation = self.incarnation.next_above(over);
-        self.update_own_standing((self.incarnation, Claim::Alive), Some(before));
+        self.update_own_status((self.incarnation, Claim::Alive), Some(before));
         let (keys, times) = (self.table.adopt_incarnation(self.me, self.incarnation), self.transmissions());
         self.pending_records.extend(keys.into_iter().map(|key| (key, times)));
         self.ping_some_peers(now, out);
     }
 
     pub(super) fn ping_some_peers(&mut self, now: f64, out: &mut Vec<Action>) {
-        let targets = self.sample_peers(self.plan.detector.relays.max(1), |_, peer| peer.state.is_present());
+        let targets =
+            self.sample_peers(self.config.detector.relays.max(1), |_, peer| peer.state.is_present());
         targets.into_iter().for_each(|to| self.ping(now, to, Purpose::Sync, out));
     }
 
-    pub(super) fn update_own_standing(&mut self, after: Standing, before: Option<Standing>) {
-        self.table.update_standing(self.me, before, Some(after));
+    pub(super) fn update_own_status(&mut self, after: ClaimedStatus, before: Option<ClaimedStatus>) {
+        self.table.update_claimed_status(self.me, before, Some(after));
     }
 
     /// Detects a second live process with this node's name. An earlier process that the others still remember may
@@ -123,7 +124,7 @@
             if yields {
                 self.silent_until = now + CONFLICTS.1;
             }
-            out.push(Action::News(News::Doubled { yields }));
+            out.push(Action::Event(FleetEvent::NameConflict { yields }));
         }
     }
 
@@ -132,7 +133,7 @@
     }
 
     /// Handles a datagram received from `from`.
-    pub fn heard(&mut self, now: f64, from: SocketAddr, bytes: &[u8], out: &mut Vec<Action>) {
+    pub fn handle_datagram(&mut self, now: f64, from: SocketAddr, bytes: &[u8], out: &mut Vec<Action>) {
         self.counts.heard += 1;
         self.counts.heard_bytes += bytes.len() as u64;
         if !self.active || self.left {
@@ -194,7 +195,7 @@
             MessageBody::Reach { .. } => {}
             MessageBody::Reached { number, well } => self.handle_reached(number, well),
             MessageBody::Application { kind, bytes } => {
-                out.push(Action::Said { from, mark: incarnation.mark(), kind, bytes });
+                out.push(Action::Message { from, mark: incarnation.mark(), kind, bytes });
             }
             MessageBody::Compare { number, sums } => self.send_differences(now, from, number, &sums, out),
             MessageBody::Differs { number, records, more } => {
@@ -239,7 +240,7 @@
                 MergeResult::Newer => {
                     let times = self.transmissions();
                     self.pending_records.insert(key, times);
-                    out.push(Action::News(News::Record(key)));
+                    out.push(Action::Event(FleetEvent::Record(key)));
                 }
                 MergeResult::Full => self.counts.full += 1,
                 MergeResult::TighterAge | MergeResult::Known | MergeResult::Expired => {}
@@ -344,7 +345,7 @@
         }
         let peer = self.peers.get(&of)?;
         let ((incarnation, claim), by) =
-            (peer.standing?, peer.suspicion.as_ref().map(|suspicion| &suspicion.reported_by));
+            (peer.claimed_status?, peer.suspicion.as_ref().map(|suspicion| &suspicion.reported_by));
         // Names one of the reporters at random: a receiver that hears of several confirms the suspicion sooner.
         let draw = self.rng.draw();
         let by = by.map_or(self.me, |by| by[(draw * by.len() as f64) as usize]);
@@ -398,7 +399,7 @@
 
     pub(super) fn update_about_receiver(&mut self, to: Id) -> Vec<MemberUpdate> {
         let not_alive =
-            self.peers.get(&to).and_then(|peer| peer.standing).is_some_and(|s| s.1 != Claim::Alive);
+            self.peers.get(&to).and_then(|peer| peer.claimed_status).is_some_and(|s| s.1 != Claim::Alive);
         if not_alive {
             self.update_about(to).into_iter().collect()
         } else {
--- a/crates/coveroute-node/src/event.rs
+++ b/crates/coveroute-node/src/event.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use coveroute::types::{ExecutorIndex, InvocationId, Outcome, PeerMessageKind, Report};
 use coveroute_engine::{JobReport, JobResult, NodeMetrics, Reply, WatchEvent};
-use coveroute_fleet::Plan;
+use coveroute_fleet::FleetConfig;
 use tokio::sync::{mpsc, oneshot};
 
 use crate::attempt::AttemptFigures;
@@ -51,7 +51,7 @@
     PeerMessage { from: usize, kind: PeerMessageKind, mark: u32, count: u8 },
     /// The operators requested a reload: the new configuration or why it is invalid, and the fleet file, if
     /// there is one.
-    Reload(Result<Box<Config>, String>, Option<Plan>),
+    Reload(Result<Box<Config>, String>, Option<FleetConfig>),
     /// The server answered a request for this operation itself.
     Ended(String, JobResult),
     /// Operators requested the metrics.
--- a/crates/coveroute-node/src/fleet.rs
+++ b/crates/coveroute-node/src/fleet.rs
@@ -11,8 +11,8 @@
 use coveroute_engine::Phase;
 use coveroute_fleet::member::Id;
 use coveroute_fleet::rights::{limit_id, Rights};
-use coveroute_fleet::standing::{Stage, Standing};
-use coveroute_fleet::{Action, Figures, Fleet, Kind, News, Plan, State};
+use coveroute_fleet::status::{NodeStatus, Stage};
+use coveroute_fleet::{Action, Figures, Fleet, FleetConfig, FleetEvent, Kind, State};
 use log::{error, info};
 use nix::time::{clock_gettime, ClockId};
 use serde::Serialize;
@@ -37,10 +37,10 @@
 }
 
 impl Membership {
-    pub fn read(&self) -> Result<Plan, String> {
-        let plan = read_plan(&self.path)?;
-        match plan.members.contains_key(&self.name) {
-            true => Ok(plan),
+    pub fn read(&self) -> Result<FleetConfig, String> {
+        let config = read_plan(&self.path)?;
+        match config.members.contains_key(&self.name) {
+            true => Ok(config),
             false => {
                 Err(format!("{}: members: {} is not listed; see --member", self.path.display(), self.name))
             }
@@ -48,8 +48,8 @@
     }
 
     /// The address at which this node receives datagrams.
-    pub fn address(&self, plan: &Plan, peers: Option<SocketAddr>) -> Result<SocketAddr, String> {
-        let own = plan.members[&self.name].address;
+    pub fn address(&self, config: &FleetConfig, peers: Option<SocketAddr>) -> Result<SocketAddr, String> {
+        let own = config.members[&self.name].address;
         match peers {
             Some(peers) if peers != own => Err(format!(
                 "{}: members.{}.address: {own} differs from {peers}, this node's address in the configuration's peers",
@@ -61,9 +61,9 @@
     }
 }
 
-pub fn read_plan(path: &Path) -> Result<Plan, String> {
+pub fn read_plan(path: &Path) -> Result<FleetConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
-    text.and_then(|text| Plan::parse(&text)).map_err(|e| format!("{}: {e}", path.display()))
+    text.and_then(|text| FleetConfig::parse(&text)).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Seconds of a clock that is never adjusted and includes time in suspend, because ages are computed from it.
@@ -132,20 +132,20 @@
     /// Starts inactive: it takes part once this process receives its node's datagrams.
     pub fn new(
         membership: &Membership,
-        plan: Plan,
+        config: FleetConfig,
         shares: Vec<(String, f64)>,
         (socket, node_state, events): (UdpSocket, Rc<NodeState>, EventSender),
     ) -> Result<Self, String> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let mark = mix(unix.as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
         let count = (unix.as_secs_f64() * INCARNATIONS_PER_SECOND) as u64;
-        let mut fleet = Fleet::new(now(), &membership.name, plan, count, mark)?;
-        fleet.take_part(now(), false);
+        let mut fleet = Fleet::new(now(), &membership.name, config, count, mark)?;
+        fleet.set_active(now(), false);
         info!(
             "member {} of fleet {}, of {}",
             membership.name,
-            fleet.plan().fleet,
-            fleet.plan().members.len()
+            fleet.config().fleet,
+            fleet.config().members.len()
         );
         socket.set_nonblocking(true).map_err(|e| e.to_string())?;
         let (published, republish_at, flooded) = (Cell::new(None), Cell::new(0.0), Cell::new(0));
@@ -168,8 +168,8 @@
     }
 
     fn rights(fleet: &Fleet, shares: &[(String, f64)]) -> Option<Rights> {
-        let terms = fleet.plan().terms(shares)?;
-        Some(Rights::new(now(), fleet.me(), fleet.incarnation(), fleet.plan().ids(), terms))
+        let terms = fleet.config().limit_terms(shares)?;
+        Some(Rights::new(now(), fleet.me(), fleet.incarnation(), fleet.config().ids(), terms))
     }
 
     /// Counts an invocation of a tenant. It is within the tenant's share if this node holds a right to it.
@@ -190,10 +190,10 @@
             let gone = |id| matches!(fleet.state(id), Some(State::Dead | State::Left));
             rights.advance(now, gone, &mut messages);
             if report_quotas {
-                let members = fleet.plan().members.len().max(1) as f64;
+                let members = fleet.config().members.len().max(1) as f64;
                 let shares = self.shares.borrow();
                 let here = |(name, share): &(String, f64)| {
-                    let here = rights.covered(now, limit_id(name)).unwrap_or(share / members);
+                    let here = rights.estimated_rate(now, limit_id(name)).unwrap_or(share / members);
                     (name.clone(), here)
                 };
                 let quotas = shares.iter().filter(|(_, share)| *share > 0.0).map(here).collect();
@@ -206,7 +206,7 @@
     fn send_rights_messages(&self, messages: Vec<(Id, Vec<u8>)>) {
         let mut actions = Vec::new();
         for (to, bytes) in messages {
-            self.fleet.borrow_mut().say(now(), to, Kind::RIGHTS, bytes, &mut actions);
+            self.fleet.borrow_mut().send_message(now(), to, Kind::RIGHTS, bytes, &mut actions);
         }
         self.execute_actions(actions);
     }
@@ -240,9 +240,9 @@
         };
         let (now, mut fleet) = (now(), self.fleet.borrow_mut());
         if self.published.get() != Some(stage) || now >= self.republish_at.get() {
-            fleet.write(now, Kind::STANDING, 0, &Standing { stage }.bytes(), actions);
+            fleet.write(now, Kind::NODE_STATUS, 0, &NodeStatus { stage }.encode(), actions);
             self.published.set(Some(stage));
-            self.republish_at.set(now + fleet.plan().records.life / 3.0);
+            self.republish_at.set(now + fleet.config().records.life / 3.0);
         }
     }
 
@@ -258,7 +258,7 @@
             return self.flooded.set(self.flooded.get() + 1);
         }
         let mut actions = Vec::new();
-        self.fleet.borrow_mut().heard(now(), from, bytes, &mut actions);
+        self.fleet.borrow_mut().handle_datagram(now(), from, bytes, &mut actions);
         self.execute_actions(actions);
     }
 
@@ -267,19 +267,23 @@
             match action {
                 // A datagram that can't be sent counts as lost, which the protocol allows for.
                 Action::Send { to, bytes } => drop(self.socket.send_to(&bytes, to)),
-                Action::News(News::Member { id, from, to }) => info!("{}: {from:?} -> {to:?}", self.name(id)),
-                Action::News(News::Record(_)) => {}
-                Action::Said { from, mark, bytes, .. } => {
+                Action::Event(FleetEvent::Member { id, from, to }) => {
+                    info!("{}: {from:?} -> {to:?}", self.name(id))
+                }
+                Action::Event(FleetEvent::Record(_)) => {}
+                Action::Message { from, mark, bytes, .. } => {
                     let mut messages = Vec::new();
                     let mut rights = self.rights.borrow_mut();
-                    rights.iter_mut().for_each(|r| r.heard(now(), from, mark, &bytes, &mut messages));
+                    rights
+                        .iter_mut()
+                        .for_each(|r| r.handle_message(now(), from, mark, &bytes, &mut messages));
                     drop(rights);
                     self.send_rights_messages(messages);
                 }
-                Action::News(News::Doubled { yields: false }) => {
+                Action::Event(FleetEvent::NameConflict { yields: false }) => {
                     error!("another process uses this member's name, and stops sending")
                 }
-                Action::News(News::Doubled { yields: true }) => {
+                Action::Event(FleetEvent::NameConflict { yields: true }) => {
                     error!("another process uses this member's name: this process stops sending for a while")
                 }
             }
@@ -288,7 +292,7 @@
 
     fn name(&self, id: Id) -> String {
         let fleet = self.fleet.borrow();
-        let name = fleet.plan().members.keys().find(|name| Id::of(name) == id);
+        let name = fleet.config().members.keys().find(|name| Id::of(name) == id);
         name.cloned().unwrap_or_default()
     }
 
@@ -296,7 +300,7 @@
     pub fn take_part(&self, active: bool) {
         self.active.set(active);
         self.published.set(None); // The other process may have published another stage in the meantime.
-        self.fleet.borrow_mut().take_part(now(), active);
+        self.fleet.borrow_mut().set_active(now(), active);
     }
 
     /// Announces that the node leaves the fleet.
@@ -306,11 +310,11 @@
         self.execute_actions(actions);
     }
 
-    pub fn reread(&self, plan: Plan, shares: Vec<(String, f64)>) -> Result<(), String> {
-        self.fleet.borrow_mut().reread(now(), plan)?;
+    pub fn reread(&self, config: FleetConfig, shares: Vec<(String, f64)>) -> Result<(), String> {
+        self.fleet.borrow_mut().reconfigure(now(), config)?;
         let (fleet, mut rights) = (self.fleet.borrow(), self.rights.borrow_mut());
-        match (rights.as_mut(), fleet.plan().terms(&shares)) {
-            (Some(rights), Some(terms)) => rights.reread(now(), fleet.plan().ids(), terms),
+        match (rights.as_mut(), fleet.config().limit_terms(&shares)) {
+            (Some(rights), Some(terms)) => rights.reconfigure(now(), fleet.config().ids(), terms),
             (None, Some(_)) => *rights = Self::rights(&fleet, &shares),
             (_, None) => *rights = None,
         }
@@ -321,24 +325,25 @@
 
     pub fn figures(&self) -> FleetFigures {
         let (fleet, now) = (self.fleet.borrow(), now());
-        let stages = fleet.read(now, Kind::STANDING).filter_map(|reading| {
-            let standing = Standing::read(reading.value)?;
-            Some((self.name(reading.key.owner), MemberStage { stage: standing.stage, age: reading.age }))
+        let stages = fleet.read(now, Kind::NODE_STATUS).filter_map(|reading| {
+            let status = NodeStatus::decode(reading.value)?;
+            Some((self.name(reading.key.owner), MemberStage { stage: status.stage, age: reading.age }))
         });
         let (mut rights, shares) = (self.rights.borrow_mut(), self.shares.borrow());
         let limit_figures = |rights: &mut Rights| -> BTreeMap<String, LimitFigures> {
             let figures = shares.iter().filter_map(|(name, _)| {
                 let id = limit_id(name);
                 let limit = rights.terms().limit(id)?;
-                let ((wanted, had), here) = (rights.totals(id), rights.covered(now, id).unwrap_or(0.0));
+                let ((wanted, had), here) =
+                    (rights.wanted_and_used(id), rights.estimated_rate(now, id).unwrap_or(0.0));
                 let (share, bound, window) = (limit.most, limit.bound(), limit.window);
-                let rights = rights.has(now, id);
+                let rights = rights.available(now, id);
                 Some((name.clone(), LimitFigures { share, bound, window, wanted, had, rights, here }))
             });
             figures.collect()
         };
         let (limits, mints) = match rights.as_mut() {
-            Some(rights) => (limit_figures(rights), Some(rights.holds(now))),
+            Some(rights) => (limit_figures(rights), Some(rights.held_mints(now))),
             None => (BTreeMap::new(), None),
         };
         let (figures, standing, flooded) = (fleet.figures(now), stages.collect(), self.flooded.get());
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -16,7 +16,7 @@
     Call, EngineState, JobStatus, ListMetrics, Listing, NodeMetrics, Phase, Reply, Tally, WatchEvent,
     NO_WATCH,
 };
-use coveroute_fleet::Plan;
+use coveroute_fleet::FleetConfig;
 use test_case::test_case;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
@@ -1055,7 +1055,7 @@
             "fleet = \"f\"\n[members]\na = {{ address = \"{}\" }}\nb = {{ address = \"{}\" }}\n",
             addrs[0], addrs[1]
         );
-        let plan = Plan::parse(&text).expect("valid");
+        let plan = FleetConfig::parse(&text).expect("valid");
         let (events, mut event_receiver) = unbounded_channel();
         let mut peers = Vec::new();
         for (at, name) in ["a", "b"].into_iter().enumerate() {
