--- a/crates/coveroute-drill/src/main.rs
+++ b/crates/coveroute-drill/src/main.rs
@@ -9,9 +9,10 @@
 
 use coveroute::node::Node;
 use coveroute::types::{
-    Entry, Input, KeptAge, List, Loss, Outcome, Output, Settled, Standing, Submission, Tgt, Told,
+    Entry, ExecutorIndex, InitialListAge, Input, List, Loss, Outcome, Output, PeerMessageKind, Settled,
+    Standing, Submission,
 };
-use coveroute_shared::{decode, mark, message, position, words, Listed, Names, Roster};
+use coveroute_shared::{decode, format_message, mark, parse_message, position, Listed, Names, Roster};
 use wire::{Event, Line, Record};
 
 /// A message for standard error that ends the process.
@@ -58,7 +59,7 @@
                 timeout: line.ttl.ok_or("no ttl")? / 1e3,
                 hint: line.hint.map(|hint| hint / 1e3),
                 memory: line.memory,
-                again: line.resent,
+                is_retry: line.resent,
                 key: line.partition_key.as_deref().and_then(|key| u64::from_str_radix(key, 16).ok()),
             }),
             Event::Settled => Input::Settled(Settled {
@@ -69,33 +70,34 @@
                 ended: line.terminal,
                 report: line.gauge.unwrap_or_default().into(),
             }),
-            Event::StatusNote | Event::First => Input::Alive { id: id()?, forward: line.copy.unwrap_or(0) },
+            Event::StatusNote | Event::First => Input::Started { id: id()?, forward: line.copy.unwrap_or(0) },
             Event::Expired => Input::Expired(id()?),
             Event::Timer => Input::Timer(line.cookie.unwrap_or(0)),
             Event::Health => Input::Probed {
-                tgt: self.roster.number(line.executor.as_deref().ok_or("no executor")?),
+                executor_index: self.roster.number(line.executor.as_deref().ok_or("no executor")?),
                 outcome: outcome(line.verdict.as_deref())?,
                 report: line.gauge.unwrap_or_default().into(),
             },
             Event::Heard => {
                 let from = line.by.ok_or("no by")?;
                 // A message that cannot be parsed refers to no executor: it is passed on and has no effect.
-                let unparsed = (Told::Held, u32::MAX, 0);
-                let (told, mark, count) = message(line.contents.as_deref().unwrap_or("")).unwrap_or(unparsed);
-                let tgt = self.roster.by_mark(mark).unwrap_or(Tgt::MAX);
-                Input::Heard { from, told, tgt, count }
+                let unparsed = (PeerMessageKind::Held, u32::MAX, 0);
+                let (kind, mark, count) =
+                    parse_message(line.contents.as_deref().unwrap_or("")).unwrap_or(unparsed);
+                let executor_index = self.roster.by_mark(mark).unwrap_or(ExecutorIndex::MAX);
+                Input::PeerMessage { from, kind, executor_index, count }
             }
             Event::Members => {
                 let scope = line.scope.as_deref().ok_or("no scope")?;
                 if scope == "lost" {
-                    return Ok(Input::List(List::Lost(Loss::Unsaid)));
+                    return Ok(Input::List(List::Lost(Loss::Unspecified)));
                 }
                 let page = line.page.and_then(|page| pages.get(page)).ok_or("no such page")?;
                 let entries = page.iter().map(|record| self.entry(record)).collect::<Result<_, _>>()?;
                 Input::List(match scope {
                     "incr" => List::Changes(entries),
                     "total" => List::Whole(entries),
-                    "warm_copy" => List::Kept(entries, KeptAge::Unsaid),
+                    "warm_copy" => List::Initial(entries, InitialListAge::Unspecified),
                     other => return Err(format!("unknown scope {other}")),
                 })
             }
@@ -107,8 +109,8 @@
 
     fn write_output(&self, me: i64, output: &Output, reply: &mut String) {
         let _ = match output {
-            Output::Forward { id, tgt } => {
-                let executor = self.roster.id(*tgt);
+            Output::Forward { id, executor_index } => {
+                let executor = self.roster.id(*executor_index);
                 writeln!(reply, r#"{{"what":"TRY","nodeId":{me},"job":{id},"executor":"{executor}"}}"#)
             }
             Output::Withdraw { id, forward } => {
@@ -119,24 +121,24 @@
                 writeln!(reply, r#"{{"what":"DECLINE","nodeId":{me},"job":{id},"pause":{pause:.3}}}"#)
             }
             Output::Error { id } => writeln!(reply, r#"{{"what":"END_FAILED","nodeId":{me},"job":{id}}}"#),
-            Output::Wake { after, timer } => {
+            Output::SetTimer { after, timer } => {
                 let after = after * 1e3;
                 writeln!(reply, r#"{{"what":"WAKE_ME","nodeId":{me},"after":{after:.3},"cookie":{timer}}}"#)
             }
-            Output::Probe(tgt) => {
-                let executor = self.roster.id(*tgt);
+            Output::Probe(executor_index) => {
+                let executor = self.roster.id(*executor_index);
                 writeln!(reply, r#"{{"what":"SAMPLE","nodeId":{me},"executor":"{executor}"}}"#)
             }
-            Output::Release(tgt) => {
-                let executor = self.roster.id(*tgt);
+            Output::Release(executor_index) => {
+                let executor = self.roster.id(*executor_index);
                 writeln!(reply, r#"{{"what":"RELEASE","nodeId":{me},"executor":"{executor}"}}"#)
             }
-            Output::Tell { to, told, tgt, count } => {
-                let mark = mark(self.roster.id(*tgt));
-                let words = words(*told, mark, *count);
+            Output::SendToPeer { to, kind, executor_index, count } => {
+                let mark = mark(self.roster.id(*executor_index));
+                let words = format_message(*kind, mark, *count);
                 writeln!(reply, r#"{{"what":"TELL","nodeId":{me},"dest":{to},"contents":"{words}"}}"#)
             }
-            Output::Follow => writeln!(reply, r#"{{"what":"LISTEN","nodeId":{me},"on":true}}"#),
+            Output::WatchList => writeln!(reply, r#"{{"what":"LISTEN","nodeId":{me},"on":true}}"#),
             Output::Log(words) => {
                 let words = serde_json::Value::from(words.as_str());
                 writeln!(reply, r#"{{"what":"LOG","nodeId":{me},"words":{words}}}"#)
@@ -154,7 +156,7 @@
         "ConnectError" => Outcome::Unreachable,
         "ResetByPeer" => Outcome::Reset,
         "Canceled" => Outcome::Cancelled,
-        "Ignored" => Outcome::Moot,
+        "Ignored" => Outcome::NotWritten,
         other => return Err(format!("unknown verdict {other}")),
     })
 }
--- a/crates/coveroute-emu/src/virtual_time.rs
+++ b/crates/coveroute-emu/src/virtual_time.rs
@@ -5,11 +5,13 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use coveroute::adopt::Moved;
 use coveroute::node::Node;
-use coveroute::types::{Budget, InvId, Outcome as Ended, Report, Settings, Tgt, Told};
+use coveroute::reconfigure::OperationMapping;
+use coveroute::types::{
+    Budget, ExecutorIndex, InvocationId, Outcome as Ended, PeerMessageKind, Report, Settings,
+};
 use coveroute_engine::{
-    Action, Answer, Call, Decide, Engine, Event, Listing, News, Phase, Reply, Watched, Word as Heard,
+    Action, Answer, Call, Decisions, Engine, Event, JobReport, JobStatus, Listing, Phase, Reply, WatchEvent,
 };
 use coveroute_shared::mark;
 
@@ -55,44 +57,51 @@
 }
 
 /// The decision logic of one engine.
-enum Decisions {
+enum DecisionLogic {
     Node(Box<Node>),
     Baseline(Box<Baseline>),
 }
 
-impl Decide for Decisions {
+impl Decisions for DecisionLogic {
     fn handle(&mut self, now: f64, input: coveroute::types::Input, out: &mut Vec<coveroute::types::Output>) {
         match self {
-            Decisions::Node(node) => Decide::handle(node.as_mut(), now, input, out),
-            Decisions::Baseline(baseline) => baseline.handle(now, input, out),
+            DecisionLogic::Node(node) => Decisions::handle(node.as_mut(), now, input, out),
+            DecisionLogic::Baseline(baseline) => baseline.handle(now, input, out),
         }
     }
 
-    fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]) {
+    fn apply_settings(
+        &mut self,
+        settings: Settings,
+        mappings: &[OperationMapping],
+        tenants: &[Option<usize>],
+    ) {
         match self {
-            Decisions::Node(node) => Decide::adopt(node.as_mut(), settings, moved, tenants),
-            Decisions::Baseline(baseline) => baseline.adopt(settings, moved, tenants),
+            DecisionLogic::Node(node) => {
+                Decisions::apply_settings(node.as_mut(), settings, mappings, tenants)
+            }
+            DecisionLogic::Baseline(baseline) => baseline.apply_settings(settings, mappings, tenants),
         }
     }
 
-    fn has(&self, operation: usize) -> bool {
+    fn uses_operation(&self, operation: usize) -> bool {
         match self {
-            Decisions::Node(node) => Decide::has(node.as_ref(), operation),
-            Decisions::Baseline(baseline) => baseline.has(operation),
+            DecisionLogic::Node(node) => Decisions::uses_operation(node.as_ref(), operation),
+            DecisionLogic::Baseline(baseline) => baseline.uses_operation(operation),
         }
     }
 
-    fn share(&mut self, factor: f64, budget: Option<Budget>) {
+    fn set_process_share(&mut self, factor: f64, budget: Option<Budget>) {
         match self {
-            Decisions::Node(node) => Decide::share(node.as_mut(), factor, budget),
-            Decisions::Baseline(baseline) => baseline.share(factor, budget),
+            DecisionLogic::Node(node) => Decisions::set_process_share(node.as_mut(), factor, budget),
+            DecisionLogic::Baseline(baseline) => baseline.set_process_share(factor, budget),
         }
     }
 
-    fn avoided(&self, now: f64) -> usize {
+    fn untrusted_count(&self, now: f64) -> usize {
         match self {
-            Decisions::Node(node) => Decide::avoided(node.as_ref(), now),
-            Decisions::Baseline(baseline) => baseline.avoided(now),
+            DecisionLogic::Node(node) => Decisions::untrusted_count(node.as_ref(), now),
+            DecisionLogic::Baseline(baseline) => baseline.untrusted_count(now),
         }
     }
 }
@@ -136,11 +145,11 @@
     },
     Probe {
         worker: WorkerId,
-        tgt: Tgt,
+        tgt: ExecutorIndex,
         asked: u64,
     },
     Probed {
-        tgt: Tgt,
+        tgt: ExecutorIndex,
         asked: u64,
         outcome: Ended,
         report: Report,
@@ -151,11 +160,11 @@
     },
     Watched {
         watch: u64,
-        watched: Watched,
+        watched: WatchEvent,
     },
     Heard {
         from: NodeId,
-        told: Told,
+        told: PeerMessageKind,
         mark: u32,
         count: u8,
     },
@@ -191,7 +200,7 @@
 /// A forward that waits for its worker's first answer.
 #[derive(Clone, Copy, Debug)]
 struct PendingForward {
-    id: InvId,
+    id: InvocationId,
     forward: usize,
 }
 
@@ -203,12 +212,12 @@
 }
 
 struct NodeHost {
-    engine: Engine<Decisions>,
+    engine: Engine<DecisionLogic>,
     /// Number of the process: events for an earlier process are dropped.
     process: u64,
     wake: f64,
-    invocations: BTreeMap<InvId, TryId>,
-    next_id: InvId,
+    invocations: BTreeMap<InvocationId, TryId>,
+    next_id: InvocationId,
     pending: BTreeMap<(TryId, WorkerId), PendingForward>,
     connections: BTreeMap<WorkerId, Connections>,
     /// Outstanding probes, by number.
@@ -366,7 +375,7 @@
         let nodes = self.hosts.iter().flatten().count().max(1) as f64;
         let number: BTreeMap<u32, WorkerId> = (0..workers.len()).map(|at| (mark(&name(at)), at)).collect();
         for decisions in all_decisions {
-            if let Decisions::Node(node) = decisions {
+            if let DecisionLogic::Node(node) = decisions {
                 for (mark, share) in node.shares() {
                     number.get(&mark).into_iter().for_each(|&at| beta[at] += share / nodes);
                 }
@@ -382,17 +391,17 @@
         self.queue.push(at, Queued { node, process, ev });
     }
 
-    fn decisions(&self, setup: &coveroute_engine::Setup) -> Decisions {
+    fn decisions(&self, setup: &coveroute_engine::Setup) -> DecisionLogic {
         match self.policy {
-            Policy::Node => Decisions::Node(Box::new(Node::new(setup.settings.clone(), setup.seed))),
-            Policy::Violation(violation) => Decisions::Baseline(Box::new(Baseline::violation(
+            Policy::Node => DecisionLogic::Node(Box::new(Node::new(setup.settings.clone(), setup.seed))),
+            Policy::Violation(violation) => DecisionLogic::Baseline(Box::new(Baseline::violation(
                 setup.settings.clone(),
                 setup.seed,
                 violation,
             ))),
             Policy::Baseline(choice) => {
                 let baseline = Baseline::new(setup.settings.clone(), setup.seed, choice, self.oracle.clone());
-                Decisions::Baseline(Box::new(baseline))
+                DecisionLogic::Baseline(Box::new(baseline))
             }
         }
     }
@@ -411,7 +420,7 @@
             Err(message) => return self.fault = Some(message),
         };
         let (decisions, mut actions) = (self.decisions(&setup), Vec::new());
-        let engine = Engine::deciding(CLOCK_BASE + now, decisions, setup, &mut actions);
+        let engine = Engine::with_decisions(CLOCK_BASE + now, decisions, setup, &mut actions);
         let (invocations, pending, connections, probes) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (process, wake) = (self.processes, f64::INFINITY);
@@ -478,13 +487,19 @@
                 self.notify(now, node, Event::Stop);
             }
             NodeCommand::Stop => {}
-            NodeCommand::Reload => self.notify(now, node, Event::Reread { tuning: None, moved: true }),
+            NodeCommand::Reload => {
+                self.notify(now, node, Event::Reloaded { settings: None, list_source_changed: true })
+            }
             NodeCommand::Retune => {
                 let world = &self.world;
                 let tuning = settings::tuning(&world.scenario, node, &world.nodes[node].zone, true);
-                self.notify(now, node, Event::NotReread); // The truncated file.
+                self.notify(now, node, Event::ReloadFailed); // The truncated file.
                 if let Ok(tuning) = tuning {
-                    self.notify(now, node, Event::Reread { tuning: Some(Box::new(tuning)), moved: false });
+                    self.notify(
+                        now,
+                        node,
+                        Event::Reloaded { settings: Some(Box::new(tuning)), list_source_changed: false },
+                    );
                 }
             }
             // Rejected before the run starts.
@@ -529,13 +544,13 @@
                 self.news(now, node, HostEvent::News { tri, worker, word, report, tries: 0 });
             }
             Output::Begun { node, watch, .. } => {
-                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Begun });
+                self.schedule(at, node, HostEvent::Watched { watch, watched: WatchEvent::Established });
             }
             Output::Listed { node, watch, listing } => {
-                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Listed(listing) });
+                self.schedule(at, node, HostEvent::Watched { watch, watched: WatchEvent::Listed(listing) });
             }
             Output::Lost { node, watch, loss } => {
-                self.schedule(at, node, HostEvent::Watched { watch, watched: Watched::Lost(loss) });
+                self.schedule(at, node, HostEvent::Watched { watch, watched: WatchEvent::Lost(loss) });
             }
             Output::Node { node, command } => self.execute_command(now, node, command),
         }
@@ -629,17 +644,17 @@
             }
             HostEvent::Follow { watch, version } => self.world.watch(now, node, watch, version, &mut outputs),
             HostEvent::Watched { watch, watched } => {
-                if let Watched::Listed(listing) = &watched {
+                if let WatchEvent::Listed(listing) = &watched {
                     self.world.listed(now, node, listing);
                 }
                 let watched = match watched {
-                    Watched::Listed(listing) => Watched::Listed(on_engine_clock(listing)),
+                    WatchEvent::Listed(listing) => WatchEvent::Listed(on_engine_clock(listing)),
                     other => other,
                 };
                 self.notify(now, node, Event::Watch(watch, watched));
             }
             HostEvent::Heard { from, told, mark, count } => {
-                self.notify(now, node, Event::Heard { from, told, mark, count });
+                self.notify(now, node, Event::PeerMessage { from, kind: told, mark, count });
             }
             HostEvent::Wake => self.wake(now, node),
             HostEvent::Probe { .. } => {}
@@ -668,7 +683,7 @@
         let deadline = self.world.clients.tries[tri as usize].deadline;
         let sent = self.world.clients.tries[tri as usize].at;
         let new_call = Call {
-            call: call(self.world.seed, tri).into(),
+            call_id: call(self.world.seed, tri).into(),
             class: op.name.clone(),
             caller: ask.tenant.map(|tenant| scenario.tenants[tenant].name.clone()),
             // Whole milliseconds, as in the protocol.
@@ -676,10 +691,10 @@
             hint: ask.hint,
             memory: Some(op.memory.0).filter(|memory| *memory > 0.0),
             key: None,
-            again: false,
-            came: CLOCK_BASE + now,
+            is_retry: false,
+            received_at: CLOCK_BASE + now,
         };
-        self.notify(now, node, Event::Taken(id, &new_call));
+        self.notify(now, node, Event::CallReceived(id, &new_call));
     }
 
     fn leave(&mut self, now: f64, node: NodeId, tri: TryId) {
@@ -687,7 +702,7 @@
         let id = host.invocations.iter().find(|(_, held)| **held == tri).map(|(id, _)| *id);
         if let Some(id) = id {
             host.invocations.remove(&id);
-            self.notify(now, node, Event::Left(id));
+            self.notify(now, node, Event::ClientDisconnected(id));
         }
     }
 
@@ -725,7 +740,7 @@
         let pending = self.hosts[node].as_ref().and_then(|host| host.pending.get(&(tri, worker))).copied();
         let Some(pending) = pending.filter(|pending| pending.forward == forward) else { return };
         if !last {
-            return self.notify(now, node, Event::Replied(pending.id, forward, Reply::Unheard));
+            return self.notify(now, node, Event::Replied(pending.id, forward, Reply::NotAcknowledged));
         }
         self.schedule(now + self.world.scenario.network.latency.0, node, HostEvent::GiveUp { tri, worker });
         let reply = Reply::Ended(Ended::TimedOut, Report::default());
@@ -743,19 +758,19 @@
     ) {
         let done = call(self.world.seed, tri);
         let update = match word {
-            JobUpdate::Started | JobUpdate::Running => Heard::Alive,
-            JobUpdate::Done => Heard::Succeeded(Bytes::copy_from_slice(done.as_bytes())),
-            JobUpdate::Returned => Heard::Ended(Ended::Full),
-            JobUpdate::Lost => Heard::Ended(Ended::Reset),
+            JobUpdate::Started | JobUpdate::Running => JobStatus::Running,
+            JobUpdate::Done => JobStatus::Succeeded(Bytes::copy_from_slice(done.as_bytes())),
+            JobUpdate::Returned => JobStatus::Ended(Ended::Full),
+            JobUpdate::Lost => JobStatus::Ended(Ended::Reset),
         };
-        if let Heard::Ended(outcome) = update {
+        if let JobStatus::Ended(outcome) = update {
             self.world.outcome(now, tri, worker, outcome.never_ran());
         }
-        let news = News { call: done, from: name(worker), word: update, report };
-        self.notify(now, node, Event::News(news));
+        let report = JobReport { call: done, from: name(worker), status: update, report };
+        self.notify(now, node, Event::JobReport(report));
     }
 
-    fn probe(&mut self, now: f64, node: NodeId, worker: WorkerId, tgt: Tgt, asked: u64) {
+    fn probe(&mut self, now: f64, node: NodeId, worker: WorkerId, tgt: ExecutorIndex, asked: u64) {
         let Some((up, report)) = self.world.probe(now, worker) else { return };
         let outcome = if up { Ended::Succeeded } else { Ended::Full };
         if let Delivery::Arrives(takes) = self.world.delivery(node, worker, asked as TryId, 301) {
@@ -827,11 +842,11 @@
     fn perform(&mut self, now: f64, node: NodeId, action: Action) {
         let latency = self.world.scenario.network.latency.0;
         match action {
-            Action::Send { id, forward, tgt, .. } => self.send(now, node, id, forward, tgt),
+            Action::Send { id, forward, executor_index: tgt, .. } => self.send(now, node, id, forward, tgt),
             Action::Abort { id, forward } => self.abort(now, node, id, forward),
             // A connection takes two one-way latencies here, far less than any grace period.
             Action::Recall { .. } => {}
-            Action::GiveUp { tgt, call } => {
+            Action::Cancel { executor_index: tgt, call } => {
                 let (worker, tri) = (self.worker(node, tgt), tri_of(&call));
                 if let Some((worker, tri)) = worker.zip(tri) {
                     self.world.invariants.given_up(now, tri, worker);
@@ -846,16 +861,16 @@
                     worker.and_then(|worker| self.hosts[node].as_mut()?.connections.get_mut(&worker));
                 connections.into_iter().for_each(|connections| connections.open = connections.in_use);
             }
-            Action::At(..) => {}
-            Action::Gone(tgt) => {
+            Action::SetAddress(..) => {}
+            Action::RemoveExecutor(tgt) => {
                 let worker = self.worker(node, tgt);
                 let host = self.hosts[node].as_mut();
                 worker.zip(host).map(|(worker, host)| host.connections.remove(&worker));
             }
-            Action::Follow { watch, version } => {
+            Action::WatchList { watch, version } => {
                 self.schedule(now + latency, node, HostEvent::Follow { watch, version })
             }
-            Action::Tell { to, told, mark, count } => {
+            Action::SendToPeer { to, kind: told, mark, count } => {
                 if to != node && to < self.hosts.len() {
                     self.schedule(now + latency, to, HostEvent::Heard { from: node, told, mark, count });
                 }
@@ -863,7 +878,7 @@
         }
     }
 
-    fn worker(&self, node: NodeId, tgt: Tgt) -> Option<WorkerId> {
+    fn worker(&self, node: NodeId, tgt: ExecutorIndex) -> Option<WorkerId> {
         let id = self.hosts[node].as_ref()?.engine.fleet().id(tgt);
         id.strip_prefix("w-")?.parse().ok()
     }
@@ -900,12 +915,12 @@
             .for_each(|connections| connections.in_use = connections.in_use.saturating_sub(1));
     }
 
-    fn send(&mut self, now: f64, node: NodeId, id: InvId, forward: usize, tgt: Tgt) {
+    fn send(&mut self, now: f64, node: NodeId, id: InvocationId, forward: usize, tgt: ExecutorIndex) {
         let worker = self.worker(node, tgt);
         let tri = self.hosts[node].as_ref().and_then(|host| host.invocations.get(&id)).copied();
         let lease = worker.and_then(|worker| self.lease(node, worker));
         let (Some(worker), Some(tri), Some(dials)) = (worker, tri, lease) else {
-            let not_sent = Reply::Ended(Ended::Moot, Report::default());
+            let not_sent = Reply::Ended(Ended::NotWritten, Report::default());
             let Some(host) = self.hosts[node].as_mut() else { return };
             return host.engine.handle(
                 CLOCK_BASE + now,
@@ -956,7 +971,7 @@
         }
     }
 
-    fn abort(&mut self, now: f64, node: NodeId, id: InvId, forward: usize) {
+    fn abort(&mut self, now: f64, node: NodeId, id: InvocationId, forward: usize) {
         let Some(host) = self.hosts[node].as_mut() else { return };
         let of = |w: &(&(TryId, WorkerId), &PendingForward)| w.1.id == id && w.1.forward == forward;
         let key = host.pending.iter().find(of).map(|(key, _)| *key);
@@ -972,7 +987,7 @@
         }
     }
 
-    fn answer(&mut self, now: f64, node: NodeId, id: InvId, answer: Answer) {
+    fn answer(&mut self, now: f64, node: NodeId, id: InvocationId, answer: Answer) {
         let Some(host) = self.hosts[node].as_mut() else { return };
         let Some(tri) = host.invocations.remove(&id) else { return };
         let (final_answer, pause) = match answer {
@@ -982,7 +997,7 @@
             }
             Answer::Throttled { pause } => (FinalAnswer::Refused, pause),
             Answer::Errored => (FinalAnswer::Failed, 0.0),
-            Answer::Unfit(_) => (FinalAnswer::Unfit, 0.0),
+            Answer::Rejected(_) => (FinalAnswer::Unfit, 0.0),
         };
         // The checker and the client both see the answer when it arrives, one latency later.
         self.schedule(
@@ -992,7 +1007,7 @@
         );
     }
 
-    fn send_probe(&mut self, now: f64, node: NodeId, tgt: Tgt) {
+    fn send_probe(&mut self, now: f64, node: NodeId, tgt: ExecutorIndex) {
         let worker = self.worker(node, tgt);
         let lease = worker.and_then(|worker| self.lease(node, worker));
         let (Some(worker), Some(dials)) = (worker, lease) else {
--- a/crates/coveroute-engine/src/engine.rs
+++ b/crates/coveroute-engine/src/engine.rs
@@ -1,35 +1,36 @@
 //! The engine: takes each event together with its time and returns the actions that the host has to carry out, in
 //! order.
 use std::collections::BTreeSet;
+use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use bytes::Bytes;
 use coveroute::node::Node;
-use coveroute::policy::LOOK;
+use coveroute::policy::DISPATCH_TIMER;
 use coveroute::types::{
-    Budget, Input, InvId, KeptAge, List, Loss, Operation, Outcome, Output, Report, Settings, Settled,
-    Standing, Submission, Tgt, Told,
+    Budget, ExecutorIndex, InitialListAge, Input, InvocationId, List, Loss, Operation, Outcome, Output,
+    PeerMessageKind, Report, Settings, Settled, Standing, Submission,
 };
 use coveroute_shared::Names;
 use log::{debug, error, info, warn};
 
 use crate::admit::{admit, Call};
-use crate::answer::{Answer, Unfit};
-use crate::counts::{Counts, Figures, ListFigures, Verdict};
-use crate::decide::Decide;
+use crate::answer::{Answer, Rejection};
+use crate::counts::{Counts, JobResult, ListMetrics, NodeMetrics};
 use crate::decision_queue::DecisionQueue;
+use crate::decisions::Decisions;
+use crate::engine_state::EngineState;
+use crate::job_handover::JobHandover;
 use crate::list::{AddressChange, Fleet, Listing};
-use crate::memory::Memory;
 use crate::operations::Operations;
-use crate::parcel::Parcel;
 use crate::phase::{Phase, Step};
 use crate::records::{Forward, Record, Records, Stage};
 use crate::timers::Timers;
 
 /// The part of a reloaded configuration that concerns decisions.
 #[derive(Clone, Debug)]
-pub struct Tuning {
+pub struct ReloadedSettings {
     pub settings: Settings,
     pub names: Names,
     /// Client timeout of each operation, in seconds.
@@ -47,91 +48,118 @@
     /// The list of executors that this node last stored.
     pub known: Option<Listing>,
     /// State handed over by the previous process of this node, if any. Its list takes precedence over `known`.
-    pub memory: Option<Memory>,
+    pub previous_state: Option<EngineState>,
 }
 
 #[derive(Debug)]
 pub enum Event<'a> {
     /// A front has read a call.
-    Taken(InvId, &'a Call),
+    CallReceived(InvocationId, &'a Call),
     /// The client has disconnected.
-    Left(InvId),
+    ClientDisconnected(InvocationId),
     /// The executor's first response to a forward, or its absence.
-    Replied(InvId, usize, Reply),
+    Replied(InvocationId, usize, Reply),
     /// An executor reports on a job that it has taken.
-    News(News),
-    Probed(Tgt, Outcome, Report),
+    JobReport(JobReport),
+    Probed(ExecutorIndex, Outcome, Report),
     /// An event of the watch with this number on the list of executors.
-    Watch(u64, Watched),
+    Watch(u64, WatchEvent),
     /// Another node, given by its number, sent a message about the executor with this mark.
-    Heard {
+    PeerMessage {
         from: usize,
-        told: Told,
+        kind: PeerMessageKind,
         mark: u32,
         count: u8,
     },
     /// A valid configuration was reloaded: its settings, if they apply, and whether the list now has another
     /// source.
-    Reread {
-        tuning: Option<Box<Tuning>>,
-        moved: bool,
+    Reloaded {
+        settings: Option<Box<ReloadedSettings>>,
+        list_source_changed: bool,
     },
     /// The reloaded configuration is invalid; the current one stays in force.
-    NotReread,
+    ReloadFailed,
     /// This process's share of the cold executors' capacity while another process of this node runs.
-    Part(f64),
+    CapacityShare(f64),
     /// This node's current part of the tenants' fleet-wide quotas: invocations per second, by tenant name.
     Quotas(Vec<(String, f64)>),
     /// A front has ended a job of this operation that never reached the engine.
-    Ended(&'a str, Verdict),
+    AnsweredByFront(&'a str, JobResult),
     /// The platform requests a stop.
     Stop,
     /// All open jobs have moved to another process, so there is nothing left to wait for.
-    Relieved,
+    JobsHandedOver,
     /// No request is open: every answer has been written.
     Idle,
 }
 
 /// Progress of a forward, as its connection to the executor shows it.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, PartialEq)]
 pub enum Reply {
     /// The last byte of the request has been written.
     Written,
     /// The executor has accepted the job and will report its result later.
     Taken,
     /// The executor has not accepted the job in time; it still may.
-    Unheard,
+    NotAcknowledged,
     Ended(Outcome, Report),
     /// The executor rejected the request as invalid, with this status of the protocol.
-    Unfit(u16, Report),
+    Rejected(u16, Report),
     /// The job ran and returned this result.
     Succeeded(Bytes, Report),
 }
 
+/// Recorded runs of the emulator contain this text, so it keeps the variants' former names.
+impl fmt::Debug for Reply {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Reply::Written => f.write_str("Written"),
+            Reply::Taken => f.write_str("Taken"),
+            Reply::NotAcknowledged => f.write_str("Unheard"),
+            Reply::Ended(outcome, report) => f.debug_tuple("Ended").field(outcome).field(report).finish(),
+            Reply::Rejected(status, report) => f.debug_tuple("Unfit").field(status).field(report).finish(),
+            Reply::Succeeded(result, report) => {
+                f.debug_tuple("Succeeded").field(result).field(report).finish()
+            }
+        }
+    }
+}
+
 /// An event of a watch on the list of executors.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Watched {
+#[derive(Clone, PartialEq)]
+pub enum WatchEvent {
     /// The watch is established, and all earlier changes have been delivered.
-    Begun,
+    Established,
     Listed(Listing),
     Lost(Loss),
 }
 
+/// Recorded runs of the emulator contain this text, so it keeps the variants' former names.
+impl fmt::Debug for WatchEvent {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            WatchEvent::Established => f.write_str("Begun"),
+            WatchEvent::Listed(listing) => f.debug_tuple("Listed").field(listing).finish(),
+            WatchEvent::Lost(loss) => f.debug_tuple("Lost").field(loss).finish(),
+        }
+    }
+}
+
 /// The content of an executor's report on a job.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum JobStatus {
     /// The job has started or is still running.
-    Alive,
+    Running,
     Succeeded(Bytes),
     Ended(Outcome),
 }
 
 /// An executor's report on a job that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct JobReport {
     pub call: String,
     pub from: String,
-    pub word: Word,
+    pub status: JobStatus,
     pub report: Report,
 }
 
@@ -141,47 +169,47 @@
     /// Send the job to the executor. Its last byte must be written by `write_until`, or it must not be sent at all.
     /// The node answers by `end`; the host computes the remaining time from the clock when it writes the request.
     Send {
-        id: InvId,
+        id: InvocationId,
         forward: usize,
-        tgt: Tgt,
+        executor_index: ExecutorIndex,
         end: f64,
         write_until: f64,
     },
     /// Close the connection of a forward that the executor has not acknowledged.
     Abort {
-        id: InvId,
+        id: InvocationId,
         forward: usize,
     },
     /// Cancel the send if no byte of the job has been written yet, and report that: the executor is draining or gone.
     Recall {
-        id: InvId,
+        id: InvocationId,
         forward: usize,
     },
     /// Tell the executor to cancel a job that it has accepted.
-    GiveUp {
-        tgt: Tgt,
+    Cancel {
+        executor_index: ExecutorIndex,
         call: Arc<str>,
     },
     Answer {
-        id: InvId,
+        id: InvocationId,
         answer: Answer,
     },
-    Probe(Tgt),
+    Probe(ExecutorIndex),
     /// Close the idle connections to the executor.
-    Release(Tgt),
+    Release(ExecutorIndex),
     /// The executor listens at this address. If the address is new, connections to the old one are dropped.
-    At(Tgt, SocketAddr),
+    SetAddress(ExecutorIndex, SocketAddr),
     /// The executor has left the list.
-    Gone(Tgt),
+    RemoveExecutor(ExecutorIndex),
     /// Start a watch with this number on the list, from after this version; any earlier watch is dropped.
-    Follow {
+    WatchList {
         watch: u64,
         version: u64,
     },
     /// Send another node a message about the executor with this mark.
-    Tell {
+    SendToPeer {
         to: usize,
-        told: Told,
+        kind: PeerMessageKind,
         mark: u32,
         count: u8,
     },
@@ -192,14 +220,14 @@
     /// A timer that the decisions have set.
     Decisions(u64),
     /// The deadline of an invocation.
-    Deadline(InvId),
+    Deadline(InvocationId),
     PhaseStep(Step),
     /// Start a new watch on the list, unless another one has been started since this one.
     Follow(u64),
 }
 
 /// The watch number of a list that was pushed to the node without a watch.
-pub const UNASKED: u64 = 0;
+pub const NO_WATCH: u64 = 0;
 /// Delay in seconds before a lost watch on a pushed list is started again. The agent that keeps such a list belongs to this
 /// node, and what it holds counts as delivered. The delay is a few round trips, enough for a call to fail by itself, and
 /// well below the shortest drain grace period observed (0.1 s).
@@ -264,25 +292,25 @@
 impl Engine<Node> {
     pub fn new(now: f64, setup: Setup, out: &mut Vec<Action>) -> Self {
         let node = Node::new(setup.settings.clone(), setup.seed);
-        Engine::deciding(now, node, setup, out)
+        Engine::with_decisions(now, node, setup, out)
     }
 }
 
-impl<D: Decide> Engine<D> {
+impl<D: Decisions> Engine<D> {
     /// Creates an engine with the given implementation of the decisions.
-    pub fn deciding(now: f64, decide: D, mut setup: Setup, out: &mut Vec<Action>) -> Self {
+    pub fn with_decisions(now: f64, decisions: D, mut setup: Setup, out: &mut Vec<Action>) -> Self {
         let names = std::mem::take(&mut setup.names.operations);
         let mut engine = Engine {
             timers: Timers::new(),
             phase: Phase::Starting,
-            queue: DecisionQueue::new(decide),
+            queue: DecisionQueue::new(decisions),
             fleet: Fleet::new(setup.names, setup.settings.only_draining),
             records: Records::default(),
             watch: 0,
             version: 0,
             started_at: now,
             discovery_heard: None,
-            list_pushed: !setup.settings.must_ask,
+            list_pushed: !setup.settings.polls_list,
             followed: false,
             operations: Operations::new(names, &setup.timeouts),
             entries: setup.settings.operations,
@@ -297,15 +325,15 @@
             outputs: Vec::new(),
         };
         engine.register_operations();
-        let memory = setup.memory;
-        let age = match &memory {
-            Some(memory) if memory.current => KeptAge::Current,
-            _ => KeptAge::Unknown,
+        let previous_state = setup.previous_state;
+        let age = match &previous_state {
+            Some(state) if state.current => InitialListAge::Current,
+            _ => InitialListAge::Unknown,
         };
-        let known = memory.as_ref().map(|memory| memory.listing.clone()).or(setup.known);
+        let known = previous_state.as_ref().map(|state| state.listing.clone()).or(setup.known);
         engine.apply_initial_list(now, age, known.unwrap_or_default(), out);
         engine.run_decisions(now, out);
-        memory.into_iter().for_each(|memory| engine.restore_memory(now, memory));
+        previous_state.into_iter().for_each(|state| engine.restore_state(now, state));
         if engine.list_pushed {
             engine.follow(out);
         }
@@ -326,7 +354,7 @@
     }
 
     pub fn decisions(&self) -> &D {
-        self.queue.decide()
+        self.queue.decisions()
     }
 
     /// Number of records held. It is bounded by what the fronts admit.
@@ -334,28 +362,28 @@
         self.records.len()
     }
 
-    /// The figures for the operators' interfaces.
-    pub fn figures(&self, now: f64) -> Figures {
-        Figures {
+    /// The metrics for the operators' interfaces.
+    pub fn metrics(&self, now: f64) -> NodeMetrics {
+        NodeMetrics {
             operations: self.counts.operations(),
             forwards: self.counts.forwards,
             outstanding: self.records.unanswered(),
             listed: self.fleet.listed_count(),
-            avoided: self.queue.decide().avoided(now),
-            list: self.list_figures(now),
+            avoided: self.queue.decisions().untrusted_count(now),
+            list: self.list_metrics(now),
             applied: self.counts.applied,
             rejected: self.counts.rejected,
         }
     }
 
-    fn list_figures(&self, now: f64) -> ListFigures {
-        let decide = self.queue.decide();
-        ListFigures {
+    fn list_metrics(&self, now: f64) -> ListMetrics {
+        let decisions = self.queue.decisions();
+        ListMetrics {
             version: self.version,
-            state: decide.list_state().name(),
+            state: decisions.list_state().name(),
             first_heard: self.discovery_heard.map(|[first, _]| first - self.started_at),
             last_heard: self.discovery_heard.map(|[_, last]| now - last),
-            refused: decide.refused_without_list(),
+            refused: decisions.refused_without_list(),
         }
     }
 
@@ -367,66 +395,85 @@
     }
 
     /// The state that is handed to the next process of this node.
-    pub fn memory(&self) -> Memory {
+    pub fn state(&self) -> EngineState {
         let calls = self.records.calls().map(|call| call.to_string()).collect();
-        let decide = self.queue.decide();
-        let current = decide.list_state().is_current();
-        Memory { current, ..Memory::of(decide.learnt(), &self.fleet, &self.operations, self.version, calls) }
+        let decisions = self.queue.decisions();
+        let current = decisions.list_state().is_current();
+        EngineState {
+            current,
+            ..EngineState::new(decisions.measurements(), &self.fleet, &self.operations, self.version, calls)
+        }
     }
 
-    fn restore_memory(&mut self, now: f64, memory: Memory) {
-        let learnt = memory.learnt(&self.fleet, &self.operations, now);
-        self.queue.decide_mut().recall(&learnt);
-        self.served_by_predecessor = memory.calls.into_iter().collect();
+    fn restore_state(&mut self, now: f64, state: EngineState) {
+        let measurements = state.measurements(&self.fleet, &self.operations, now);
+        self.queue.decisions_mut().restore_measurements(&measurements);
+        self.served_by_predecessor = state.calls.into_iter().collect();
     }
 
     /// Removes a job so that another process can continue it, without answering the client or notifying executors.
     /// Returns `None` while a forward is unacknowledged, because its connection belongs to this process.
-    pub fn part_with(&mut self, id: InvId) -> Option<Parcel> {
+    pub fn hand_over_job(&mut self, id: InvocationId) -> Option<JobHandover> {
         let record = self.records.get(id).filter(|record| record.unanswered)?;
         if record.forwards.iter().any(|forward| forward.stage == Stage::Sending) {
             return None;
         }
-        let (call, operation, end) = (record.call.to_string(), record.operation.to_string(), record.due);
-        let ids = record.forwards.iter().map(|f| (self.fleet.id(f.tgt).to_owned(), f.sent, f.stage));
+        let (call, operation, deadline) = (record.call.to_string(), record.operation.to_string(), record.due);
+        let ids =
+            record.forwards.iter().map(|f| (self.fleet.id(f.executor_index).to_owned(), f.sent, f.stage));
         let forwards: Vec<_> = ids.collect();
-        let mut inv = self.queue.decide_mut().part_with(id)?;
-        inv.end = end; // The other process is not stopping, so the full deadline applies.
-        let entry = self.entries[inv.op].clone();
+        let mut invocation = self.queue.decisions_mut().export_invocation(id)?;
+        invocation.deadline = deadline; // The other process is not stopping, so the full deadline applies.
+        let entry = self.entries[invocation.op].clone();
         let (timeout, kind) =
-            (self.operations.timeout(inv.op), entry.kind.and_then(|kind| self.fleet.kind(kind)));
+            (self.operations.timeout(invocation.op), entry.kind.and_then(|kind| self.fleet.kind(kind)));
         let kind = kind.cloned();
-        let parcel = Parcel { call, operation, entry, timeout, kind, end, inv, forwards };
-        if !parcel.is_sound() || !parcel.survives_round_trip() {
-            self.queue.decide_mut().take_in(id, parcel.inv);
+        let handover = JobHandover { call, operation, entry, timeout, kind, deadline, invocation, forwards };
+        if !handover.is_consistent() || !handover.survives_round_trip() {
+            self.queue.decisions_mut().import_invocation(id, handover.invocation);
             return None;
         }
         self.records.remove(id);
-        Some(parcel)
+        Some(handover)
     }
 
     /// Continues a job of another process, under an id of this one.
-    pub fn take_in(&mut self, now: f64, id: InvId, parcel: Parcel, out: &mut Vec<Action>) {
-        let Parcel { call, operation, mut entry, timeout, kind, end, mut inv, forwards } = parcel;
+    pub fn take_over_job(
+        &mut self,
+        now: f64,
+        id: InvocationId,
+        handover: JobHandover,
+        out: &mut Vec<Action>,
+    ) {
+        let JobHandover { call, operation, mut entry, timeout, kind, deadline, mut invocation, forwards } =
+            handover;
         entry.kind = kind.map(|kind| self.fleet.kind_number(&kind));
         let known = self.entries.len();
-        inv.op = self.operations.entry(&operation, timeout, &entry, &mut self.entries);
+        invocation.op = self.operations.entry(&operation, timeout, &entry, &mut self.entries);
         if self.entries.len() > known {
-            self.queue.decide_mut().extend(self.entries.clone());
+            self.queue.decisions_mut().extend_operations(self.entries.clone());
         }
         let forwards: Vec<Forward> = forwards
             .into_iter()
-            .map(|(executor, sent, stage)| Forward { tgt: self.fleet.number(&executor), sent, stage })
+            .map(|(executor, sent, stage)| Forward {
+                executor_index: self.fleet.number(&executor),
+                sent,
+                stage,
+            })
             .collect();
-        inv.forwards.iter_mut().zip(&forwards).for_each(|(fwd, forward)| fwd.tgt = forward.tgt);
+        invocation
+            .forwards
+            .iter_mut()
+            .zip(&forwards)
+            .for_each(|(fwd, forward)| fwd.executor_index = forward.executor_index);
         self.served_by_predecessor.remove(&call);
-        let (call, operation) = (Arc::from(call), self.operations.name(inv.op).clone());
+        let (call, operation) = (Arc::from(call), self.operations.name(invocation.op).clone());
         self.counts.register(&operation);
-        let (due, end) = (end, end.min(self.answer_by));
+        let (due, end) = (deadline, deadline.min(self.answer_by));
         self.timers.schedule(end, Timer::Deadline(id));
         self.records.open(id, Record { call, operation, unanswered: true, end, due, forwards });
-        self.queue.decide_mut().take_in(id, inv);
-        self.queue.push(Input::Timer(LOOK));
+        self.queue.decisions_mut().import_invocation(id, invocation);
+        self.queue.push(Input::Timer(DISPATCH_TIMER));
         self.run_decisions(now, out);
     }
 
@@ -442,33 +489,42 @@
 
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Taken(id, call) => self.accept_call(now, id, call, out),
-            Event::Left(id) => self.client_left(now, id, out),
+            Event::CallReceived(id, call) => self.accept_call(now, id, call, out),
+            Event::ClientDisconnected(id) => self.client_left(now, id, out),
             Event::Replied(id, forward, reply) => self.handle_reply(now, id, forward, reply, out),
-            Event::News(news) => self.handle_report(now, news, out),
-            Event::Probed(tgt, outcome, report) => self.queue.push(Input::Probed { tgt, outcome, report }),
+            Event::JobReport(report) => self.handle_report(now, report, out),
+            Event::Probed(executor_index, outcome, report) => {
+                self.queue.push(Input::Probed { executor_index, outcome, report })
+            }
             Event::Watch(number, watched) => self.handle_watch(now, number, watched, out),
-            Event::Heard { from, told, mark, count } => {
-                let tgt = self.fleet.by_mark(mark);
-                let heard = tgt.map(|tgt| Input::Heard { from, told, tgt, count });
-                heard.into_iter().for_each(|heard| self.queue.push(heard));
+            Event::PeerMessage { from, kind, mark, count } => {
+                let executor_index = self.fleet.by_mark(mark);
+                let input = executor_index.map(|executor_index| Input::PeerMessage {
+                    from,
+                    kind,
+                    executor_index,
+                    count,
+                });
+                input.into_iter().for_each(|input| self.queue.push(input));
             }
-            Event::Reread { tuning, moved } => self.reload(now, tuning, moved, out),
-            Event::Part(part) => {
+            Event::Reloaded { settings, list_source_changed } => {
+                self.reload(now, settings, list_source_changed, out)
+            }
+            Event::CapacityShare(part) => {
                 self.process_share = part;
                 let budget = self.process_budget();
-                self.queue.decide_mut().share(part * self.cold_factor, budget);
+                self.queue.decisions_mut().set_process_share(part * self.cold_factor, budget);
             }
             Event::Quotas(quotas) => {
                 let tenants = &self.fleet.names().tenants;
                 let at = |(name, quota)| Some((tenants.iter().position(|known| *known == name)?, quota));
                 let quotas: Vec<(usize, f64)> = quotas.into_iter().filter_map(at).collect();
-                self.queue.decide_mut().quotas(&quotas);
+                self.queue.decisions_mut().set_quotas(&quotas);
             }
-            Event::NotReread => self.counts.rejected += 1,
-            Event::Ended(operation, verdict) => self.counts.count(operation, verdict),
+            Event::ReloadFailed => self.counts.rejected += 1,
+            Event::AnsweredByFront(operation, result) => self.counts.count(operation, result),
             Event::Stop => self.stop(now),
-            Event::Relieved => {
+            Event::JobsHandedOver => {
                 self.step(Step::FrontNotified);
                 self.exit_from = now;
             }
@@ -509,43 +565,45 @@
 
     fn apply_output(&mut self, now: f64, output: Output, out: &mut Vec<Action>) {
         match output {
-            Output::Forward { id, tgt } => self.forward(now, id, tgt, out),
+            Output::Forward { id, executor_index } => self.forward(now, id, executor_index, out),
             Output::Withdraw { id, forward } => self.withdraw(now, id, forward, out),
             Output::Throttle { id, pause } => {
                 debug!(
                     "{id} is refused, list {} is {}",
                     self.version,
-                    self.queue.decide().list_state().name()
+                    self.queue.decisions().list_state().name()
                 );
                 self.answer(id, Answer::Throttled { pause }, out);
             }
             Output::Error { id } => self.answer(id, Answer::Errored, out),
-            Output::Wake { after, timer } => self.timers.schedule(now + after, Timer::Decisions(timer)),
-            Output::Probe(tgt) => out.push(Action::Probe(tgt)),
-            Output::Release(tgt) => out.push(Action::Release(tgt)),
-            Output::Tell { to, told, tgt, count } => {
-                out.push(Action::Tell { to, told, mark: self.fleet.mark(tgt), count });
+            Output::SetTimer { after, timer } => self.timers.schedule(now + after, Timer::Decisions(timer)),
+            Output::Probe(executor_index) => out.push(Action::Probe(executor_index)),
+            Output::Release(executor_index) => out.push(Action::Release(executor_index)),
+            Output::SendToPeer { to, kind, executor_index, count } => {
+                out.push(Action::SendToPeer { to, kind, mark: self.fleet.mark(executor_index), count });
             }
-            Output::Follow => self.follow(out),
+            Output::WatchList => self.follow(out),
             Output::Log(words) => info!("{words}"),
         }
     }
 
     /// Applies the list that the node starts with. A node that was down for seconds or days must not serve at once from a
     /// list of that age: it becomes ready when the current list arrives, or when the platform would not wait any longer.
-    fn apply_initial_list(&mut self, now: f64, age: KeptAge, known: Listing, out: &mut Vec<Action>) {
+    fn apply_initial_list(&mut self, now: f64, age: InitialListAge, known: Listing, out: &mut Vec<Action>) {
         let source = match age {
-            KeptAge::Current => "handed over by the previous process",
-            KeptAge::Unknown | KeptAge::Unsaid => "from before the start and not used for sending",
+            InitialListAge::Current => "handed over by the previous process",
+            InitialListAge::Unknown | InitialListAge::Unspecified => {
+                "from before the start and not used for sending"
+            }
         };
         info!("list {} is {source}", known.version);
-        self.apply_listing(now, &known, |_, entries| List::Kept(entries, age), out);
+        self.apply_listing(now, &known, |_, entries| List::Initial(entries, age), out);
         match age {
             _ if known.hosts.is_empty() => {}
-            KeptAge::Unknown => {
+            InitialListAge::Unknown => {
                 self.timers.schedule(now + READY_DEADLINE, Timer::PhaseStep(Step::ExecutorsKnown))
             }
-            KeptAge::Current | KeptAge::Unsaid => drop(self.step(Step::ExecutorsKnown)),
+            InitialListAge::Current | InitialListAge::Unspecified => drop(self.step(Step::ExecutorsKnown)),
         }
     }
 
@@ -557,26 +615,26 @@
         self.discovery_heard = Some([self.discovery_heard.map_or(now, |[first, _]| first), now]);
     }
 
-    fn handle_watch(&mut self, now: f64, number: u64, watched: Watched, out: &mut Vec<Action>) {
-        if !matches!(watched, Watched::Lost(_)) && (number == UNASKED || number == self.watch) {
+    fn handle_watch(&mut self, now: f64, number: u64, watched: WatchEvent, out: &mut Vec<Action>) {
+        if !matches!(watched, WatchEvent::Lost(_)) && (number == NO_WATCH || number == self.watch) {
             self.record_discovery_contact(now);
         }
         match watched {
             // A push older than what the watch has delivered is ignored: jobs would go to executors that are draining by now.
-            Watched::Listed(listing) if number == UNASKED => {
+            WatchEvent::Listed(listing) if number == NO_WATCH => {
                 if !self.followed || listing.version >= self.version {
                     self.apply_current_list(now, &listing, out);
                 }
             }
             _ if number != self.watch => {}
-            Watched::Listed(listing) => self.apply_current_list(now, &listing, out),
-            Watched::Begun => {
+            WatchEvent::Listed(listing) => self.apply_current_list(now, &listing, out),
+            WatchEvent::Established => {
                 self.followed = true;
                 self.step(Step::ListFollowed);
                 self.become_ready_if_listed();
                 self.queue.push(Input::List(List::Changes(Vec::new())));
             }
-            Watched::Lost(loss) => {
+            WatchEvent::Lost(loss) => {
                 self.followed = false;
                 match self.list_pushed {
                     true => self.timers.schedule(now + PUSHED_LIST_RETRY_DELAY, Timer::Follow(number)),
@@ -602,26 +660,26 @@
     fn follow(&mut self, out: &mut Vec<Action>) {
         self.followed = false;
         self.watch += 1;
-        out.push(Action::Follow { watch: self.watch, version: self.version });
+        out.push(Action::WatchList { watch: self.watch, version: self.version });
     }
 
-    pub(crate) fn accept_call(&mut self, now: f64, id: InvId, call: &Call, out: &mut Vec<Action>) {
-        let unfit = |why| Action::Answer { id, answer: Answer::Unfit(why) };
+    pub(crate) fn accept_call(&mut self, now: f64, id: InvocationId, call: &Call, out: &mut Vec<Action>) {
+        let rejected = |why| Action::Answer { id, answer: Answer::Rejected(why) };
         // Prevents a second effect of the same call, and clients from reusing the id of another one's call.
-        if self.records.knows(&call.call) || self.served_by_predecessor.contains(&*call.call) {
-            self.counts.count(&call.class, Verdict::Errored);
-            return out.push(unfit(Unfit::Again));
+        if self.records.knows(&call.call_id) || self.served_by_predecessor.contains(&*call.call_id) {
+            self.counts.count(&call.class, JobResult::Errored);
+            return out.push(rejected(Rejection::DuplicateCall));
         }
-        let age = now - call.came;
+        let age = now - call.received_at;
         debug!(
             "{id} accepted: call {}, {}, budget {:.3} s, received {age:.3} s ago",
-            call.call, call.class, call.budget
+            call.call_id, call.class, call.budget
         );
         match admit(id, call, &self.operations, self.fleet.names(), now) {
-            Ok(submission) => self.open(now, call.call.clone(), submission),
+            Ok(submission) => self.open(now, call.call_id.clone(), submission),
             Err(why) => {
-                self.counts.count(&call.class, Verdict::Errored);
-                out.push(unfit(why));
+                self.counts.count(&call.class, JobResult::Errored);
+                out.push(rejected(why));
             }
         }
     }
@@ -637,22 +695,22 @@
     }
 
     /// Sends the final answer unless one was sent before; returns whether it was sent.
-    fn send_final_answer(&mut self, id: InvId, answer: Answer, out: &mut Vec<Action>) -> bool {
+    fn send_final_answer(&mut self, id: InvocationId, answer: Answer, out: &mut Vec<Action>) -> bool {
         let operation = self.records.mark_answered(id);
         if let Some(operation) = operation {
             debug!("{id} answered: {answer:?}");
-            self.counts.count(operation, Verdict::from(&answer));
+            self.counts.count(operation, JobResult::from(&answer));
             out.push(Action::Answer { id, answer });
         }
         operation.is_some()
     }
 
-    pub(crate) fn answer(&mut self, id: InvId, answer: Answer, out: &mut Vec<Action>) {
+    pub(crate) fn answer(&mut self, id: InvocationId, answer: Answer, out: &mut Vec<Action>) {
         self.send_final_answer(id, answer, out);
         self.records.remove_if_finished(id);
     }
 
-    fn client_left(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+    fn client_left(&mut self, now: f64, id: InvocationId, out: &mut Vec<Action>) {
         if self.records.mark_answered(id).is_some() {
             self.close_invocation(now, id, out);
         }
@@ -661,7 +719,7 @@
 
     /// Closes an invocation that ended without the decisions. Forwards that still wait for a connection are withdrawn:
     /// nothing may be sent any more, even where executors do not support cancelling.
-    fn close_invocation(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+    fn close_invocation(&mut self, now: f64, id: InvocationId, out: &mut Vec<Action>) {
         let forwards = self.records.get(id).map(|record| record.open_forwards()).unwrap_or_default();
         for forward in forwards {
             if self.records.get(id).is_some_and(|record| record.forwards[forward].stage == Stage::Sending) {
@@ -672,7 +730,7 @@
     }
 
     /// Handles the deadline of an invocation: open forwards end as timed out, and the decisions answer.
-    pub(crate) fn time_out(&mut self, now: f64, id: InvId, out: &mut Vec<Action>) {
+    pub(crate) fn time_out(&mut self, now: f64, id: InvocationId, out: &mut Vec<Action>) {
         let Some(record) = self.records.get(id) else { return };
         for forward in record.open_forwards() {
             self.drop_forward(id, forward, out);
@@ -687,33 +745,40 @@
         self.records.remove_if_finished(id);
     }
 
-    fn forward(&mut self, now: f64, id: InvId, tgt: Tgt, out: &mut Vec<Action>) {
+    fn forward(&mut self, now: f64, id: InvocationId, executor_index: ExecutorIndex, out: &mut Vec<Action>) {
         let Some(record) = self.records.get(id) else { return };
         let forward = record.forwards.len();
         debug!(
             "forward {forward} of {id}, call {}, to executor {:06x}, list {} ({})",
             record.call,
-            self.fleet.mark(tgt),
+            self.fleet.mark(executor_index),
             self.version,
-            self.queue.decide().list_state().name()
+            self.queue.decisions().list_state().name()
         );
-        record.forwards.push(Forward { tgt, sent: now, stage: Stage::Sending });
-        let write_until = self.queue.decide().write_until(id);
-        out.push(Action::Send { id, forward, tgt, end: record.end, write_until });
+        record.forwards.push(Forward { executor_index, sent: now, stage: Stage::Sending });
+        let write_until = self.queue.decisions().write_until(id);
+        out.push(Action::Send { id, forward, executor_index, end: record.end, write_until });
     }
 
-    fn handle_reply(&mut self, now: f64, id: InvId, forward: usize, reply: Reply, out: &mut Vec<Action>) {
+    fn handle_reply(
+        &mut self,
+        now: f64,
+        id: InvocationId,
+        forward: usize,
+        reply: Reply,
+        out: &mut Vec<Action>,
+    ) {
         match reply {
             Reply::Ended(outcome, report) => self.settle_forward(now, id, forward, outcome, report),
-            Reply::Unheard => {
+            Reply::NotAcknowledged => {
                 debug!("forward {forward} of {id} is not acknowledged");
-                self.queue.push(Input::Unheard { id, forward });
+                self.queue.push(Input::Unacknowledged { id, forward });
             }
-            Reply::Unfit(status, report) => {
+            Reply::Rejected(status, report) => {
                 // Every other executor would reject it too, and each rejection would count against that executor.
                 info!("invocation {id} was rejected by its executor with status {status}");
-                self.send_final_answer(id, Answer::Unfit(Unfit::TurnedAway(status)), out);
-                self.settle_forward(now, id, forward, Outcome::Unfit, report);
+                self.send_final_answer(id, Answer::Rejected(Rejection::RejectedByExecutor(status)), out);
+                self.settle_forward(now, id, forward, Outcome::Rejected, report);
             }
             Reply::Written => self.counts.forwards += 1,
             Reply::Taken => {
@@ -731,7 +796,7 @@
     pub(crate) fn settle_forward(
         &mut self,
         now: f64,
-        id: InvId,
+        id: InvocationId,
         forward: usize,
         outcome: Outcome,
         report: Report,
@@ -740,43 +805,47 @@
         let took = now - ended.sent;
         debug!(
             "forward {forward} of {id} at executor {}: {outcome:?} after {took:.3} s, {report:?}",
-            ended.tgt
+            ended.executor_index
         );
         let ended = self.records.get(id).is_none_or(|record| !record.unanswered);
         self.queue.push(Input::Settled(Settled { id, forward, outcome, took, ended, report }));
         self.records.remove_if_finished(id);
     }
 
-    fn handle_report(&mut self, now: f64, news: News, out: &mut Vec<Action>) {
-        let tgt = self.fleet.known(&news.from);
-        let Some((id, forward)) = tgt.and_then(|tgt| self.records.find(&news.call, tgt)) else {
-            return debug!("report on call {} from {} matches no forward", news.call, news.from);
+    fn handle_report(&mut self, now: f64, job_report: JobReport, out: &mut Vec<Action>) {
+        let executor_index = self.fleet.known(&job_report.from);
+        let Some((id, forward)) =
+            executor_index.and_then(|executor_index| self.records.find(&job_report.call, executor_index))
+        else {
+            return debug!("report on call {} from {} matches no forward", job_report.call, job_report.from);
         };
-        match news.word {
-            Word::Ended(Outcome::Full) if self.records.has_earlier_return(id, forward) => {
+        match job_report.status {
+            JobStatus::Ended(Outcome::Full) if self.records.has_earlier_return(id, forward) => {
                 // Prevents a second effect: a repeated return of an earlier forward to this executor would be taken
                 // as proof that the current one never ran.
-                debug!("call {} returned again by {}", news.call, news.from);
+                debug!("call {} returned again by {}", job_report.call, job_report.from);
             }
-            Word::Alive => {
+            JobStatus::Running => {
                 // The report may arrive before the executor's acknowledgement.
                 self.handle_reply(now, id, forward, Reply::Taken, out);
-                self.queue.push(Input::Alive { id, forward });
+                self.queue.push(Input::Started { id, forward });
             }
-            Word::Ended(outcome) => {
-                self.settle_forward(now, id, forward, outcome, news.report);
+            JobStatus::Ended(outcome) => {
+                self.settle_forward(now, id, forward, outcome, job_report.report);
                 if outcome == Outcome::Full {
                     self.records.mark_returned(id, forward);
                 }
             }
-            Word::Succeeded(result) => self.handle_success(now, id, forward, result, news.report, out),
+            JobStatus::Succeeded(result) => {
+                self.handle_success(now, id, forward, result, job_report.report, out)
+            }
         }
     }
 
     fn handle_success(
         &mut self,
         now: f64,
-        id: InvId,
+        id: InvocationId,
         forward: usize,
         result: Bytes,
         report: Report,
@@ -793,20 +862,20 @@
     }
 
     /// Abandons a forward: closes its connection, or cancels it at the executor that has accepted it.
-    fn drop_forward(&mut self, id: InvId, forward: usize, out: &mut Vec<Action>) {
+    fn drop_forward(&mut self, id: InvocationId, forward: usize, out: &mut Vec<Action>) {
         let Some(record) = self.records.get(id) else { return };
-        let Forward { tgt, stage, .. } = record.forwards[forward];
+        let Forward { executor_index, stage, .. } = record.forwards[forward];
         match stage {
             Stage::Sending => out.push(Action::Abort { id, forward }),
             Stage::Taken if self.cancelling => {
                 let call = record.call.clone();
-                out.push(Action::GiveUp { tgt, call });
+                out.push(Action::Cancel { executor_index, call });
             }
             Stage::Taken | Stage::Returned | Stage::Ended => {}
         }
     }
 
-    pub(crate) fn withdraw(&mut self, now: f64, id: InvId, forward: usize, out: &mut Vec<Action>) {
+    pub(crate) fn withdraw(&mut self, now: f64, id: InvocationId, forward: usize, out: &mut Vec<Action>) {
         self.drop_forward(id, forward, out);
         self.settle_forward(now, id, forward, Outcome::Cancelled, Report::default());
     }
@@ -828,11 +897,18 @@
         drains.for_each(|host| info!("executor {:06x} is draining", coveroute_shared::mark(&host.id)));
         let (entries, changes) = self.fleet.apply(now, listing);
         // A connection may come up after the grace period, and forwards decided before would be written then: recall them.
-        let drains =
-            entries.iter().filter(|entry| entry.standing == Standing::Draining).map(|entry| entry.tgt);
-        let gone =
-            changes.iter().filter_map(|to| if let AddressChange::Gone(tgt) = to { Some(*tgt) } else { None });
-        let closed: Vec<Tgt> = drains.chain(gone).collect();
+        let drains = entries
+            .iter()
+            .filter(|entry| entry.standing == Standing::Draining)
+            .map(|entry| entry.executor_index);
+        let gone = changes.iter().filter_map(|to| {
+            if let AddressChange::Removed(executor_index) = to {
+                Some(*executor_index)
+            } else {
+                None
+            }
+        });
+        let closed: Vec<ExecutorIndex> = drains.chain(gone).collect();
         let recalls = self
             .records
             .unacknowledged(&closed)
@@ -840,30 +916,36 @@
             .map(|(id, forward)| Action::Recall { id, forward });
         out.extend(recalls);
         out.extend(changes.into_iter().map(|to| match to {
-            AddressChange::At(tgt, addr) => Action::At(tgt, addr),
-            AddressChange::Gone(tgt) => Action::Gone(tgt),
+            AddressChange::Set(executor_index, addr) => Action::SetAddress(executor_index, addr),
+            AddressChange::Removed(executor_index) => Action::RemoveExecutor(executor_index),
         }));
         self.queue.push(Input::List(list(listing, entries)));
     }
 
     /// Applies a reloaded configuration in one step; requests, connections and learned state stay. A stopping node ignores it.
-    fn reload(&mut self, now: f64, tuning: Option<Box<Tuning>>, moved: bool, out: &mut Vec<Action>) {
+    fn reload(
+        &mut self,
+        now: f64,
+        settings: Option<Box<ReloadedSettings>>,
+        list_source_changed: bool,
+        out: &mut Vec<Action>,
+    ) {
         if !self.phase.takes_settings() {
             self.counts.rejected += 1;
             return info!("not reloaded: the node is about to stop");
         }
         self.counts.applied += 1;
-        tuning.into_iter().for_each(|tuning| self.apply_settings(now, *tuning));
+        settings.into_iter().for_each(|settings| self.apply_settings(now, *settings));
         // The old discovery service may close at any moment, so the node must not stay on its list. The new service
         // may number versions differently, so the whole list is requested.
-        if moved && self.step(Step::Reload) {
+        if list_source_changed && self.step(Step::Reload) {
             self.version = 0;
             self.follow(out);
         }
     }
 
-    fn apply_settings(&mut self, now: f64, tuning: Tuning) {
-        let Tuning { mut settings, mut names, timeouts } = tuning;
+    fn apply_settings(&mut self, now: f64, reloaded: ReloadedSettings) {
+        let ReloadedSettings { mut settings, mut names, timeouts } = reloaded;
         let operations = std::mem::take(&mut names.operations);
         let old = &self.fleet.names().tenants;
         let tenants: Vec<_> =
@@ -872,15 +954,17 @@
         self.cancelling = settings.cancelling;
         let entries = operations.into_iter().zip(timeouts).zip(std::mem::take(&mut settings.operations));
         let entries = entries.map(|((name, timeout), operation)| (name, timeout, operation)).collect();
-        let decide = self.queue.decide();
-        let moved = self.operations.apply_settings(now, entries, &mut self.entries, |at| decide.has(at));
+        let decisions = self.queue.decisions();
+        let mappings = self
+            .operations
+            .apply_settings(now, entries, &mut self.entries, |at| decisions.uses_operation(at));
         settings.operations = self.entries.clone();
         (self.cold_factor, self.budget) = (settings.cold.factor, settings.budget);
         settings.cold.factor *= self.process_share;
         settings.budget = self.process_budget();
-        self.queue.decide_mut().adopt(settings, &moved, &tenants);
+        self.queue.decisions_mut().apply_settings(settings, &mappings, &tenants);
         self.register_operations();
-        info!("settings applied: {} operations new or changed", moved.len());
+        info!("settings applied: {} operations new or changed", mappings.len());
     }
 
     fn stop(&mut self, now: f64) {
@@ -895,6 +979,6 @@
         for (id, end) in self.records.shorten_deadlines(self.answer_by) {
             self.timers.schedule(end, Timer::Deadline(id));
         }
-        self.queue.push(Input::Leaving(self.answer_by));
+        self.queue.push(Input::Stopping(self.answer_by));
     }
 }
--- a/crates/coveroute-engine/src/lib.rs
+++ b/crates/coveroute-engine/src/lib.rs
@@ -5,25 +5,27 @@
 mod admit;
 mod answer;
 mod counts;
-mod decide;
 mod decision_queue;
+mod decisions;
 mod engine;
+mod engine_state;
+mod job_handover;
 mod list;
-mod memory;
 mod operations;
-mod parcel;
 mod phase;
 mod records;
 mod timers;
 
-pub use admit::{Call, ANSWER_TAKES};
-pub use answer::{Answer, Unfit};
-pub use counts::{Figures, ListFigures, Tally, Verdict};
-pub use decide::Decide;
-pub use engine::{Action, Engine, Event, News, Reply, Setup, Tuning, Watched, Word, UNASKED};
+pub use admit::{Call, ANSWER_RESERVE};
+pub use answer::{Answer, Rejection};
+pub use counts::{JobResult, ListMetrics, NodeMetrics, Tally};
+pub use decisions::Decisions;
+pub use engine::{
+    Action, Engine, Event, JobReport, JobStatus, ReloadedSettings, Reply, Setup, WatchEvent, NO_WATCH,
+};
+pub use engine_state::EngineState;
+pub use job_handover::JobHandover;
 pub use list::{Host, Listing};
-pub use memory::Memory;
-pub use parcel::Parcel;
 pub use phase::{Phase, Step};
 pub use records::Stage;
 
--- a/crates/coveroute-engine/src/operations.rs
+++ b/crates/coveroute-engine/src/operations.rs
@@ -2,7 +2,7 @@
 //! never changes while a job uses it: new settings add an entry, and the name then refers to that one.
 use std::sync::Arc;
 
-use coveroute::adopt::Moved;
+use coveroute::reconfigure::OperationMapping;
 use coveroute::types::Operation;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -81,7 +81,7 @@
         new: Vec<(String, f64, Operation)>,
         held: &mut Vec<Operation>,
         busy: impl Fn(usize) -> bool,
-    ) -> Vec<Moved> {
+    ) -> Vec<OperationMapping> {
         for (at, entry) in self.entries.iter_mut().enumerate() {
             let unused_name = match entry.state {
                 EntryState::Removed(until) => now >= until,
@@ -99,7 +99,7 @@
                 entry.state = EntryState::Removed(now + entry.timeout);
             }
         }
-        let mut moved = Vec::new();
+        let mut mappings = Vec::new();
         for ((name, timeout, operation), from) in new.into_iter().zip(before) {
             if let Some(at) = from.filter(|&at| held[at] == operation && self.entries[at].timeout == timeout)
             {
@@ -116,9 +116,9 @@
             } else {
                 (self.entries[to], held[to]) = (entry, operation);
             }
-            moved.push(Moved { from, to });
+            mappings.push(OperationMapping { from, to });
         }
-        moved
+        mappings
     }
 
     /// An entry with exactly this name and content, for a job that comes from another process: an existing one, or a
--- a/crates/coveroute-node/src/attempt.rs
+++ b/crates/coveroute-node/src/attempt.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coveroute::types::InvId;
-use coveroute_engine::ANSWER_TAKES;
+use coveroute::types::InvocationId;
+use coveroute_engine::ANSWER_RESERVE;
 use log::{debug, warn};
 
 use crate::client_connection::ClientConnection;
@@ -46,7 +46,7 @@
 
     /// The time that the client has left.
     fn client_left(self, now: Instant) -> Duration {
-        (self.answer_by + seconds(ANSWER_TAKES)).saturating_duration_since(now)
+        (self.answer_by + seconds(ANSWER_RESERVE)).saturating_duration_since(now)
     }
 }
 
@@ -95,7 +95,7 @@
 
 /// One attempt of an invocation at an executor.
 pub struct Attempt {
-    id: InvId,
+    id: InvocationId,
     number: usize,
     /// When the attempt was decided on.
     decided: Instant,
@@ -123,7 +123,7 @@
 
 impl Attempt {
     pub fn new(
-        (id, number): (InvId, usize),
+        (id, number): (InvocationId, usize),
         deadline: Deadline,
         client: Option<Rc<ClientConnection>>,
         counts: Rc<AttemptCounts>,
--- a/crates/coveroute-node/src/driver.rs
+++ b/crates/coveroute-node/src/driver.rs
@@ -9,8 +9,8 @@
 use actix_rt::net::TcpStream;
 use actix_rt::task::JoinHandle;
 use bytes::Bytes;
-use coveroute::types::{InvId, Outcome, Report, Reports, Tgt};
-use coveroute_engine::{Action, Engine, Event, News, Phase, Reply, Setup};
+use coveroute::types::{ExecutorIndex, InvocationId, Outcome, Report, Reports};
+use coveroute_engine::{Action, Engine, Event, JobReport, Phase, Reply, Setup};
 use coveroute_fleet::FleetConfig;
 use log::{debug, error, info, warn};
 use tokio::sync::{mpsc, oneshot};
@@ -68,7 +68,7 @@
         AppliedConfig {
             keys: config.keys.clone(),
             fixed: (config.listen, config.management, config.sockets, config.memory_mb),
-            identity: (config.settings.me, config.peers.clone()),
+            identity: (config.settings.node_index, config.peers.clone()),
             discovery: config.discovery,
         }
     }
@@ -114,9 +114,9 @@
     node_state: Rc<NodeState>,
     executor_connections: ExecutorConnections,
     discovery: Discovery,
-    jobs: HashMap<InvId, PendingJob>,
+    jobs: HashMap<InvocationId, PendingJob>,
     /// The task of each forward. Aborting one before its answer closes the connection.
-    forwards: HashMap<(InvId, usize), ForwardTask>,
+    forwards: HashMap<(InvocationId, usize), ForwardTask>,
     attempts: Rc<AttemptCounts>,
     reports: bool,
     applied: AppliedConfig,
@@ -154,14 +154,20 @@
         let applied = AppliedConfig::of(&config);
         let Config { settings, names, seed, timeouts, known, discovery, peers, .. } = config;
         let listen = |socket: UdpSocket| {
-            Peers::new(settings.me, peers.unwrap_or_default(), socket, events.clone(), fleet_member.clone())
-                .map_err(|e| format!("peer socket: {e}"))
+            Peers::new(
+                settings.node_index,
+                peers.unwrap_or_default(),
+                socket,
+                events.clone(),
+                fleet_member.clone(),
+            )
+            .map_err(|e| format!("peer socket: {e}"))
         };
         let peers = datagrams.map(listen).transpose()?;
         let (predecessor, handover_state) = predecessor.unzip();
-        let memory = handover_state.map(|state| state.memory(discovery));
+        let previous_state = handover_state.map(|state| state.memory(discovery));
         let reports = settings.reports != Reports::Never;
-        let setup = Setup { settings, names, seed, timeouts, known, memory };
+        let setup = Setup { settings, names, seed, timeouts, known, previous_state };
         let mut actions = Vec::new();
         let mut driver = Driver {
             clock,
@@ -244,44 +250,50 @@
                     .for_each(|fleet_member| fleet_member.record_invocation(job.call.caller.as_deref()));
                 let job: Rc<Job> = job.into();
                 self.jobs.insert(id, PendingJob { job: job.clone(), client });
-                self.dispatch(Event::Taken(id, &job.call));
+                self.dispatch(Event::CallReceived(id, &job.call));
             }
             DriverEvent::Disconnected(id) => {
                 self.jobs.remove(&id);
-                self.dispatch(Event::Left(id));
+                self.dispatch(Event::ClientDisconnected(id));
             }
             DriverEvent::Replied(id, forward, reply) => {
-                if !matches!(reply, Reply::Unheard | Reply::Written) {
+                if !matches!(reply, Reply::NotAcknowledged | Reply::Written) {
                     self.forwards.remove(&(id, forward));
                 }
                 self.dispatch(Event::Replied(id, forward, reply));
             }
-            DriverEvent::News(news, body, ack) => self.handle_news(news, body, ack, None),
-            DriverEvent::ReportRelayed(news, ack, settled) => {
-                let settled = settled || self.engine.knows(&news.call);
-                self.dispatch(Event::News(news));
+            DriverEvent::JobReport(job_report, body, ack) => {
+                self.handle_job_report(job_report, body, ack, None)
+            }
+            DriverEvent::ReportRelayed(job_report, ack, settled) => {
+                let settled = settled || self.engine.knows(&job_report.call);
+                self.dispatch(Event::JobReport(job_report));
                 ack.map(|ack| ack.send(settled));
             }
             DriverEvent::HandoverRequested(reply) => {
                 let _ = reply.send(HandoverState::of(
                     self.applied.discovery,
-                    self.engine.memory(),
+                    self.engine.state(),
                     self.clock.reading(),
                 ));
             }
             DriverEvent::SuccessorConnected(link) => self.successor_connected(link),
             DriverEvent::LinkMessage(side, number, event) => self.handle_link_message(side, number, event),
-            DriverEvent::Probed(tgt, outcome, report) => self.dispatch(Event::Probed(tgt, outcome, report)),
+            DriverEvent::Probed(executor_index, outcome, report) => {
+                self.dispatch(Event::Probed(executor_index, outcome, report))
+            }
             DriverEvent::Watch(watch, watched) => self.dispatch(Event::Watch(watch, watched)),
-            DriverEvent::Heard { from, told, mark, count } => {
-                self.dispatch(Event::Heard { from, told, mark, count });
+            DriverEvent::PeerMessage { from, kind, mark, count } => {
+                self.dispatch(Event::PeerMessage { from, kind, mark, count });
             }
             DriverEvent::Reload(Ok(config), plan) => self.reload(&config, plan),
             DriverEvent::Reload(Err(reason), _) => self.reject_reload(&reason),
-            DriverEvent::Ended(operation, verdict) => self.dispatch(Event::Ended(&operation, verdict)),
+            DriverEvent::Ended(operation, result) => {
+                self.dispatch(Event::AnsweredByFront(&operation, result))
+            }
             DriverEvent::Quotas(quotas) => self.dispatch(Event::Quotas(quotas)),
             DriverEvent::FiguresRequested(reply) => {
-                let (engine, attempts) = (self.engine.figures(self.clock.now()), self.attempts.figures());
+                let (engine, attempts) = (self.engine.metrics(self.clock.now()), self.attempts.figures());
                 let _ = reply.send(NodeFigures { engine, attempts });
             }
             DriverEvent::Stop => {
@@ -299,7 +311,7 @@
 
     fn reject_reload(&mut self, reason: &str) {
         error!("not reloaded, all stays as it is: {reason}");
-        self.dispatch(Event::NotReread);
+        self.dispatch(Event::ReloadFailed);
     }
 
     /// Applies a new configuration entirely or not at all.
@@ -320,8 +332,8 @@
         if self.applied.fixed != new.fixed {
             warn!("changed addresses and process limits take effect at the next start");
         }
-        let moved = self.applied.discovery != new.discovery;
-        if moved {
+        let list_source_changed = self.applied.discovery != new.discovery;
+        if list_source_changed {
             info!("now following the executor list at {}", new.discovery);
             self.discovery.set_addr(new.discovery);
         }
@@ -330,7 +342,10 @@
         self.node_state.set_max_pause(config.settings.max_pause);
         self.executor_connections.set_timeouts(config.dial, config.idle);
         self.reports = config.settings.reports != Reports::Never;
-        self.dispatch(Event::Reread { tuning: Some(Box::new(config.tuning())), moved });
+        self.dispatch(Event::Reloaded {
+            settings: Some(Box::new(config.reloaded_settings())),
+            list_source_changed,
+        });
     }
 
     /// Executes pending actions. A failed action is reported to the engine, which may return further actions.
@@ -368,7 +383,7 @@
             (true, true) => COLD_SHARE,
             (true, false) => 1.0 - COLD_SHARE,
         };
-        self.dispatch(Event::Part(part));
+        self.dispatch(Event::CapacityShare(part));
     }
 
     fn listen_for_successors(&mut self) {
@@ -418,7 +433,7 @@
                 warn!("unexpected handover of a connection from the successor")
             }
             (side, LinkEvent::ExecutorReport(body, ack)) => match callbacks::parse(&body) {
-                Ok(news) => self.handle_news(news, body, Some(ack), Some(side)),
+                Ok(job_report) => self.handle_job_report(job_report, body, Some(ack), Some(side)),
                 Err(e) => warn!("invalid executor report on the process link: {e}"),
             },
             (Side::Predecessor, LinkEvent::Ended) => {
@@ -455,7 +470,7 @@
 
     /// Continues a job that the predecessor handed over.
     fn adopt_job(&mut self, transferred: TransferredJob, socket: OwnedFd) {
-        let job = transferred.job().filter(|_| transferred.parcel.is_sound());
+        let job = transferred.job().filter(|_| transferred.parcel.is_consistent());
         let Some(job) = job else { return error!("invalid job handed over by the predecessor") };
         let (id, (answer, answered)) = (self.node_state.next_id(), oneshot::channel());
         // The client may have disconnected during the handover, so the socket is checked before anything is sent.
@@ -466,7 +481,7 @@
         if !self.adopt_connection(socket, |stream| AdoptedConnection::Waiting(stream, mine, id, answered)) {
             connection.set_closed();
         }
-        self.engine.take_in(self.clock.now(), id, transferred.parcel, &mut self.actions);
+        self.engine.take_over_job(self.clock.now(), id, transferred.parcel, &mut self.actions);
         self.execute_actions();
     }
 
@@ -485,15 +500,15 @@
                 Handover::Idle => successor.send_connection(socket),
                 Handover::Waiting(id) => {
                     let Some(job) = self.jobs.get(&id).map(|pending| pending.job.clone()) else { continue };
-                    let Some(parcel) = self.engine.part_with(id) else { continue };
+                    let Some(handover) = self.engine.hand_over_job(id) else { continue };
                     self.jobs.remove(&id);
-                    successor.send_job(TransferredJob::of(parcel, &job), socket);
+                    successor.send_job(TransferredJob::of(handover, &job), socket);
                 }
             }
             connection.set_handed_over();
         }
         if connections.is_empty() && successor.is_flushed() && self.node_state.phase() == Phase::Leaving {
-            self.dispatch(Event::Relieved);
+            self.dispatch(Event::JobsHandedOver);
         }
     }
 
@@ -506,19 +521,19 @@
     /// Handles an executor's report, which arrives at whichever process the executor's connection leads to. A report on
     /// a job that is unknown here is relayed to the other processes, and acknowledged once one of them knows the job or
     /// all of them have denied it.
-    fn handle_news(
+    fn handle_job_report(
         &mut self,
-        news: News,
+        job_report: JobReport,
         body: Bytes,
         ack: Option<oneshot::Sender<bool>>,
         from: Option<Side>,
     ) {
         let others: Vec<Rc<Link>> = self.predecessor.iter().chain(&self.successor).cloned().collect();
         let others: Vec<_> = others.into_iter().filter(|link| Some(link.side) != from).collect();
-        let known_here = self.engine.knows(&news.call);
+        let known_here = self.engine.knows(&job_report.call);
         if known_here || others.is_empty() {
             ack.map(|ack| ack.send(known_here || from.is_none()));
-            return self.dispatch(Event::News(news));
+            return self.dispatch(Event::JobReport(job_report));
         }
         let events = self.events.clone();
         actix_rt::spawn(async move {
@@ -535,42 +550,50 @@
             }
             // No process knows the job, so there is nothing to wait for, unless one did not reply. The job may have
             // arrived here in the meantime.
-            let _ = events.send(DriverEvent::ReportRelayed(news, ack, known && from.is_none()));
+            let _ = events.send(DriverEvent::ReportRelayed(job_report, ack, known && from.is_none()));
         });
     }
 
     fn execute(&mut self, action: Action) -> Option<Event<'static>> {
         match action {
-            Action::Send { id, forward, tgt, end, write_until } => {
+            Action::Send { id, forward, executor_index, end, write_until } => {
                 let deadline = Deadline::new(self.clock.instant(end), self.clock.instant(write_until));
-                return self.send(id, forward, tgt, deadline);
+                return self.send(id, forward, executor_index, deadline);
             }
             Action::Abort { id, forward } => {
                 self.forwards.remove(&(id, forward)).into_iter().for_each(|forward| forward.task.abort());
             }
             Action::Recall { id, forward } => return self.recall(id, forward),
-            Action::GiveUp { tgt, call } => {
+            Action::Cancel { executor_index, call } => {
                 let time_limit = self.executor_connections.request_timeout();
-                let lease = self.executor_connections.lease(tgt);
+                let lease = self.executor_connections.lease(executor_index);
                 lease.map(|lease| actix_rt::spawn(give_up(lease, call, time_limit)));
             }
             Action::Answer { id, answer } => {
                 let pending = self.jobs.remove(&id);
                 pending.map(|pending| pending.client.answer.send(answer.into()));
             }
-            Action::Probe(tgt) => return self.probe(tgt),
-            Action::Release(tgt) => self.executor_connections.close_idle(tgt),
-            Action::At(tgt, addr) => self.executor_connections.set_address(tgt, addr),
-            Action::Gone(tgt) => self.executor_connections.remove(tgt),
-            Action::Follow { watch, version } => self.discovery.follow(watch, version),
-            Action::Tell { to, told, mark, count } => {
-                self.peers.iter().for_each(|peers| peers.send(to, told, mark, count));
+            Action::Probe(executor_index) => return self.probe(executor_index),
+            Action::Release(executor_index) => self.executor_connections.close_idle(executor_index),
+            Action::SetAddress(executor_index, addr) => {
+                self.executor_connections.set_address(executor_index, addr)
+            }
+            Action::RemoveExecutor(executor_index) => self.executor_connections.remove(executor_index),
+            Action::WatchList { watch, version } => self.discovery.follow(watch, version),
+            Action::SendToPeer { to, kind, mark, count } => {
+                self.peers.iter().for_each(|peers| peers.send(to, kind, mark, count));
             }
         }
         None
     }
 
-    fn send(&mut self, id: InvId, forward: usize, tgt: Tgt, deadline: Deadline) -> Option<Event<'static>> {
+    fn send(
+        &mut self,
+        id: InvocationId,
+        forward: usize,
+        executor_index: ExecutorIndex,
+        deadline: Deadline,
+    ) -> Option<Event<'static>> {
         let Some((job, client)) =
             self.jobs.get(&id).map(|pending| (pending.job.clone(), pending.client.connection.clone()))
         else {
@@ -578,7 +601,7 @@
             self.attempts.count_client_left();
             return Some(not_started(id, forward));
         };
-        let Some(lease) = self.executor_connections.lease(tgt) else {
+        let Some(lease) = self.executor_connections.lease(executor_index) else {
             debug!("forward {forward} of {id} not started: no free connection");
             self.attempts.count_no_connection();
             return Some(not_started(id, forward));
@@ -595,7 +618,7 @@
     }
 
     /// Withdraws a forward whose executor was reported as draining while the connection was still being established.
-    fn recall(&mut self, id: InvId, forward: usize) -> Option<Event<'static>> {
+    fn recall(&mut self, id: InvocationId, forward: usize) -> Option<Event<'static>> {
         self.forwards
             .get(&(id, forward))
             .filter(|forward| forward.attempt.progress() == Progress::Waiting)?;
@@ -604,16 +627,16 @@
         Some(not_started(id, forward))
     }
 
-    fn probe(&mut self, tgt: Tgt) -> Option<Event<'static>> {
-        let Some(lease) = self.executor_connections.lease(tgt) else {
+    fn probe(&mut self, executor_index: ExecutorIndex) -> Option<Event<'static>> {
+        let Some(lease) = self.executor_connections.lease(executor_index) else {
             // Without a free connection the executor has no capacity that could be used now.
-            return Some(Event::Probed(tgt, Outcome::Full, Report::default()));
+            return Some(Event::Probed(executor_index, Outcome::Full, Report::default()));
         };
         let (events, reports, time_limit) =
             (self.events.clone(), self.reports, self.executor_connections.request_timeout());
         actix_rt::spawn(async move {
             let (outcome, report) = probe(lease, reports, time_limit).await;
-            let _ = events.send(DriverEvent::Probed(tgt, outcome, report));
+            let _ = events.send(DriverEvent::Probed(executor_index, outcome, report));
         });
         None
     }
@@ -621,8 +644,8 @@
 
 /// The reply for a forward that was never sent. It says nothing of the executor, which must not be suspected because
 /// this node ran out of descriptors or because the client disconnected.
-fn not_started(id: InvId, forward: usize) -> Event<'static> {
-    Event::Replied(id, forward, Reply::Ended(Outcome::Moot, Report::default()))
+fn not_started(id: InvocationId, forward: usize) -> Event<'static> {
+    Event::Replied(id, forward, Reply::Ended(Outcome::NotWritten, Report::default()))
 }
 
 #[cfg(test)]
--- a/crates/coveroute-node/src/driver/tests.rs
+++ b/crates/coveroute-node/src/driver/tests.rs
@@ -9,7 +9,7 @@
 use crate::answer::Answer;
 use crate::tests::{attempt, block, config, driver, executor, job, soon};
 
-const ID: InvId = 7;
+const ID: InvocationId = 7;
 const CALL: &str = "c";
 /// An address where nothing listens.
 const CLOSED: ([u8; 4], u16) = ([127, 0, 0, 1], 1);
@@ -75,9 +75,9 @@
         driver
             .jobs
             .insert(ID, PendingJob { job: Rc::new(job(CALL, "pay", 5.0, now)), client: client(answer) });
-        let moot = Reply::Ended(Outcome::Moot, Report::default());
+        let not_written = Reply::Ended(Outcome::NotWritten, Report::default());
         let told = driver.send(ID, 0, 0, soon());
-        assert!(matches!(told, Some(Event::Replied(ID, 0, reply)) if reply == moot));
+        assert!(matches!(told, Some(Event::Replied(ID, 0, reply)) if reply == not_written));
         assert!(matches!(driver.probe(0), Some(Event::Probed(0, Outcome::Full, _))));
     });
 }
@@ -93,7 +93,7 @@
         actix_rt::task::yield_now().await;
         assert!(watch.is_finished() && driver.forwards.is_empty());
         let told = driver.send(ID, 1, 0, soon());
-        assert!(matches!(told, Some(Event::Replied(ID, 1, Reply::Ended(Outcome::Moot, _)))));
+        assert!(matches!(told, Some(Event::Replied(ID, 1, Reply::Ended(Outcome::NotWritten, _)))));
     });
 }
 
@@ -176,7 +176,7 @@
             "{{\"version\":9,\"full\":true,\"servers\":[{{\"id\":\"s-0\",\"addr\":\"{addr}\",\"state\":\"draining\"}}]}}"
         );
         let hosts: crate::hosts::Hosts = serde_json::from_str(&drains).expect("a list");
-        driver.handle_event(DriverEvent::Watch(0, coveroute_engine::Watched::Listed(hosts.into())));
+        driver.handle_event(DriverEvent::Watch(0, coveroute_engine::WatchEvent::Listed(hosts.into())));
         assert_eq!(driver.forwards.contains_key(&(ID, 0)), !late, "withdrawn if nothing of it was written");
         // Drains the queue so that any connection still waiting is established, and counts the requests written.
         let heard = actix_rt::task::spawn_blocking(move || {
@@ -217,8 +217,8 @@
         let (answer, _answered) = oneshot::channel();
         let now = before.clock.now();
         before.handle_event(DriverEvent::Accepted(ID, Box::new(job(CALL, "look", 9.0, now)), client(answer)));
-        let parcel = before.engine.part_with(ID).expect("a waiting job");
-        let transferred = TransferredJob::of(parcel, &job(CALL, "look", 9.0, now));
+        let handover = before.engine.hand_over_job(ID).expect("a waiting job");
+        let transferred = TransferredJob::of(handover, &job(CALL, "look", 9.0, now));
         let server = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let client =
             std::net::TcpStream::connect(server.local_addr().expect("an address")).expect("a server");
@@ -259,13 +259,15 @@
 // what is sent meanwhile.
 #[test]
 fn a_burst_delays_the_event_of_a_disconnected_client() {
-    const CLIENTS: InvId = 340;
+    const CLIENTS: InvocationId = 340;
     let executors: Vec<SocketAddr> = (0..300).map(|at| ([127, 0, 1, 1], 1 + at).into()).collect();
     block(async move {
         let (mut driver, event_receiver, _) = driver(&executors);
         let events = driver.events.clone();
         let room = Report { free: Some(8.0), queue: Some(0.0), inflight: Some(0.0), ..Report::default() };
-        (0..executors.len()).for_each(|tgt| driver.dispatch(Event::Probed(tgt, Outcome::Succeeded, room)));
+        (0..executors.len()).for_each(|executor_index| {
+            driver.dispatch(Event::Probed(executor_index, Outcome::Succeeded, room))
+        });
         let now = driver.clock.now();
         let ask = |id| {
             let (answer, answered) = oneshot::channel();
--- a/crates/coveroute-node/src/event.rs
+++ b/crates/coveroute-node/src/event.rs
@@ -2,8 +2,8 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use coveroute::types::{InvId, Outcome, Report, Tgt, Told};
-use coveroute_engine::{Figures, News, Reply, Verdict, Watched};
+use coveroute::types::{ExecutorIndex, InvocationId, Outcome, PeerMessageKind, Report};
+use coveroute_engine::{JobReport, JobResult, NodeMetrics, Reply, WatchEvent};
 use coveroute_fleet::FleetConfig;
 use tokio::sync::{mpsc, oneshot};
 
@@ -19,24 +19,24 @@
 /// The figures reported in the metrics: the engine's and those of attempts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeFigures {
-    pub engine: Figures,
+    pub engine: NodeMetrics,
     pub attempts: AttemptFigures,
 }
 
 /// An event for the driver.
 pub enum DriverEvent {
     /// A client's request was read completely.
-    Accepted(InvId, Box<Job>, Client),
+    Accepted(InvocationId, Box<Job>, Client),
     /// The client has closed its connection.
-    Disconnected(InvId),
+    Disconnected(InvocationId),
     /// An executor's reply to a forward, by the forward's number.
-    Replied(InvId, usize, Reply),
+    Replied(InvocationId, usize, Reply),
     /// An executor's job status update, parsed and as received, and where to report whether a process of this
     /// node accepted it.
-    News(News, Bytes, Option<oneshot::Sender<bool>>),
+    JobReport(JobReport, Bytes, Option<oneshot::Sender<bool>>),
     /// A job status update that no other process of this node recognized as its own, and whether it is
     /// acknowledged even if this process does not recognize it either.
-    ReportRelayed(News, Option<oneshot::Sender<bool>>, bool),
+    ReportRelayed(JobReport, Option<oneshot::Sender<bool>>, bool),
     /// A successor process asks for the state that it starts with.
     HandoverRequested(oneshot::Sender<HandoverState>),
     /// The successor has received that state.
@@ -44,16 +44,16 @@
     /// A message from another process of this node, on the link with this number.
     LinkMessage(Side, u64, LinkEvent),
     /// The result of a probe of an executor.
-    Probed(Tgt, Outcome, Report),
+    Probed(ExecutorIndex, Outcome, Report),
     /// An update of the list of executors, for the watch with this number.
-    Watch(u64, Watched),
+    Watch(u64, WatchEvent),
     /// A message from another node.
-    Heard { from: usize, told: Told, mark: u32, count: u8 },
+    PeerMessage { from: usize, kind: PeerMessageKind, mark: u32, count: u8 },
     /// The operators requested a reload: the new configuration or why it is invalid, and the fleet file, if
     /// there is one.
     Reload(Result<Box<Config>, String>, Option<FleetConfig>),
     /// The server answered a request for this operation itself.
-    Ended(String, Verdict),
+    Ended(String, JobResult),
     /// Operators requested the metrics.
     FiguresRequested(oneshot::Sender<NodeFigures>),
     /// This node's current part of the tenants' shares.
--- a/crates/coveroute-node/src/server.rs
+++ b/crates/coveroute-node/src/server.rs
@@ -14,8 +14,8 @@
 use actix_rt::time::{sleep, timeout};
 use actix_service::{fn_service, Service, ServiceFactory};
 use bytes::Bytes;
-use coveroute::types::InvId;
-use coveroute_engine::{Phase, Verdict, Watched, UNASKED};
+use coveroute::types::InvocationId;
+use coveroute_engine::{JobResult, Phase, WatchEvent, NO_WATCH};
 use log::{debug, warn};
 use nix::errno::Errno;
 use tokio::io::{AsyncWriteExt, Interest};
@@ -211,7 +211,7 @@
         mut request: Request,
         connection: Option<&Rc<ClientConnection>>,
     ) -> (Answer, AfterResponse) {
-        let came = connection
+        let received_at = connection
             .map_or_else(|| self.clock.now(), |connection| self.clock.at(connection.newest_arrival()));
         let answer = match (request.path(), request.method()) {
             (wire::UP, &Method::GET | &Method::HEAD) if self.node_state.is_up() => {
@@ -223,14 +223,14 @@
             (wire::HOSTS, _) => self.pushed_list(request).await,
             _ => {
                 let class = request::operation(request.path()).to_owned();
-                match request::read_job(request, came).await {
+                match request::read_job(request, received_at).await {
                     Ok(job) => {
                         connection.iter().for_each(|connection| connection.set_waiting());
                         return self.job(job, connection).await;
                     }
                     Err(invalid) => {
                         if !matches!(invalid, Answer::Invalid(_, request::BODY_INCOMPLETE)) {
-                            let _ = self.events.send(DriverEvent::Ended(class, Verdict::Errored));
+                            let _ = self.events.send(DriverEvent::Ended(class, JobResult::Errored));
                         }
                         invalid
                     }
@@ -245,8 +245,9 @@
     async fn news(&self, request: &mut Request) -> Answer {
         let (acknowledge, acknowledged) = self.node_state.paired().then(oneshot::channel).unzip();
         let acknowledge = Cell::new(acknowledge);
-        let news =
-            |body: &Bytes| Ok(DriverEvent::News(callbacks::parse(body)?, body.clone(), acknowledge.take()));
+        let news = |body: &Bytes| {
+            Ok(DriverEvent::JobReport(callbacks::parse(body)?, body.clone(), acknowledge.take()))
+        };
         let answer = self.forward_body(request, wire::MAX_BODY_BYTES, "a job status update", news).await;
         match (answer, acknowledged) {
             (Answer::Succeeded(body), Some(acknowledged)) => match acknowledged.await {
@@ -268,7 +269,7 @@
         }
         let list = |body: &Bytes| {
             let hosts = serde_json::from_slice::<Hosts>(body).map_err(|e| e.to_string())?;
-            Ok(DriverEvent::Watch(UNASKED, Watched::Listed(hosts.into())))
+            Ok(DriverEvent::Watch(NO_WATCH, WatchEvent::Listed(hosts.into())))
         };
         self.forward_body(&mut request, discovery::MAX_LIST_BYTES, "a list of executors", list).await
     }
@@ -310,7 +311,7 @@
         if self.connections.borrow().values().filter(is_waiting).count()
             > self.node_state.share_of(self.max_waiting)
         {
-            let _ = self.events.send(DriverEvent::Ended(job.call.class, Verdict::Throttled));
+            let _ = self.events.send(DriverEvent::Ended(job.call.class, JobResult::Throttled));
             return (
                 Answer::Throttled { pause: OVERLOAD_RETRY_AFTER.min(self.node_state.max_pause()) },
                 AfterResponse::Close,
@@ -331,7 +332,7 @@
 
 /// Reports the client as disconnected if it is dropped before the job is answered.
 struct DisconnectGuard<'a> {
-    id: InvId,
+    id: InvocationId,
     events: &'a EventSender,
     answered: bool,
 }
@@ -404,7 +405,7 @@
 pub enum AdoptedConnection {
     Idle(TcpStream),
     /// The client waits for the answer to this job.
-    Waiting(TcpStream, Rc<ClientConnection>, InvId, oneshot::Receiver<Answer>),
+    Waiting(TcpStream, Rc<ClientConnection>, InvocationId, oneshot::Receiver<Answer>),
 }
 
 impl AdoptedConnection {
@@ -447,7 +448,7 @@
         &self,
         stream: TcpStream,
         (peer, connection): (SocketAddr, Rc<ClientConnection>),
-        id: InvId,
+        id: InvocationId,
         answered: oneshot::Receiver<Answer>,
     ) -> Option<TcpStream> {
         let _guard = self.node_state.request_guard();
--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -11,9 +11,10 @@
 use actix_http::test::TestRequest;
 use actix_http::{Method, Payload, StatusCode};
 use actix_rt::time::{sleep, timeout};
-use coveroute::types::{Outcome, Report, Reports, Sizes, Standing, Told};
+use coveroute::types::{Outcome, PeerMessageKind, Report, Reports, Sizes, Standing};
 use coveroute_engine::{
-    Call, Figures, ListFigures, Listing, Memory, Phase, Reply, Tally, Watched, Word, UNASKED,
+    Call, EngineState, JobStatus, ListMetrics, Listing, NodeMetrics, Phase, Reply, Tally, WatchEvent,
+    NO_WATCH,
 };
 use coveroute_fleet::FleetConfig;
 use test_case::test_case;
@@ -53,12 +54,12 @@
     Config::parse(&text, config::Environment::default()).expect("a valid configuration")
 }
 
-pub fn job(call: &str, class: &str, budget: f64, came: f64) -> Job {
+pub fn job(call: &str, class: &str, budget: f64, received_at: f64) -> Job {
     let target = wire::UP.parse().expect("a path");
     let (headers, method, body) = (HeaderMap::new(), Method::POST, "body".into());
-    let (call, class) = (call.into(), class.to_owned());
+    let (call_id, class) = (call.into(), class.to_owned());
     let (caller, hint, memory) = (Some("nobody".to_owned()), None, None);
-    let call = Call { call, class, caller, budget, hint, memory, key: None, again: false, came };
+    let call = Call { call_id, class, caller, budget, hint, memory, key: None, is_retry: false, received_at };
     Job { call, method, target, headers, body }
 }
 
@@ -103,7 +104,7 @@
 
 /// Discovery responds, so the list that the driver knows from before its start is current.
 pub fn discovery_connected() -> DriverEvent {
-    DriverEvent::Watch(UNASKED, Watched::Begun)
+    DriverEvent::Watch(NO_WATCH, WatchEvent::Established)
 }
 
 /// A driver that follows a list of executors `s-0`, `s-1`, ... at these addresses.
@@ -150,7 +151,7 @@
     forwarded(executor_connections, AckTimeouts { report_after: give_up_after, give_up_after })
         .await
         .into_iter()
-        .rfind(|told| *told != Reply::Unheard)
+        .rfind(|told| *told != Reply::NotAcknowledged)
 }
 
 /// A deadline in one second.
@@ -181,8 +182,8 @@
 }
 
 // When the connection is established, the window for retries is over, or the client's deadline has passed, or neither.
-#[test_case(false, true, Outcome::Moot; "the window for retries is over")]
-#[test_case(true, false, Outcome::Moot; "the client's deadline has passed")]
+#[test_case(false, true, Outcome::NotWritten; "the window for retries is over")]
+#[test_case(true, false, Outcome::NotWritten; "the client's deadline has passed")]
 #[test_case(true, true, Outcome::Reset; "neither")]
 fn nothing_is_written_after_a_deadline(decision: bool, client: bool, expected: Outcome) {
     let (addr, _executor) = executor("body", &[""]);
@@ -200,7 +201,7 @@
     let (addr, _executor) = executor("body", &["HTTP/1.1 20"]);
     let timeouts = AckTimeouts { report_after: 50 * MS, give_up_after: 100 * MS };
     let told = block(async { forwarded(&mut executor_connections(addr), timeouts).await });
-    assert_eq!(told, [Reply::Written, Reply::Unheard, ended(Outcome::TimedOut)]);
+    assert_eq!(told, [Reply::Written, Reply::NotAcknowledged, ended(Outcome::TimedOut)]);
 }
 
 const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
@@ -267,7 +268,9 @@
 fn connections_stay_within_the_total_limit() {
     let mut executor_connections = ExecutorConnections::new(2, seconds(1.0), seconds(60.0));
     let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    (0..3).for_each(|tgt| executor_connections.set_address(tgt, addr(9000 + tgt as u16)));
+    (0..3).for_each(|executor_index| {
+        executor_connections.set_address(executor_index, addr(9000 + executor_index as u16))
+    });
     let (first, second) = (executor_connections.lease(0), executor_connections.lease(1));
     assert!(first.is_some() && second.is_some() && executor_connections.lease(2).is_none(), "two are in use");
     drop(second);
@@ -285,7 +288,9 @@
     // removed or moved executors using up the limit.
     let mut executor_connections = ExecutorConnections::new(3, seconds(1.0), seconds(60.0));
     let addr = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
-    (0..6).for_each(|tgt| executor_connections.set_address(tgt, addr(9000 + tgt)));
+    (0..6).for_each(|executor_index| {
+        executor_connections.set_address(executor_index, addr(9000 + executor_index))
+    });
     let (one, two, three) =
         (executor_connections.lease(0), executor_connections.lease(1), executor_connections.lease(2));
     drop((two, one));
@@ -330,7 +335,7 @@
     let (addr, _executor) = executor("\r\n\r\n", answers);
     let told = block(async {
         let mut executor_connections = executor_connections(addr);
-        let mut told = Outcome::Moot;
+        let mut told = Outcome::NotWritten;
         for _ in 0..probes {
             told = probe(executor_connections.lease(0).expect("a connection"), true, seconds(1.0)).await.0;
         }
@@ -345,7 +350,7 @@
 #[test_case(503, false, ended(Outcome::Errored); "a 503 without the header may have run")]
 #[test_case(500, true, ended(Outcome::Errored); "an error may have run")]
 #[test_case(200, false, ended(Outcome::Errored); "a result is not expected there")]
-#[test_case(400, false, Reply::Unfit(400, Report::default()); "an invalid request")]
+#[test_case(400, false, Reply::Rejected(400, Report::default()); "an invalid request")]
 fn replies_follow_from_the_status(status: u16, rejected: bool, expected: Reply) {
     let mut headers = HeaderMap::new();
     let value = HeaderValue::from_static(if rejected { "1" } else { "0" });
@@ -389,7 +394,7 @@
     let headers = [ID, BUDGET, ("x-call-cost", "1500"), ("x-call-info", "slots=1, memory=0.5")];
     let job = block(request::read_job(request(&headers, b"\xff\0"), 3.0)).expect("a job");
     assert_eq!((job.target.as_str(), &job.body[..]), ("/look/a%20b?c=%2F", &b"\xff\0"[..]));
-    assert_eq!((&*job.call.class, job.call.budget, job.call.came), ("look", 0.48, 3.0));
+    assert_eq!((&*job.call.class, job.call.budget, job.call.received_at), ("look", 0.48, 3.0));
     assert_eq!((job.call.hint, job.call.memory), (Some(0.0015), Some(0.5)));
 }
 
@@ -476,7 +481,7 @@
 #[test]
 fn link_messages_keep_their_serialized_names() {
     let clock = Clock::new().reading();
-    let state = HandoverState::of(([127, 0, 0, 1], 1).into(), Memory::default(), clock);
+    let state = HandoverState::of(([127, 0, 0, 1], 1).into(), EngineState::default(), clock);
     let text = |message: &Message| serde_json::to_value(message).expect("JSON");
     assert_eq!(text(&Message::Hello(1)), serde_json::json!({"Hello": 1}));
     assert_eq!(text(&Message::Serving), "Serves");
@@ -586,16 +591,16 @@
 
 const DONE: &str = r#"{"id":"c","from":"s","state":"done","result":"\u00e9\n"}"#;
 
-#[test_case(r#"{"id":"c","from":"s","state":"running","share":0.4}"#, Some(Word::Alive); "progress")]
-#[test_case(DONE, Some(Word::Succeeded("é\n".into())); "done")]
-#[test_case(r#"{"id":"c","from":"s","state":"returned"}"#, Some(Word::Ended(Outcome::Full)); "given back")]
-#[test_case(r#"{"id":"c","from":"s","state":"lost","x":1}"#, Some(Word::Ended(Outcome::Reset)); "lost")]
-#[test_case(r#"{"id":"c","from":"s","state":"failed"}"#, Some(Word::Ended(Outcome::Errored)); "failed")]
+#[test_case(r#"{"id":"c","from":"s","state":"running","share":0.4}"#, Some(JobStatus::Running); "progress")]
+#[test_case(DONE, Some(JobStatus::Succeeded("é\n".into())); "done")]
+#[test_case(r#"{"id":"c","from":"s","state":"returned"}"#, Some(JobStatus::Ended(Outcome::Full)); "given back")]
+#[test_case(r#"{"id":"c","from":"s","state":"lost","x":1}"#, Some(JobStatus::Ended(Outcome::Reset)); "lost")]
+#[test_case(r#"{"id":"c","from":"s","state":"failed"}"#, Some(JobStatus::Ended(Outcome::Errored)); "failed")]
 #[test_case(r#"{"id":"c","from":"s","state":"done"}"#, None; "no result was made")]
 #[test_case(r#"{"id":"c","state":"done","result":""}"#, None; "without a sender")]
 #[test_case("[]", None; "not an object")]
-fn reports_are_parsed(text: &str, expected: Option<Word>) {
-    assert_eq!(callbacks::parse(text.as_bytes()).ok().map(|news| news.word), expected);
+fn reports_are_parsed(text: &str, expected: Option<JobStatus>) {
+    assert_eq!(callbacks::parse(text.as_bytes()).ok().map(|news| news.status), expected);
 }
 
 const LIST: &str = r#"{"version":3,"full":false,"servers":[{"id":"a","state":"draining"},
@@ -688,7 +693,7 @@
         Discovery::new(addr, events).follow(1, 0);
         let lost = timeout(seconds(4.0), async {
             while let Some(what) = event_receiver.recv().await {
-                if matches!(what, DriverEvent::Watch(1, coveroute_engine::Watched::Lost(_))) {
+                if matches!(what, DriverEvent::Watch(1, coveroute_engine::WatchEvent::Lost(_))) {
                     return;
                 }
             }
@@ -778,7 +783,7 @@
 fn environment_variables_take_precedence_over_the_file() {
     let config = Config::parse(CONFIG, variables()).expect("valid");
     assert_eq!((config.listen.port(), config.discovery.port(), config.timeouts), (1, 2, vec![5.0, 10.0]));
-    assert!(config.settings.must_ask && !config.settings.peers);
+    assert!(config.settings.polls_list && !config.settings.peers);
 }
 
 // Without a handler the signal would end this test process.
@@ -846,8 +851,8 @@
 fn every_deployment_type_is_supported(pairs: &[(&str, &str)], expected: (bool, bool, bool, Sizes)) {
     let config = Config::parse(&config_text_with(pairs), config::Environment::default()).expect("valid");
     let set = &config.settings;
-    assert_eq!((set.must_ask, set.peers, set.probing, set.sizes), expected);
-    assert_eq!((config.pushed_by().is_some(), set.only_draining), (!set.must_ask, false));
+    assert_eq!((set.polls_list, set.peers, set.probing, set.sizes), expected);
+    assert_eq!((config.pushed_by().is_some(), set.only_draining), (!set.polls_list, false));
 }
 
 // A node must also serve deployments whose executors report little. Its decisions are then based on the results of
@@ -941,7 +946,7 @@
     let (plain, late) = (set(""), set("\"lateShedding\": true, \"askWithin\": 5000, "));
     assert!(plain.never_ran(Outcome::Full) && !late.never_ran(Outcome::Full));
     assert!(late.never_ran(Outcome::Unreachable) && !plain.never_ran(Outcome::Reset));
-    assert_eq!((plain.ask_within, late.ask_within), (None, Some(5.0)));
+    assert_eq!((plain.poll_within, late.poll_within), (None, Some(5.0)));
 }
 
 const PUSHED_LIST: &str = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"state\":\"up\",\"weight\":3.5}]}";
@@ -1002,7 +1007,7 @@
     let told = |extra: &[(&'static str, &'static str)]| {
         let headers = [&[ID, BUDGET], extra].concat();
         let job = block(request::read_job(request(&headers, b""), 0.0)).expect("valid");
-        (job.call.key, job.call.again)
+        (job.call.key, job.call.is_retry)
     };
     let [one, same, another] =
         ["track-7", "track-7", "track-8"].map(|key| told(&[("x-route-hash", key), ("x-again", "1")]));
@@ -1026,12 +1031,12 @@
         first.set_receiving(true);
         let stranger = std::net::UdpSocket::bind(addrs[2]).expect("a port");
         stranger.send_to(b"h00000109", addrs[0]).expect("sent");
-        second.send(0, Told::Held, 0xab, 4);
-        second.send(1, Told::Held, 0xab, 5);
+        second.send(0, PeerMessageKind::Held, 0xab, 4);
+        second.send(1, PeerMessageKind::Held, 0xab, 5);
         let heard = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
         assert!(matches!(
             heard,
-            Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
+            Some(DriverEvent::PeerMessage { from: 1, kind: PeerMessageKind::Held, mark: 0xab, count: 4 })
         ));
         assert!(
             timeout(seconds(0.1), event_receiver.recv()).await.is_err(),
@@ -1066,11 +1071,11 @@
             peers.push((one, fleet_member));
         }
         sleep(seconds(1.0)).await;
-        peers[1].0.send(0, Told::Held, 0xab, 4);
+        peers[1].0.send(0, PeerMessageKind::Held, 0xab, 4);
         let heard = timeout(seconds(9.0), event_receiver.recv()).await.expect("in time");
         assert!(matches!(
             heard,
-            Some(DriverEvent::Heard { from: 1, told: Told::Held, mark: 0xab, count: 4 })
+            Some(DriverEvent::PeerMessage { from: 1, kind: PeerMessageKind::Held, mark: 0xab, count: 4 })
         ));
         let figures = serde_json::to_value(peers[0].1.figures()).expect("figures");
         assert_eq!((&figures["states"]["b"], &figures["dropped"]), (&"alive".into(), &serde_json::json!({})));
@@ -1141,15 +1146,21 @@
         actix_rt::spawn(async move {
             let tally = Tally { succeeded: 3, throttled: 2, errored: 1 };
             let operations = vec![("look".into(), tally)];
-            let list = ListFigures {
+            let list = ListMetrics {
                 version: 8,
                 state: "unheard",
                 last_heard: Some(2.5),
                 refused: 7,
-                ..ListFigures::default()
+                ..ListMetrics::default()
+            };
+            let engine = NodeMetrics {
+                operations,
+                forwards: 4,
+                outstanding: 5,
+                listed: 6,
+                list,
+                ..NodeMetrics::default()
             };
-            let engine =
-                Figures { operations, forwards: 4, outstanding: 5, listed: 6, list, ..Figures::default() };
             let attempts =
                 AttemptFigures { written: 4, overstated: 1, longest_excess: 0.25, ..Default::default() };
             let figures = NodeFigures { engine, attempts };
--- a/crates/coveroute-shared/src/roster.rs
+++ b/crates/coveroute-shared/src/roster.rs
@@ -1,7 +1,7 @@
 //! Assigns numbers to the executors that an adapter has encountered, in the order of their first appearance.
 use std::collections::HashMap;
 
-use coveroute::types::{Entry, Standing, Tgt};
+use coveroute::types::{Entry, ExecutorIndex, Standing};
 
 use crate::{position, Names};
 
@@ -23,57 +23,57 @@
 pub struct Roster {
     /// By number; empty for released numbers.
     ids: Vec<String>,
-    numbers: HashMap<String, Tgt>,
+    numbers: HashMap<String, ExecutorIndex>,
     /// By mark, the short hash that identifies executors in messages.
-    marks: HashMap<u32, Tgt>,
+    marks: HashMap<u32, ExecutorIndex>,
     /// Released numbers, available for reuse.
-    free: Vec<Tgt>,
+    free: Vec<ExecutorIndex>,
 }
 
 impl Roster {
     /// The number of the executor; a new id gets a free one.
-    pub fn number(&mut self, id: &str) -> Tgt {
-        if let Some(&tgt) = self.numbers.get(id) {
-            return tgt;
+    pub fn number(&mut self, id: &str) -> ExecutorIndex {
+        if let Some(&executor_index) = self.numbers.get(id) {
+            return executor_index;
         }
-        let tgt = self.free.pop().unwrap_or(self.ids.len());
-        if tgt == self.ids.len() {
+        let executor_index = self.free.pop().unwrap_or(self.ids.len());
+        if executor_index == self.ids.len() {
             self.ids.push(String::new());
         }
-        self.ids[tgt] = id.to_owned();
-        self.numbers.insert(id.to_owned(), tgt);
-        self.marks.insert(mark(id), tgt);
-        tgt
+        self.ids[executor_index] = id.to_owned();
+        self.numbers.insert(id.to_owned(), executor_index);
+        self.marks.insert(mark(id), executor_index);
+        executor_index
     }
 
     /// Releases the number of an executor from which no more messages can arrive.
-    pub fn release(&mut self, tgt: Tgt) {
-        let id = std::mem::take(&mut self.ids[tgt]);
+    pub fn release(&mut self, executor_index: ExecutorIndex) {
+        let id = std::mem::take(&mut self.ids[executor_index]);
         if self.numbers.remove(&id).is_some() {
             self.marks.remove(&mark(&id));
-            self.free.push(tgt);
+            self.free.push(executor_index);
         }
     }
 
-    pub fn id(&self, tgt: Tgt) -> &str {
-        &self.ids[tgt]
+    pub fn id(&self, executor_index: ExecutorIndex) -> &str {
+        &self.ids[executor_index]
     }
 
     /// The number of the executor with this id, if it has one.
-    pub fn known(&self, id: &str) -> Option<Tgt> {
+    pub fn known(&self, id: &str) -> Option<ExecutorIndex> {
         self.numbers.get(id).copied()
     }
 
     /// The number of the executor with this mark, if there is one.
-    pub fn by_mark(&self, mark: u32) -> Option<Tgt> {
+    pub fn by_mark(&self, mark: u32) -> Option<ExecutorIndex> {
         self.marks.get(&mark).copied()
     }
 
     /// Converts a list entry for the decisions, replacing names by their numbers.
     pub fn entry(&mut self, names: &mut Names, listed: &Listed) -> Entry {
         Entry {
-            tgt: self.number(listed.id),
-            mark: mark(listed.id),
+            executor_index: self.number(listed.id),
+            stable_id: mark(listed.id),
             zone: position(&mut names.zones, listed.zone),
             cell: listed.cell,
             kind: position(&mut names.kinds, listed.kind),
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,13 +1,13 @@
 use std::collections::BTreeMap;
 
 use super::*;
-use crate::chance::Chance;
 use crate::list_calls::ListCalls;
+use crate::random::Rng;
 use test_case::test_case;
 
 const DEDUP_ALL: Effect = Effect::Deduplicated { group: Group::All, window: 2.0 };
 const DEDUP_CELL: Effect = Effect::Deduplicated { group: Group::Cell, window: 2.0 };
-const ID: InvId = 7;
+const ID: InvocationId = 7;
 
 fn operation(effect: Effect) -> Operation {
     Operation { effect, objective: 1.0, stretch: 1.0, value: 1.0, late_value: 0.0, kind: None }
@@ -19,34 +19,42 @@
     let operations = vec![operation(effect)];
     let set = Settings { operations, nodes: 4, max_forwards: 3, cold, ..Settings::default() };
     let mut node = Node::new(set, 5);
-    let ready = |tgt| Entry { tgt, standing: Standing::Ready, cell: tgt as i64 / 2, ..Entry::default() };
+    let ready = |executor_index| Entry {
+        executor_index,
+        standing: Standing::Ready,
+        cell: executor_index as i64 / 2,
+        ..Entry::default()
+    };
     let mut out = Vec::new();
     node.on_list(0.0, List::Whole((0..many).map(ready).collect()), &mut out);
     node
 }
 
-fn entry(tgt: Tgt, standing: Standing, started: f64) -> Entry {
-    Entry { tgt, standing, started, ..Entry::default() }
+fn entry(executor_index: ExecutorIndex, standing: Standing, started: f64) -> Entry {
+    Entry { executor_index, standing, started, ..Entry::default() }
 }
 
 /// Adds an invocation whose earlier forwards, all sent at 1, went to executors 0, 1, ... and are in these
 /// states.
-fn add(node: &mut Node, state: InvState, forward_states: &[ForwardState]) {
-    let forward = |(tgt, &forward_state)| Forward { state: forward_state, ..Forward::new(tgt, 1.0) };
+fn add(node: &mut Node, state: InvocationState, forward_states: &[ForwardState]) {
+    let forward = |(executor_index, &forward_state)| Forward {
+        state: forward_state,
+        ..Forward::new(executor_index, 1.0)
+    };
     let forwards: Vec<Forward> = forward_states.iter().enumerate().map(forward).collect();
-    let inv = Inv {
+    let invocation = Invocation {
         state,
         latest_start: 5.0,
         give_up_at: 5.0,
-        end: 10.0,
+        deadline: 10.0,
         hint: 1.0,
         load: 1.0,
         weight: 1.0,
         forwards,
-        ..Inv::default()
+        ..Invocation::default()
     };
-    node.invocations.insert(ID, inv);
-    if matches!(state, InvState::Waiting | InvState::Uncertain) {
+    node.invocations.insert(ID, invocation);
+    if matches!(state, InvocationState::Waiting | InvocationState::Uncertain) {
         node.waiting.push(ID);
     }
 }
@@ -59,7 +67,16 @@
 }
 
 fn submission(timeout: f64, operation: usize) -> Submission {
-    Submission { id: ID, operation, tenant: None, timeout, hint: None, memory: None, key: None, again: false }
+    Submission {
+        id: ID,
+        operation,
+        tenant: None,
+        timeout,
+        hint: None,
+        memory: None,
+        key: None,
+        is_retry: false,
+    }
 }
 
 #[test_case(&[8.0, 5.0, 2.0], 7.0, &[5.0, 2.0, 0.0]; "the paper's example two: the slowest is dropped")]
@@ -80,7 +97,7 @@
 #[test_case(&[1.0, 0.0], 0.97, 0.999; "a zero share is still tried")]
 fn draws_by_share(beta: &[f64], least: f64, most: f64) {
     let mut node = node(Effect::Idempotent, beta.len());
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     let trial = if beta[0] > 0.0 { 0.02 * beta[0] / beta.len() as f64 } else { 1.0 };
     node.executors.iter_mut().zip(beta).for_each(|(t, beta)| t.share = beta.max(trial));
     let first = (0..4000).filter(|_| node.draw_executors(2.0, ID, 1) == [0]).count() as f64 / 4000.0;
@@ -98,24 +115,28 @@
     until: f64,
 ) {
     let mut node = node(effect, 3);
-    add(&mut node, InvState::InFlight, forward_states);
+    add(&mut node, InvocationState::InFlight, forward_states);
     assert_eq!(node.write_until(ID), until);
 }
 
 // The state after each outcome of the only forward, by the operation's effect.
-#[test_case(Effect::NonIdempotent, Outcome::Full, Some(InvState::Waiting); "full proves that it never ran")]
-#[test_case(Effect::NonIdempotent, Outcome::Unreachable, Some(InvState::Waiting); "so does no connection")]
-#[test_case(Effect::NonIdempotent, Outcome::Moot, Some(InvState::Waiting); "so does one never sent")]
-#[test_case(Effect::NonIdempotent, Outcome::Errored, Some(InvState::Uncertain); "an error may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::Reset, Some(InvState::Uncertain); "a reset may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::TimedOut, Some(InvState::Uncertain); "a time out may have run")]
-#[test_case(Effect::NonIdempotent, Outcome::Cancelled, Some(InvState::Uncertain); "a withdrawal may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Full, Some(InvocationState::Waiting); "full proves that it never ran")]
+#[test_case(Effect::NonIdempotent, Outcome::Unreachable, Some(InvocationState::Waiting); "so does no connection")]
+#[test_case(Effect::NonIdempotent, Outcome::NotWritten, Some(InvocationState::Waiting); "so does one never sent")]
+#[test_case(Effect::NonIdempotent, Outcome::Errored, Some(InvocationState::Uncertain); "an error may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Reset, Some(InvocationState::Uncertain); "a reset may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::TimedOut, Some(InvocationState::Uncertain); "a time out may have run")]
+#[test_case(Effect::NonIdempotent, Outcome::Cancelled, Some(InvocationState::Uncertain); "a withdrawal may have run")]
 #[test_case(Effect::Idempotent, Outcome::Succeeded, None; "a success ends it")]
-fn a_forwards_outcome_sets_the_invocations_state(effect: Effect, outcome: Outcome, state: Option<InvState>) {
+fn a_forwards_outcome_sets_the_invocations_state(
+    effect: Effect,
+    outcome: Outcome,
+    state: Option<InvocationState>,
+) {
     let mut node = node(effect, 4);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     settle_forward(&mut node, 2.0, outcome);
-    assert_eq!(node.invocations.get(&ID).map(|inv| inv.state), state);
+    assert_eq!(node.invocations.get(&ID).map(|invocation| invocation.state), state);
 }
 
 #[test_case(Effect::Idempotent, ForwardState::MayHaveRun, 1.5, &[1, 2, 3]; "idempotent goes anywhere else")]
@@ -129,40 +150,40 @@
     effect: Effect,
     forward_state: ForwardState,
     now: f64,
-    expected: &[Tgt],
+    expected: &[ExecutorIndex],
 ) {
     let mut node = node(effect, 4);
-    add(&mut node, InvState::Uncertain, &[forward_state]);
-    let may: Vec<Tgt> =
+    add(&mut node, InvocationState::Uncertain, &[forward_state]);
+    let may: Vec<ExecutorIndex> =
         (0..4).filter(|&i| node.is_eligible(now, &node.invocations[&ID], &node.executors[i])).collect();
     assert_eq!(may, expected);
 }
 
-#[test_case(Effect::NonIdempotent, InvState::Waiting, true; "nothing ran: throttled")]
-#[test_case(Effect::NonIdempotent, InvState::Uncertain, false; "non idempotent that may have run: error")]
-#[test_case(Effect::Idempotent, InvState::Uncertain, true; "idempotent: throttled")]
-#[test_case(DEDUP_ALL, InvState::Uncertain, true; "deduplicated by all: throttled")]
-#[test_case(DEDUP_CELL, InvState::Uncertain, false; "deduplicated by a narrower group: error")]
-fn giving_up_is_answered_by_the_operations_effect(effect: Effect, state: InvState, throttled: bool) {
+#[test_case(Effect::NonIdempotent, InvocationState::Waiting, true; "nothing ran: throttled")]
+#[test_case(Effect::NonIdempotent, InvocationState::Uncertain, false; "non idempotent that may have run: error")]
+#[test_case(Effect::Idempotent, InvocationState::Uncertain, true; "idempotent: throttled")]
+#[test_case(DEDUP_ALL, InvocationState::Uncertain, true; "deduplicated by all: throttled")]
+#[test_case(DEDUP_CELL, InvocationState::Uncertain, false; "deduplicated by a narrower group: error")]
+fn giving_up_is_answered_by_the_operations_effect(effect: Effect, state: InvocationState, throttled: bool) {
     let mut node = node(effect, 2);
     add(
         &mut node,
         state,
-        &[if state == InvState::Waiting { ForwardState::NotRun } else { ForwardState::MayHaveRun }],
+        &[if state == InvocationState::Waiting { ForwardState::NotRun } else { ForwardState::MayHaveRun }],
     );
     let mut out = Vec::new();
-    node.transition(2.0, ID, InvEvent::GaveUp, &mut out);
+    node.transition(2.0, ID, InvocationEvent::GaveUp, &mut out);
     let expected = if throttled { Output::Throttle { id: ID, pause: 0.0 } } else { Output::Error { id: ID } };
     assert_eq!((out, node.waiting.len(), node.invocations.len()), (vec![expected], 0, 0));
 }
 
-#[test_case(InvEvent::Finished; "a second completion")]
-#[test_case(InvEvent::GaveUp; "giving up while in flight")]
-fn late_and_duplicate_events_change_nothing(turn: InvEvent) {
+#[test_case(InvocationEvent::Finished; "a second completion")]
+#[test_case(InvocationEvent::GaveUp; "giving up while in flight")]
+fn late_and_duplicate_events_change_nothing(turn: InvocationEvent) {
     let mut node = node(Effect::Idempotent, 2);
     add(
         &mut node,
-        if turn == InvEvent::GaveUp { InvState::InFlight } else { InvState::Ended },
+        if turn == InvocationEvent::GaveUp { InvocationState::InFlight } else { InvocationState::Ended },
         &[ForwardState::InFlight],
     );
     let mut out = Vec::new();
@@ -173,7 +194,7 @@
 #[test]
 fn a_timeout_near_the_clients_deadline_is_answered_at_once() {
     let mut node = node(Effect::NonIdempotent, 2);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     assert_eq!(settle_forward(&mut node, 10.0, Outcome::TimedOut).last(), Some(&Output::Error { id: ID }));
 }
 
@@ -210,11 +231,11 @@
 
 #[test_case(List::Whole(vec![entry(0, Standing::Ready, 0.0)]), Standing::Gone; "absent from a whole list")]
 #[test_case(List::Changes(vec![entry(0, Standing::Ready, 0.0)]), Standing::Ready; "absent from changes")]
-#[test_case(List::Kept(vec![entry(1, Standing::Draining, 0.0)], KeptAge::Unsaid), Standing::Draining; "draining in the list at the start")]
+#[test_case(List::Initial(vec![entry(1, Standing::Draining, 0.0)], InitialListAge::Unspecified), Standing::Draining; "draining in the list at the start")]
 #[test_case(List::Lost(Loss::Closed), Standing::Ready; "a failed call leaves the list")]
 fn lists_set_the_executors_standing(list: List, expected: Standing) {
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     node.on_list(3.0, list, &mut out);
     assert_eq!(node.executors[1].entry.standing, expected);
     assert_eq!(
@@ -235,12 +256,12 @@
     // A wrong list may show a serving fleet as gone, and an outdated list may arrive again.
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
     (node.settings.only_draining, node.settings.probing, node.executors[1].entry.started) = (true, true, 5.0);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     for &(standing, started) in told {
         node.on_list(30.0, List::Changes(vec![entry(1, standing, started)]), &mut out);
         if alive {
             let (outcome, report) = (Outcome::Succeeded, Report::default());
-            node.handle(30.0, Input::Probed { tgt: 1, outcome, report }, &mut out);
+            node.handle(30.0, Input::Probed { executor_index: 1, outcome, report }, &mut out);
         }
     }
     assert_eq!(node.is_eligible(30.0, &node.invocations[&ID], &node.executors[1]), goes);
@@ -258,7 +279,7 @@
     assert!(node.ranked.len() == 40 && (1..=3).contains(&probes) == (asked > 0), "{out:?}");
     node.handle(
         1.3,
-        Input::Probed { tgt: 7, outcome: Outcome::Unreachable, report: Report::default() },
+        Input::Probed { executor_index: 7, outcome: Outcome::Unreachable, report: Report::default() },
         &mut out,
     );
     assert!(!node.executors[7].is_ready(), "an unreachable one is not used");
@@ -267,7 +288,7 @@
 /// The wait before the next call for the list.
 fn list_call_wait(out: &[Output]) -> Option<f64> {
     out.iter().rev().find_map(|o| {
-        if let Output::Wake { after, timer: LIST_CALL_TIMER } = o {
+        if let Output::SetTimer { after, timer: LIST_CALL_TIMER } = o {
             Some(*after)
         } else {
             None
@@ -275,9 +296,9 @@
     })
 }
 
-/// Node `me` of `nodes` that have to call for the list.
-fn polling_node(me: usize, nodes: usize, ask_within: Option<f64>) -> Node {
-    Node::new(Settings { me, nodes, must_ask: true, ask_within, ..Settings::default() }, 5)
+/// Node `node_index` of `nodes` that have to call for the list.
+fn polling_node(node_index: usize, nodes: usize, poll_within: Option<f64>) -> Node {
+    Node::new(Settings { node_index, nodes, polls_list: true, poll_within, ..Settings::default() }, 5)
 }
 
 // Waits must not double after each failure: after six seconds all nodes count as informed, whatever fails.
@@ -289,12 +310,13 @@
 #[test_case(300, Loss::Missed(2.5), 2.0; "hundreds of nodes after a silence")]
 fn a_lost_list_is_asked_for_in_turns_within_the_bound(nodes: usize, loss: Loss, round: f64) {
     let mut turns: Vec<f64> = Vec::new();
-    for me in 0..nodes {
-        let (mut node, mut out, mut now) = (polling_node(me, nodes, None), Vec::new(), 1_796_182_072.25);
+    for node_index in 0..nodes {
+        let (mut node, mut out, mut now) =
+            (polling_node(node_index, nodes, None), Vec::new(), 1_796_182_072.25);
         for again in 0..2 {
             node.on_list(now, List::Lost(loss), &mut out);
             let after = list_call_wait(&out).expect("it calls again");
-            assert!((0.0..=round).contains(&after), "{after} for {me}, the {again}th time");
+            assert!((0.0..=round).contains(&after), "{after} for {node_index}, the {again}th time");
             turns.extend((again == 0).then_some(after));
             now += after + 0.01;
         }
@@ -309,8 +331,8 @@
 #[test_case(300, 8.0, 18.0; "hundreds of nodes")]
 #[test_case(6, 0.0, 2.0; "a few nodes")]
 fn consecutive_failed_calls_become_less_frequent(nodes: usize, least: f64, most: f64) {
-    let last = |me| {
-        let (mut node, mut out) = (polling_node(me, nodes, None), Vec::new());
+    let last = |node_index| {
+        let (mut node, mut out) = (polling_node(node_index, nodes, None), Vec::new());
         (0..6).for_each(|_| node.on_list(1.0, List::Lost(Loss::Waited), &mut out));
         list_call_wait(&out).expect("it calls again")
     };
@@ -334,7 +356,7 @@
 #[test_case(&[(Loss::Closed, 10.0), (Loss::Waited, 15.0), (Loss::Waited, 20.0)], None; "discovery is down")]
 #[test_case(&[(Loss::Closed, 10.0), (Loss::Waited, 15.0), (CALL_REFUSED, 20.0)], Some(20.5); "and refuses calls when it is up again")]
 #[test_case(&[(WATCH_SILENT, 10.0), (Loss::Closed, 12.0)], Some(13.0); "and discovery is down since")]
-#[test_case(&[(WATCH_SILENT, 10.0), (Loss::Unsaid, 10.0)], None; "the protocol does not say")]
+#[test_case(&[(WATCH_SILENT, 10.0), (Loss::Unspecified, 10.0)], None; "the protocol does not say")]
 fn nothing_is_sent_by_a_list_that_is_too_old(losses: &[(Loss, f64)], from: Option<f64>) {
     let (mut node, mut out) = (node(Effect::Idempotent, 4), Vec::new());
     losses.iter().for_each(|&(loss, now)| node.on_list(now, List::Lost(loss), &mut out));
@@ -348,7 +370,7 @@
             hint: None,
             memory: None,
             key: None,
-            again: false,
+            is_retry: false,
         };
         node.handle(now, Input::Submitted(sub), &mut out);
         out.drain(..).filter(|o| matches!(o, Output::Forward { .. })).count()
@@ -375,9 +397,9 @@
 #[test_case(6.0, 1; "much too late")]
 fn an_invocation_is_refused_if_the_next_list_call_is_too_late(due: f64, refused: usize) {
     let (mut node, mut out) = (node(Effect::Idempotent, 0), Vec::new());
-    (node.settings.must_ask, node.settings.max_pause) = (true, 2.0);
+    (node.settings.polls_list, node.settings.max_pause) = (true, 2.0);
     let list = vec![entry(0, Standing::Ready, 0.0)];
-    node.handle(3.0, Input::List(List::Kept(list, KeptAge::Unknown)), &mut out);
+    node.handle(3.0, Input::List(List::Initial(list, InitialListAge::Unknown)), &mut out);
     node.list_calls = ListCalls::due_at(due);
     out.clear();
     // It can wait for half a second.
@@ -394,11 +416,11 @@
 #[test_case(300, 0, 7.0, 8.0; "hundreds without a list spread their calls")]
 fn nodes_that_start_together_spread_their_list_calls(nodes: usize, kept: usize, least: f64, most: f64) {
     // Calls beyond the capacity of discovery are refused: 60 of 100 nodes had no list for 10 s.
-    let first = |me| {
-        let (mut node, mut out) = (polling_node(me, nodes, None), Vec::new());
-        let list = (0..kept).map(|tgt| entry(tgt, Standing::Ready, 0.0)).collect();
-        node.handle(0.0, Input::List(List::Kept(list, KeptAge::Unknown)), &mut out);
-        assert!(!out.contains(&Output::Follow), "no call at once");
+    let first = |node_index| {
+        let (mut node, mut out) = (polling_node(node_index, nodes, None), Vec::new());
+        let list = (0..kept).map(|executor_index| entry(executor_index, Standing::Ready, 0.0)).collect();
+        node.handle(0.0, Input::List(List::Initial(list, InitialListAge::Unknown)), &mut out);
+        assert!(!out.contains(&Output::WatchList), "no call at once");
         list_call_wait(&out).expect("it schedules a call")
     };
     let waits: Vec<f64> = (0..nodes).map(first).collect();
@@ -437,10 +459,10 @@
     let mut node = node(Effect::Idempotent, 11);
     node.settings.nodes = 64;
     for (i, t) in node.executors.iter_mut().enumerate() {
-        (t.entry.started, t.entry.mark, t.slots) = (10.0, 0x9e37 * (i as u32 + 1), 4.0);
+        (t.entry.started, t.entry.stable_id, t.slots) = (10.0, 0x9e37 * (i as u32 + 1), 4.0);
     }
-    let mut turn = |me: usize| {
-        node.settings.me = me;
+    let mut turn = |node_index: usize| {
+        node.settings.node_index = node_index;
         node.executors.iter().filter(|t| node.admits_while_cold(10.5, t, 0.2)).count()
     };
     let open: Vec<usize> = (0..64).map(&mut turn).collect();
@@ -455,7 +477,7 @@
 fn a_cold_executor_is_used_by_any_node_while_its_report_shows_free_slots(free: f64, age: f64, room: bool) {
     // In a large fleet, few of hundreds of nodes have a turn before an executor is warm.
     let mut node = node(Effect::Idempotent, 1);
-    (node.settings.nodes, node.settings.me, node.settings.probing, node.settings.reports) =
+    (node.settings.nodes, node.settings.node_index, node.settings.probing, node.settings.reports) =
         (300, 200, true, Reports::Answers);
     (node.executors[0].entry.started, node.executors[0].slots) = (10.0, 2.0);
     (node.executors[0].free, node.executors[0].reported_at) = (free, 10.0 + age);
@@ -469,7 +491,7 @@
     // If twenty or more nodes see the same free slot, what they send within a report's age adds up (20 nodes,
     // N 2 to 13: six executors overloaded in two runs; 300 nodes: 22).
     let mut node = node(Effect::Idempotent, 1);
-    (node.settings.nodes, node.settings.me, node.settings.probing, node.settings.reports) =
+    (node.settings.nodes, node.settings.node_index, node.settings.probing, node.settings.reports) =
         (300, 200, true, Reports::Answers);
     (node.executors[0].entry.started, node.executors[0].slots) = (10.0, 2.0);
     (node.executors[0].free, node.executors[0].reported_at) = (2.0, 12.0 - age);
@@ -480,11 +502,11 @@
 #[test_case(Outcome::Reset, 3; "resets")]
 #[test_case(Outcome::TimedOut, 3; "timeouts")]
 #[test_case(Outcome::Unreachable, 1; "no connection, after one")]
-#[test_case(Outcome::Unfit, 12; "every invocation rejected")]
+#[test_case(Outcome::Rejected, 12; "every invocation rejected")]
 fn failures_make_an_executor_doubtful_and_not_faster(outcome: Outcome, many: usize) {
     let mut node = node(Effect::Idempotent, 2);
     for _ in 0..many {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         settle_forward(&mut node, 2.0, outcome);
     }
     assert!(
@@ -503,8 +525,8 @@
 fn an_unacknowledged_forward_is_withdrawn(effect: Effect, many: usize, started: bool, back: bool) {
     let mut node = node(effect, many);
     node.settings.cancelling = true;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-    node.invocations.entry(ID).and_modify(|inv| inv.forwards[0].wait = started.then_some(0.0));
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.forwards[0].wait = started.then_some(0.0));
     let mut out = Vec::new();
     node.on_unacknowledged(2.0, ID, 0, &mut out);
     assert_eq!(out, Vec::from_iter(back.then_some(Output::Withdraw { id: ID, forward: 0 })));
@@ -515,8 +537,8 @@
 fn a_few_rejected_invocations_do_not_make_an_executor_doubtful() {
     let mut node = node(Effect::Idempotent, 1);
     for _ in 0..4 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-        settle_forward(&mut node, 2.0, Outcome::Unfit);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+        settle_forward(&mut node, 2.0, Outcome::Rejected);
     }
     assert!(!node.executors[0].doubtful);
 }
@@ -526,15 +548,15 @@
 #[test_case(Effect::Idempotent, false, false; "no trial without the draw")]
 fn doubtful_executors_get_trials_only(effect: Effect, trial: bool, able: bool) {
     let mut node = node(effect, 1);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     (node.executors[0].doubtful, node.executors[0].trial) = (true, trial);
     assert_eq!(node.can_send(2.0, &node.invocations[&ID], &node.executors[0]), able);
 }
 
 #[test]
 fn posterior_draws_still_allow_trials_of_bad_executors() {
-    let mut chance = Chance::new(3);
-    let mut share = |a, b| (0..4000).filter(|_| chance.beta(a, b) >= 0.5).count();
+    let mut rng = Rng::new(3);
+    let mut share = |a, b| (0..4000).filter(|_| rng.beta(a, b) >= 0.5).count();
     let (sound, even, bad) = (share(8, 1), share(3, 3), share(1, 7));
     assert!(sound > 3900 && (1800..2200).contains(&even) && (1..100).contains(&bad), "{sound} {even} {bad}");
 }
@@ -543,7 +565,7 @@
 fn silence_counts_as_failure_until_a_sign_of_life() {
     let (mut node, mut out) = (node(Effect::Idempotent, 1), Vec::new());
     node.settings.progress = 1.0;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.executors[0].last_sign_of_life) = (1, 1.0);
     node.on_solve_timer(2.0, &mut out);
     assert!(!node.executors[0].silent, "within 1.5 intervals");
@@ -587,7 +609,7 @@
     let mut node = node(Effect::Idempotent, 2);
     (node.settings.reports, node.settings.probing, node.mean_held) = (Reports::Answers, true, [2.0; 2]);
     for _ in 0..2 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         let report = Report { free: Some(free), queue: Some(queue), ..Report::default() };
         let full = Settled { id: ID, forward: 0, outcome: Outcome::Full, took: 0.0, ended: false, report };
         node.on_settled(2.0, full, &mut Vec::new());
@@ -607,13 +629,13 @@
 #[test]
 fn placement_goes_down_the_shares_and_skips_zero_shares() {
     let (mut node, mut out) = (node(Effect::Idempotent, 3), Vec::new());
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     make_sole_node(&mut node);
     for (i, beta) in [1.0, 3.0, 0.0].into_iter().enumerate() {
         (node.executors[i].beta, node.executors[i].slots) = (beta, 2.0);
     }
     (node.ranked, node.executors[0].held) = (vec![1, 0, 2], 2);
-    node.invocations.entry(ID).and_modify(|inv| inv.candidates = vec![0]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.candidates = vec![0]);
     assert_eq!(node.find_placement(2.0, ID, &mut out), Placement::Here(1));
     node.executors[1].held = 2;
     assert_eq!(node.find_placement(2.0, ID, &mut out), Placement::Later);
@@ -624,32 +646,32 @@
 #[test_case(0.5, 2.0, Placement::Here(0); "but no longer than their price")]
 fn zone_crossings_are_delayed_by_their_price(price: f64, now: f64, placement: Placement) {
     let (mut node, mut out) = (node(Effect::Idempotent, 1), Vec::new());
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     make_sole_node(&mut node);
     (node.settings.zone, node.settings.cross_zone_price, node.executors[0].slots) = (1, price, 2.0);
     (node.own_zone_count, node.ranked, node.executors[0].beta) = (usize::from(price > 0.0), vec![0], 1.0);
-    node.invocations.entry(ID).and_modify(|inv| inv.cross_zone_from = 1.4);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.cross_zone_from = 1.4);
     assert_eq!(node.find_placement(now, ID, &mut out), placement);
 }
 
 #[test]
 fn peer_counts_are_kept_and_invalid_ones_ignored() {
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    node.on_peer_message(1.0, 2, Told::Held, 1, 4, &mut out);
-    node.on_peer_message(1.0, 2, Told::Held, 77, 1, &mut out);
-    node.on_peer_message(1.0, 99, Told::Held, 1, 8, &mut out);
+    node.on_peer_message(1.0, 2, PeerMessageKind::Held, 1, 4, &mut out);
+    node.on_peer_message(1.0, 2, PeerMessageKind::Held, 77, 1, &mut out);
+    node.on_peer_message(1.0, 99, PeerMessageKind::Held, 1, 8, &mut out);
     assert_eq!((node.executors[0].held_by_peers(), node.executors[1].held_by_peers()), (0.0, 4.0));
     node.on_solve_timer(9.0, &mut out);
     assert_eq!(node.executors[1].held_by_peers(), 0.0, "a silent node holds nothing");
 }
 
 #[test_case(false, true, None; "no messages")]
-#[test_case(true, true, Some(3); "the node given by its mark")]
+#[test_case(true, true, Some(3); "the node given by its stable id")]
 #[test_case(true, false, None; "none where executors can't be probed")]
 fn one_node_counts_for_an_executor(peers: bool, probing: bool, who: Option<usize>) {
     let mut node = node(Effect::Idempotent, 1);
     (node.settings.peers, node.settings.probing, node.settings.reports) = (peers, probing, Reports::Answers);
-    node.executors[0].entry.mark = 7;
+    node.executors[0].entry.stable_id = 7;
     assert_eq!(node.counting_node(&node.executors[0]), who);
 }
 
@@ -672,8 +694,10 @@
     let mut node = node_without_reports(Effect::Idempotent, 2);
     (node.settings.cross_zone_price, node.spill_probability, node.executors[1].entry.zone) = (price, 1.0, 9);
     for at in 0..40 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-        node.invocations.entry(ID).and_modify(|inv| (inv.forwards[0].tgt, inv.slack) = (1, 0.2));
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+        node.invocations
+            .entry(ID)
+            .and_modify(|invocation| (invocation.forwards[0].executor_index, invocation.slack) = (1, 0.2));
         node.on_alive(2.0 + f64::from(at), ID, 0);
     }
     assert!((node.spill_probability - left).abs() < 1e-6, "{}", node.spill_probability);
@@ -683,9 +707,9 @@
 fn two_draws_share_one_pool() {
     // CPU per invocation must not grow with the fleet: both draws are from the same pool, by share.
     let mut node = node_without_reports(Effect::Idempotent, 30);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     node.solve(1.0);
-    let drawn: Vec<Vec<Tgt>> = (0..200).map(|_| node.draw_executors(1.0, ID, 2)).collect();
+    let drawn: Vec<Vec<ExecutorIndex>> = (0..200).map(|_| node.draw_executors(1.0, ID, 2)).collect();
     assert!(drawn.iter().all(|two| two.len() == 2 && two.iter().all(|&i| i < 30)));
     assert!(drawn.iter().filter(|two| two[0] == two[1]).count() < 20, "the draws are independent");
 }
@@ -696,25 +720,25 @@
     node.peer_last_heard = vec![0.0];
 }
 
-/// Node 0 of four, which counts for executors 0 and 4 (marks equal indexes), with two slots each.
+/// Node 0 of four, which counts for executors 0 and 4 (stable ids equal indexes), with two slots each.
 fn counting_node_fixture(many: usize) -> Node {
     let mut node = node(Effect::Idempotent, many);
     (node.settings.peers, node.settings.probing, node.settings.reports) = (true, true, Reports::Answers);
-    node.executors
-        .iter_mut()
-        .enumerate()
-        .for_each(|(i, t)| (t.entry.mark, t.slots, t.queried_at, t.reported_at) = (i as u32, 2.0, 0.9, 0.9));
+    node.executors.iter_mut().enumerate().for_each(|(i, t)| {
+        (t.entry.stable_id, t.slots, t.queried_at, t.reported_at) = (i as u32, 2.0, 0.9, 0.9)
+    });
     node
 }
 
 #[test]
 fn a_slot_is_granted_once_until_the_grant_expires() {
     let (mut node, mut out) = (counting_node_fixture(5), Vec::new());
-    node.on_peer_message(1.0, 3, Told::Held, 4, 1, &mut out);
+    node.on_peer_message(1.0, 3, PeerMessageKind::Held, 4, 1, &mut out);
     for from in [1, 2] {
-        node.on_peer_message(1.0, from, Told::Asks, 4, 0, &mut out);
+        node.on_peer_message(1.0, from, PeerMessageKind::Query, 4, 0, &mut out);
     }
-    let answer = |to, count| Output::Tell { to, told: Told::Room, tgt: 4, count };
+    let answer =
+        |to, count| Output::SendToPeer { to, kind: PeerMessageKind::FreeSlots, executor_index: 4, count };
     assert_eq!(out, [answer(1, 1), answer(2, 0)]);
     assert_eq!(node.available_slots(1.2, &node.executors[4]), Some(1.0), "the grants were not used");
 }
@@ -730,7 +754,7 @@
     let mut node = node(Effect::Idempotent, many);
     (node.settings.probing, node.settings.reports, node.settings.connection_price) =
         (asked, Reports::Answers, price);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.executors[0].connections) = (1, 1);
     assert_eq!(settle_forward(&mut node, 2.0, outcome).contains(&Output::Release(0)), closed);
 }
@@ -741,10 +765,10 @@
 fn unusual_fleets_get_an_answer(many: usize, started: f64) {
     let (mut node, mut out) = (node(Effect::NonIdempotent, 0), Vec::new());
     (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
-    let list = (0..many).map(|tgt| entry(tgt, Standing::Ready, started)).collect();
+    let list = (0..many).map(|executor_index| entry(executor_index, Standing::Ready, started)).collect();
     node.handle(1.0, Input::List(List::Whole(list)), &mut out);
     node.handle(1.0, Input::Submitted(submission(3.0, 0)), &mut out);
-    (0..40).for_each(|i| node.handle(1.0 + 0.1 * f64::from(i), Input::Timer(LOOK), &mut out));
+    (0..40).for_each(|i| node.handle(1.0 + 0.1 * f64::from(i), Input::Timer(DISPATCH_TIMER), &mut out));
     assert!(out.contains(&Output::Throttle { id: ID, pause: 0.0 }) && node.invocations.is_empty(), "{out:?}");
 }
 
@@ -756,7 +780,7 @@
     assert_eq!(node.available_slots(1.1, &node.executors[1]), Some(0.0), "no answer counts as no free slot");
     node.query_load(2.0, 1, &mut out);
     node.query_load(2.0, 0, &mut out);
-    let question = Output::Tell { to: 1, told: Told::Asks, tgt: 1, count: 0 };
+    let question = Output::SendToPeer { to: 1, kind: PeerMessageKind::Query, executor_index: 1, count: 0 };
     assert_eq!(out, [question, Output::Probe(1), Output::Probe(0)]);
 }
 
@@ -764,7 +788,7 @@
 fn a_large_fleet_is_drawn_from_two_at_a_time() {
     let (mut node, mut out) = (node(Effect::Idempotent, 30), Vec::new());
     (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     assert_eq!((node.find_placement(2.0, ID, &mut out), out.len()), (Placement::Later, 2));
     let asked = node.invocations[&ID].candidates.clone();
     assert_eq!(
@@ -782,15 +806,17 @@
 
 #[test_case(0, 2.5; "own zone, three held each: 1.5 times the mean, plus one")]
 #[test_case(1, 1.0; "another zone, nothing held")]
-fn the_mean_held_is_kept_per_zone(tgt: Tgt, room: f64) {
+fn the_mean_held_is_kept_per_zone(executor_index: ExecutorIndex, room: f64) {
     // As work stays in the own zone, it would look full beside zones where nothing is held.
-    let set = Settings { cross_zone_price: 0.2, tells_start: true, ..node(Effect::Idempotent, 0).settings };
+    let set =
+        Settings { cross_zone_price: 0.2, reports_starts: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
-    let zoned = |tgt| Entry { zone: tgt % 2, ..entry(tgt, Standing::Ready, 0.0) };
+    let zoned =
+        |executor_index| Entry { zone: executor_index % 2, ..entry(executor_index, Standing::Ready, 0.0) };
     node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
     (0..4).for_each(|i| (node.executors[2 * i].held, node.executors[2 * i].running) = (3, 3));
     node.solve(1.0);
-    assert_eq!(node.available_slots(1.0, &node.executors[tgt]), Some(room));
+    assert_eq!(node.available_slots(1.0, &node.executors[executor_index]), Some(room));
 }
 
 #[test_case(0.2, 0.0, 0.05, 0; "an expensive crossing waits while the own zone starts in time")]
@@ -799,14 +825,18 @@
 fn without_reports_crossings_grow_as_the_own_zone_fills(price: f64, first: f64, wait: f64, crosses: usize) {
     // Crossings may cost more than they gain: without load reports, three in four invocations went to other
     // zones.
-    let set = Settings { cross_zone_price: price, tells_start: true, ..node(Effect::Idempotent, 0).settings };
+    let set =
+        Settings { cross_zone_price: price, reports_starts: true, ..node(Effect::Idempotent, 0).settings };
     let (mut node, mut out) = (Node::new(set, 5), Vec::new());
-    let zoned = |tgt| Entry { zone: usize::from(tgt > 0), ..entry(tgt, Standing::Ready, 0.0) };
+    let zoned = |executor_index| Entry {
+        zone: usize::from(executor_index > 0),
+        ..entry(executor_index, Standing::Ready, 0.0)
+    };
     node.on_list(0.0, List::Whole((0..8).map(zoned).collect()), &mut out);
     assert!((node.spill_probability - first).abs() < 1e-9 && node.own_zone_count == 1);
     for _ in 0..60 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-        node.invocations.entry(ID).and_modify(|inv| inv.slack = 1.0);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+        node.invocations.entry(ID).and_modify(|invocation| invocation.slack = 1.0);
         node.on_alive(1.0 + wait, ID, 0);
     }
     (node.mean_value, node.invocations) = (1.0, BTreeMap::new());
@@ -832,13 +862,14 @@
 ) {
     // A few such jobs would crash several executors each.
     let mut node = node(Effect::Idempotent, 3);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-    (node.executors[0].held, node.settings.tells_start) = (1, tells);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+    (node.executors[0].held, node.settings.reports_starts) = (1, tells);
     began.into_iter().for_each(|began| node.on_alive(began, ID, 0));
     let mut out = settle_forward(&mut node, 2.0, outcome);
     node.dispatch_waiting(2.0, &mut out);
-    let (sent, refused) = (Output::Forward { id: ID, tgt: 1 }, Output::Throttle { id: ID, pause: 0.0 });
-    let sent = out.contains(&sent) || out.contains(&Output::Forward { id: ID, tgt: 2 });
+    let (sent, refused) =
+        (Output::Forward { id: ID, executor_index: 1 }, Output::Throttle { id: ID, pause: 0.0 });
+    let sent = out.contains(&sent) || out.contains(&Output::Forward { id: ID, executor_index: 2 });
     assert_eq!((sent, out.contains(&refused)), (again, !again), "{out:?}");
 }
 
@@ -847,12 +878,12 @@
 fn a_second_executor_shows_whether_an_error_is_the_jobs_fault(second: Outcome, served: bool, blame: f64) {
     // Jobs that fail everywhere would make all executors doubtful and take five forwards each.
     let mut node = node(Effect::Idempotent, 3);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.job_fault_rate) = (1, 0.0);
     settle_forward(&mut node, 2.0, Outcome::Errored);
-    node.invocations.entry(ID).and_modify(|inv| {
-        inv.state = InvState::InFlightUncertain;
-        inv.forwards.push(Forward::new(1, 2.0));
+    node.invocations.entry(ID).and_modify(|invocation| {
+        invocation.state = InvocationState::InFlightUncertain;
+        invocation.forwards.push(Forward::new(1, 2.0));
     });
     node.waiting.clear();
     let report = Report::default();
@@ -873,12 +904,14 @@
 fn a_cold_executor_is_preferred_in_its_turn(age: f64, load: f64, spare: f64, first: bool) {
     // Where many nodes take turns, executors would stand idle until they are warm.
     let mut node = node(Effect::Idempotent, 20);
-    (node.settings.me, node.settings.nodes, node.settings.cold.start) = (2, 100, 0.12);
+    (node.settings.node_index, node.settings.nodes, node.settings.cold.start) = (2, 100, 0.12);
     node.solve(50.0);
     (node.executors[7].entry.started, node.executors[7].slots) = (50.0, 4.0);
     let drawn = (0..20).filter(|_| {
-        add(&mut node, InvState::Waiting, &[]);
-        node.invocations.entry(ID).and_modify(|inv| (inv.load, inv.slack) = (load, spare));
+        add(&mut node, InvocationState::Waiting, &[]);
+        node.invocations
+            .entry(ID)
+            .and_modify(|invocation| (invocation.load, invocation.slack) = (load, spare));
         node.draw_executors(50.0 + age, ID, 1) == [7]
     });
     assert_eq!(drawn.count() == 20, first);
@@ -890,8 +923,8 @@
     // some.
     let (mut node, mut out) = (node(Effect::Idempotent, 30), Vec::new());
     (node.settings.probing, node.settings.reports) = (true, Reports::Answers);
-    add(&mut node, InvState::Waiting, &[]);
-    node.invocations.entry(ID).and_modify(|inv| inv.load = 30.0);
+    add(&mut node, InvocationState::Waiting, &[]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.load = 30.0);
     (0..28).for_each(|i| node.executors[i].reported_at = 2.0);
     (node.executors[28].entry.started, node.executors[28].slots) = (1.0, 2.0); // Cold: not for so much work.
     node.find_placement(2.0, ID, &mut out);
@@ -904,7 +937,7 @@
     let (mut node, mut out) = (node(Effect::Idempotent, many), Vec::new());
     node.on_solve_timer(1.0, &mut out);
     assert!(
-        matches!(out.last(), Some(Output::Wake { after, .. }) if (after - expected).abs() < 1e-9),
+        matches!(out.last(), Some(Output::SetTimer { after, .. }) if (after - expected).abs() < 1e-9),
         "{out:?}"
     );
 }
@@ -921,24 +954,24 @@
     assert!(play() == play() && !play().is_empty());
 }
 
-#[test_case(Effect::Idempotent, InvState::Waiting, 1.0, None; "work that finishes in time is still sent")]
-#[test_case(Effect::Idempotent, InvState::Waiting, 9.0, Some(true); "work that would not finish is given back")]
-#[test_case(Effect::NonIdempotent, InvState::Waiting, 9.0, Some(true); "it never ran, so the client may retry")]
-#[test_case(Effect::NonIdempotent, InvState::Uncertain, 9.0, Some(false); "it may have run, so it ends with an error")]
+#[test_case(Effect::Idempotent, InvocationState::Waiting, 1.0, None; "work that finishes in time is still sent")]
+#[test_case(Effect::Idempotent, InvocationState::Waiting, 9.0, Some(true); "work that would not finish is given back")]
+#[test_case(Effect::NonIdempotent, InvocationState::Waiting, 9.0, Some(true); "it never ran, so the client may retry")]
+#[test_case(Effect::NonIdempotent, InvocationState::Uncertain, 9.0, Some(false); "it may have run, so it ends with an error")]
 fn a_stop_gives_back_invocations_that_would_not_finish(
     effect: Effect,
-    state: InvState,
+    state: InvocationState,
     load: f64,
     throttled: Option<bool>,
 ) {
     let mut node = node(effect, 4);
     let forward_states: &[ForwardState] =
-        if state == InvState::Uncertain { &[ForwardState::MayHaveRun] } else { &[] };
+        if state == InvocationState::Uncertain { &[ForwardState::MayHaveRun] } else { &[] };
     add(&mut node, state, forward_states);
     node.settings.max_pause = 2.0;
-    node.invocations.entry(ID).and_modify(|inv| inv.load = load);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.load = load);
     let mut out = Vec::new();
-    node.handle(2.0, Input::Leaving(5.0), &mut out);
+    node.handle(2.0, Input::Stopping(5.0), &mut out);
     let paused = out.iter().find_map(|o| match o {
         Output::Throttle { pause, .. } => Some(*pause == 0.0),
         Output::Error { .. } => Some(false),
@@ -959,7 +992,9 @@
     node.handle(2.0, Input::Submitted(submission(30.0, 0)), &mut out);
     assert_eq!(out.iter().any(|o| matches!(o, Output::Forward { .. })), sent, "{out:?}");
     assert!(
-        node.invocations.values().all(|inv| inv.end == 5.0 && inv.latest_start > 2.0),
+        node.invocations
+            .values()
+            .all(|invocation| invocation.deadline == 5.0 && invocation.latest_start > 2.0),
         "{:?}",
         node.invocations
     );
@@ -968,7 +1003,7 @@
 #[test]
 fn waiting_invocations_are_answered_when_a_stop_ends() {
     let mut node = node(Effect::NonIdempotent, 0);
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     node.begin_stop(4.0);
     let mut out = Vec::new();
     node.expire_waiting(4.0 - ANSWER_MARGIN, &mut out);
@@ -985,12 +1020,13 @@
     let mut node = node(Effect::Idempotent, 4);
     node.settings.max_pause = 2.0;
     node.settings.operations[0].late_value = late_value;
-    add(&mut node, InvState::Waiting, &[]);
-    let set =
-        |inv: &mut Inv| (inv.latest_start, inv.slack, inv.no_more_forwards) = (2.0 - late, 0.2, hopeless);
+    add(&mut node, InvocationState::Waiting, &[]);
+    let set = |invocation: &mut Invocation| {
+        (invocation.latest_start, invocation.slack, invocation.no_more_forwards) = (2.0 - late, 0.2, hopeless)
+    };
     node.invocations.entry(ID).and_modify(set);
     let mut out = Vec::new();
-    node.transition(1.0, ID, InvEvent::GaveUp, &mut out);
+    node.transition(1.0, ID, InvocationEvent::GaveUp, &mut out);
     let is_expected = |pause: f64| (0.5 * most..=most).contains(&pause);
     assert!(matches!(out[..], [Output::Throttle { pause, .. }] if is_expected(pause)), "{out:?}");
 }
@@ -1000,10 +1036,10 @@
 fn a_stop_keeps_the_pause_of_expired_invocations(now: f64, paused: bool) {
     let mut node = node(Effect::Idempotent, 0);
     node.settings.max_pause = 2.0;
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     node.begin_stop(9.0);
     let mut out = Vec::new();
-    node.transition(now, ID, InvEvent::GaveUp, &mut out);
+    node.transition(now, ID, InvocationEvent::GaveUp, &mut out);
     assert!(matches!(out[..], [Output::Throttle { pause, .. }] if (pause >= 1.0) == paused), "{out:?}");
 }
 
@@ -1012,13 +1048,14 @@
 #[test_case(8, 8, &[]; "all fail alike: none is doubtful")]
 #[test_case(1, 8, &[0]; "one fails: it is doubtful")]
 #[test_case(4, 8, &[0, 1, 2, 3]; "half of them fail: the better half is the reference")]
-fn doubt_is_relative_to_the_better_executors(failing: usize, many: usize, doubted: &[Tgt]) {
+fn doubt_is_relative_to_the_better_executors(failing: usize, many: usize, doubted: &[ExecutorIndex]) {
     let mut node = node(Effect::Idempotent, many);
     for t in &mut node.executors[..failing] {
         (t.overall.successes, t.overall.failures) = (1.0, 4.0);
     }
     node.on_solve_timer(0.3, &mut Vec::new());
-    let found: Vec<Tgt> = (0..many).filter(|&tgt| node.executors[tgt].doubtful).collect();
+    let found: Vec<ExecutorIndex> =
+        (0..many).filter(|&executor_index| node.executors[executor_index].doubtful).collect();
     assert_eq!(found, doubted);
 }
 
@@ -1030,7 +1067,7 @@
     let mut node = node(Effect::Idempotent, 4);
     (node.settings.cancelling, node.settings.probing, node.settings.reports) = (true, true, Reports::Answers);
     node.degraded_until = fog;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     let mut out = Vec::new();
     node.on_unacknowledged(2.0, ID, 0, &mut out);
     assert_eq!(out.contains(&Output::Withdraw { id: ID, forward: 0 }), withdrawn);
@@ -1051,7 +1088,7 @@
 /// A node without load reports that knows only the outcomes and starts of its own forwards.
 fn node_without_reports(effect: Effect, many: usize) -> Node {
     let mut node = node(effect, many);
-    (node.settings.tells_start, node.settings.progress, node.settings.cancelling) = (true, 1.0, true);
+    (node.settings.reports_starts, node.settings.progress, node.settings.cancelling) = (true, 1.0, true);
     node
 }
 
@@ -1061,11 +1098,11 @@
     // Draws without load reports may hit full executors while others are idle.
     let mut node = node_without_reports(Effect::Idempotent, 30);
     node.settings.connection_price = 1.0;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     (node.executors[0].held, node.executors[0].connections) = (1, 1);
     node.on_alive(1.0 + wait, ID, 0);
     let released = settle_forward(&mut node, 2.0, Outcome::Succeeded).contains(&Output::Release(0));
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     let drawn = (0..99).filter(|_| node.draw_executors(2.0, ID, 1) == [0]).count();
     assert_eq!((drawn == 99, released), (again, !again), "{drawn}");
 }
@@ -1079,8 +1116,8 @@
     node.executors[3].entry.zone = 1;
     node.executors.iter_mut().enumerate().for_each(|(i, t)| t.entry.size = if i < 10 { 3.0 } else { 1.0 });
     node.solve(0.0);
-    add(&mut node, InvState::Waiting, &[]);
-    let drawn: Vec<Tgt> = (0..300).flat_map(|_| node.draw_executors(1.0, ID, 1)).collect();
+    add(&mut node, InvocationState::Waiting, &[]);
+    let drawn: Vec<ExecutorIndex> = (0..300).flat_map(|_| node.draw_executors(1.0, ID, 1)).collect();
     let (own, large) = (drawn.iter().filter(|i| **i == 3).count(), drawn.iter().filter(|i| **i < 10).count());
     assert!(own < 60 && large > 200, "{own} {large}");
 }
@@ -1128,7 +1165,7 @@
     (node.executors[1].started_at_once, node.executors[1].held) = (kept, held);
     let mut out = Vec::new();
     node.handle(5.0, Input::Submitted(submission(9.0, 0)), &mut out);
-    let sent = out.iter().any(|o| matches!(o, Output::Forward { tgt: 1, .. }));
+    let sent = out.iter().any(|o| matches!(o, Output::Forward { executor_index: 1, .. }));
     assert_eq!((sent, out.contains(&Output::Throttle { id: ID, pause: 0.0 })), (taken, !taken), "{out:?}");
 }
 
@@ -1136,9 +1173,12 @@
 fn a_grant_expires_while_other_nodes_keep_querying() {
     // If queries come more often than a grant expires, all slots could stay granted forever.
     let (mut node, mut out) = (counting_node_fixture(5), Vec::new());
-    (0..20).for_each(|i| node.on_peer_message(1.0 + 0.02 * f64::from(i), 1, Told::Asks, 4, 0, &mut out));
-    let granted =
-        out.iter().filter(|o| matches!(o, Output::Tell { told: Told::Room, count, .. } if *count > 0));
+    (0..20).for_each(|i| {
+        node.on_peer_message(1.0 + 0.02 * f64::from(i), 1, PeerMessageKind::Query, 4, 0, &mut out)
+    });
+    let granted = out.iter().filter(
+        |o| matches!(o, Output::SendToPeer { kind: PeerMessageKind::FreeSlots, count, .. } if *count > 0),
+    );
     assert!(granted.count() >= 8, "{out:?}");
 }
 
@@ -1148,15 +1188,15 @@
     // it.
     let order = |seed: u64, now: f64| {
         let mut node = node(Effect::Idempotent, 30);
-        (node.rng, node.settings.probing, node.settings.reports) =
-            (Chance::new(seed), true, Reports::Answers);
-        node.executors
-            .iter_mut()
-            .for_each(|t| (t.entry.mark, t.share) = (t.entry.tgt as u32, 1.0 + (t.entry.tgt % 3) as f64));
-        add(&mut node, InvState::Waiting, &[]);
-        node.invocations
-            .entry(ID)
-            .and_modify(|inv| (inv.key, inv.latest_start, inv.slack) = (Some(99), 2.0, 1.0));
+        (node.rng, node.settings.probing, node.settings.reports) = (Rng::new(seed), true, Reports::Answers);
+        node.executors.iter_mut().for_each(|t| {
+            (t.entry.stable_id, t.share) =
+                (t.entry.executor_index as u32, 1.0 + (t.entry.executor_index % 3) as f64)
+        });
+        add(&mut node, InvocationState::Waiting, &[]);
+        node.invocations.entry(ID).and_modify(|invocation| {
+            (invocation.key, invocation.latest_start, invocation.slack) = (Some(99), 2.0, 1.0)
+        });
         node.candidates(now, ID)
     };
     assert_eq!(order(1, 1.9), order(2, 1.9));
@@ -1176,7 +1216,7 @@
         None,
         "its own report does not include what others send"
     );
-    node.on_peer_message(2.0, 1, Told::Room, 1, 2, &mut out);
+    node.on_peer_message(2.0, 1, PeerMessageKind::FreeSlots, 1, 2, &mut out);
     assert_eq!(
         (node.available_slots(2.0, &node.executors[1]), node.admits_while_cold(2.0, &node.executors[1], 1.0)),
         (Some(2.0), true)
@@ -1194,7 +1234,7 @@
     // Two heavy jobs, each in a free slot, can overload a cold executor.
     let (mut node, mut out) = (counting_node_fixture(5), Vec::new());
     (node.executors[1].entry.started, node.executors[1].slots) = (1.0, 2.0);
-    node.on_peer_message(2.0, 1, Told::Room, 1, 2, &mut out);
+    node.on_peer_message(2.0, 1, PeerMessageKind::FreeSlots, 1, 2, &mut out);
     assert_eq!(node.admits_while_cold(2.0, &node.executors[1], load), room);
 }
 
@@ -1204,11 +1244,11 @@
     // A short timeout must not be taken for a late retry; without time left for its objective it is given up
     // at once.
     let (mut node, mut out) = (node(Effect::Idempotent, 2), Vec::new());
-    node.settings.marks_again = true;
+    node.settings.clients_mark_retries = true;
     node.handle(1.0, Input::Submitted(Submission { id: 1, ..submission(9.0, 0) }), &mut out);
     node.last_inputs = [1.9, 1.95];
     out.clear();
-    node.on_submitted(2.0, Submission { again, ..submission(0.8, 0) }, &mut out);
+    node.on_submitted(2.0, Submission { is_retry: again, ..submission(0.8, 0) }, &mut out);
     assert_eq!((node.invocations.contains_key(&ID), out.is_empty()), (taken, taken));
 }
 
@@ -1231,8 +1271,8 @@
     make_sole_node(&mut node);
     (node.executors[0].slots, node.executors[0].foreign_memory, node.executors[0].own_report_at) =
         (2.0, 1.5, 3.0 - age);
-    add(&mut node, InvState::Waiting, &[]);
-    node.invocations.entry(ID).and_modify(|inv| inv.memory = 1.0);
+    add(&mut node, InvocationState::Waiting, &[]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.memory = 1.0);
     assert_eq!(node.find_placement(3.0, ID, &mut out), placement);
 }
 
@@ -1245,16 +1285,16 @@
     for i in 1..30 {
         node.handle(
             1.0 + 0.1 * f64::from(i),
-            Input::Timer(if i % 2 == 0 { SOLVE_TIMER } else { LOOK }),
+            Input::Timer(if i % 2 == 0 { SOLVE_TIMER } else { DISPATCH_TIMER }),
             &mut out,
         );
     }
     let sent = |out: &[Output]| out.iter().filter(|o| matches!(o, Output::Forward { .. })).count();
     assert_eq!(sent(&out), 1);
-    node.handle(4.0, Input::Unheard { id: ID, forward: 0 }, &mut out);
+    node.handle(4.0, Input::Unacknowledged { id: ID, forward: 0 }, &mut out);
     assert_eq!((sent(&out), out.contains(&Output::Withdraw { id: ID, forward: 0 })), (1, true));
     out.extend(settle_forward(&mut node, 4.1, Outcome::Cancelled));
-    node.handle(4.1, Input::Timer(LOOK), &mut out);
+    node.handle(4.1, Input::Timer(DISPATCH_TIMER), &mut out);
     assert_eq!(sent(&out), 2);
 }
 
@@ -1262,8 +1302,8 @@
 fn overdue_forwards_raise_the_price_before_they_start() {
     // With queues of several seconds the price would have decayed again before late starts are reported.
     let mut node = node_without_reports(Effect::Idempotent, 3);
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
-    node.invocations.entry(ID).and_modify(|inv| inv.slack = 0.4);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
+    node.invocations.entry(ID).and_modify(|invocation| invocation.slack = 0.4);
     let prices = [1.1, 1.3, 1.5].map(|now| {
         node.on_solve_timer(now, &mut Vec::new());
         node.price
@@ -1276,8 +1316,8 @@
     // Where starts are not reported, the first progress message comes a second after the start at best and
     // must not raise the price.
     let mut node = node_without_reports(Effect::Idempotent, 3);
-    node.settings.tells_start = false;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    node.settings.reports_starts = false;
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     node.on_alive(3.0, ID, 0);
     assert_eq!((node.price, node.util, node.invocations[&ID].forwards[0].wait), (0.0, 0.5, Some(0.0)));
 }
@@ -1288,7 +1328,7 @@
     let mut node = node_without_reports(Effect::Idempotent, 3);
     settle_forward(&mut node, 1.5, Outcome::Full);
     assert_eq!(node.price, 0.0, "nothing was in flight");
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     settle_forward(&mut node, 2.0, Outcome::Full);
     settle_forward(&mut node, 2.5, Outcome::Full);
     assert_eq!(node.price, 0.5);
@@ -1327,7 +1367,7 @@
     node.settings.operations[0].effect = effect;
     node.typical_priority = 2.0;
     node.further_sent.0.extend(vec![1.5; (4.0 - left) as usize]);
-    add(&mut node, InvState::Uncertain, &[forward_state]);
+    add(&mut node, InvocationState::Uncertain, &[forward_state]);
     let got = node.find_placement(2.0, ID, &mut Vec::new());
     assert_eq!(matches!(got, Placement::Here(_)), matches!(placement, Placement::Here(_)), "{got:?}");
 }
@@ -1339,36 +1379,39 @@
     node.handle(1.0, Input::Submitted(submission(9.0, 0)), &mut Vec::new());
     assert_eq!((node.accepted.0.len(), node.further_sent.0.len()), (2, 0));
     settle_forward(&mut node, 1.1, Outcome::Full);
-    node.handle(1.2, Input::Timer(LOOK), &mut Vec::new());
+    node.handle(1.2, Input::Timer(DISPATCH_TIMER), &mut Vec::new());
     assert_eq!((node.invocations[&ID].forwards.len(), node.further_sent.0.len()), (2, 1));
 }
 
 // After a 'full' answer a job was sent on to an executor of another cell, although it may have begun at the
 // first.
-#[test_case(Effect::NonIdempotent, false, InvState::InFlight; "proof that it has not run")]
-#[test_case(Effect::NonIdempotent, true, InvState::Ended; "no proof where executors shed work that has begun")]
-#[test_case(DEDUP_CELL, true, InvState::InFlightUncertain; "deduplicated work stays in its group")]
-fn trusts_a_full_answer_as_the_settings_say(effect: Effect, late_shedding: bool, state: InvState) {
+#[test_case(Effect::NonIdempotent, false, InvocationState::InFlight; "proof that it has not run")]
+#[test_case(Effect::NonIdempotent, true, InvocationState::Ended; "no proof where executors shed work that has begun")]
+#[test_case(DEDUP_CELL, true, InvocationState::InFlightUncertain; "deduplicated work stays in its group")]
+fn trusts_a_full_answer_as_the_settings_say(effect: Effect, late_shedding: bool, state: InvocationState) {
     let mut node = node(effect, 6);
     node.settings.full_may_have_run = late_shedding;
-    add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+    add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
     node.executors[0].held = 1;
     let mut out = settle_forward(&mut node, 1.2, Outcome::Full);
     node.executors.iter_mut().skip(2).for_each(|t| t.held = 9); // None with room but in its own cell.
     node.dispatch_waiting(1.3, &mut out);
-    assert_eq!(node.invocations.get(&ID).map_or(InvState::Ended, |inv| inv.state), state);
+    assert_eq!(
+        node.invocations.get(&ID).map_or(InvocationState::Ended, |invocation| invocation.state),
+        state
+    );
     assert!(!out.iter().any(|o| matches!(o, Output::Throttle { .. })), "{out:?}");
-    assert_eq!(out.contains(&Output::Error { id: ID }), state == InvState::Ended);
+    assert_eq!(out.contains(&Output::Error { id: ID }), state == InvocationState::Ended);
 }
 
 // Reports a second old showed free slots that were taken: score 0.571 instead of 0.976.
 #[test]
 fn reports_of_free_slots_that_are_missing_are_ignored() {
     let mut node = node(Effect::Idempotent, 30);
-    (node.settings.probing, node.settings.reports, node.settings.tells_start) =
+    (node.settings.probing, node.settings.reports, node.settings.reports_starts) =
         (true, Reports::Answers, true);
     for at in 0..30 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         node.invocations.get_mut(&ID).expect("added").forwards[0].had_reported_slot = true;
         let still = node.can_query_load();
         node.on_alive(1.0 + 0.5 * f64::from(u8::from(at % 3 > 0)), ID, 0);
@@ -1381,9 +1424,10 @@
 
 /// Adds a forward of `ID` to executor 0, sent at 1, that should start at once.
 fn add_expected_start(node: &mut Node, kept: bool) {
-    add(node, InvState::InFlight, &[ForwardState::InFlight]);
-    let inv = node.invocations.get_mut(&ID).expect("added");
-    (inv.slack, inv.forwards[0].expected_at_once, inv.forwards[0].reused_connection) = (1.0, true, kept);
+    add(node, InvocationState::InFlight, &[ForwardState::InFlight]);
+    let invocation = node.invocations.get_mut(&ID).expect("added");
+    (invocation.slack, invocation.forwards[0].expected_at_once, invocation.forwards[0].reused_connection) =
+        (1.0, true, kept);
     (node.executors[0].held, node.executors[0].connections, node.executors[0].started_at_once) = (1, 1, true);
     node.awaiting_start.insert(ID);
 }
@@ -1407,7 +1451,7 @@
         node.connection_records
     );
     assert_eq!(out.contains(&Output::Release(3)), way == REUSED, "all idle ones are closed");
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     (node.executors[3].connections, node.executors[3].idle_since) = (1, 1.5);
     let there = (0..99).filter(|_| node.draw_executors(2.0, ID, 1) == [3]).count();
     assert_eq!(there == 99, way == NEW, "{there}");
@@ -1436,7 +1480,7 @@
     let mut node = node_without_reports(Effect::Idempotent, 1);
     node.settings.idle = 10.0;
     for (now, stale) in [(5.0, false), (9.5, true)] {
-        add(&mut node, InvState::Waiting, &[]);
+        add(&mut node, InvocationState::Waiting, &[]);
         (node.executors[0].connections, node.executors[0].held, node.executors[0].idle_since) = (1, 0, 0.0);
         let mut out = Vec::new();
         node.send_forward(now, ID, 0, &mut out);
@@ -1453,12 +1497,12 @@
     node.operation_stats.push(TrafficStats::default());
     node.executors[0].operation_record(1).add_success(1.0, MAX_SUCCESSES, false);
     for _ in 0..3 {
-        add(&mut node, InvState::InFlight, &[ForwardState::InFlight]);
+        add(&mut node, InvocationState::InFlight, &[ForwardState::InFlight]);
         node.executors[0].held = 1;
         settle_forward(&mut node, 1.5, Outcome::TimedOut);
         node.invocations.clear();
     }
-    add(&mut node, InvState::Waiting, &[]);
+    add(&mut node, InvocationState::Waiting, &[]);
     let able = |node: &Node| node.can_send(2.0, &node.invocations[&ID], &node.executors[0]);
     assert!(!able(&node) && !node.executors[0].doubtful);
     node.invocations.get_mut(&ID).expect("added").op = 1;
@@ -1505,15 +1549,15 @@
     (node.settings.second_copies, node.never_started_rate, node.typical_priority) = (true, 0.9, -1.0);
     node.settings.budget = Some(Budget { floor: 1.0, share: 0.0, span: 5.0 });
     add_expected_start(&mut node, false);
-    node.handle(1.6, Input::Timer(LOOK), &mut Vec::new());
+    node.handle(1.6, Input::Timer(DISPATCH_TIMER), &mut Vec::new());
     assert_eq!(
         (node.invocations[&ID].forwards.len(), node.invocations[&ID].state),
-        (2, InvState::InFlightUncertain)
+        (2, InvocationState::InFlightUncertain)
     );
     let out = settle_forward(&mut node, 1.8, Outcome::Succeeded);
     assert!(out.contains(&Output::Withdraw { id: ID, forward: 1 }), "{out:?}");
     add_expected_start(&mut node, false);
-    node.handle(2.6, Input::Timer(LOOK), &mut Vec::new());
+    node.handle(2.6, Input::Timer(DISPATCH_TIMER), &mut Vec::new());
     assert_eq!(node.invocations[&ID].forwards.len(), 1, "no budget is left");
 }
 
@@ -1554,9 +1598,13 @@
 #[test_case(None, 6.0; "up to some seconds")]
 #[test_case(Some(2.0), 1.8; "but before the node counts as informed")]
 fn asks_for_the_list_before_it_counts_as_told(within: Option<f64>, latest: f64) {
-    let asked = |me| {
-        let (mut node, mut out) = (polling_node(me, 400, within), Vec::new());
-        node.on_list(0.0, List::Kept(vec![entry(0, Standing::Ready, 0.0)], KeptAge::Unsaid), &mut out);
+    let asked = |node_index| {
+        let (mut node, mut out) = (polling_node(node_index, 400, within), Vec::new());
+        node.on_list(
+            0.0,
+            List::Initial(vec![entry(0, Standing::Ready, 0.0)], InitialListAge::Unspecified),
+            &mut out,
+        );
         list_call_wait(&out)
     };
     let after: Vec<f64> = (0..400).filter_map(asked).collect();
@@ -1569,9 +1617,9 @@
 #[test_case(0.2, false; "reported slots are often taken: nodes take turns")]
 fn a_cold_executor_whose_room_is_raced_for_takes_turns(empty: f64, open: bool) {
     let mut node = node(Effect::Idempotent, 1);
-    (node.settings.probing, node.settings.reports, node.settings.tells_start) =
+    (node.settings.probing, node.settings.reports, node.settings.reports_starts) =
         (true, Reports::Answers, true);
-    (node.settings.nodes, node.settings.me, node.missing_slot_rate, node.util) = (400, 7, empty, 0.9);
+    (node.settings.nodes, node.settings.node_index, node.missing_slot_rate, node.util) = (400, 7, empty, 0.9);
     node.apply_entry(99.0, entry(0, Standing::Ready, 99.0));
     let t = &mut node.executors[0];
     (t.slots, t.free, t.reported_at, t.queried_at) = (4.0, 4.0, 100.0, 99.9);
@@ -1582,7 +1630,7 @@
 #[test]
 fn reports_are_believed_less_until_starts_show() {
     // A restarted node must not rely on the first free slots reported to it.
-    let settings = |tells_start| Settings { tells_start, ..Settings::default() };
+    let settings = |reports_starts| Settings { reports_starts, ..Settings::default() };
     assert!(
         Node::new(settings(true), 1).missing_slot_rate > MAX_RACED_RATE
             && Node::new(settings(true), 1).missing_slot_rate < MAX_MISSING_RATE
--- a/src/adopt.rs
+++ b/src/reconfigure.rs
@@ -6,7 +6,7 @@
 
 /// A new entry of the operations (`to`), and the entry whose name it takes over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Moved {
+pub struct OperationMapping {
     pub from: Option<usize>,
     pub to: usize,
 }
@@ -14,10 +14,15 @@
 impl Node {
     /// Replaces the settings; jobs in progress keep their entries. `tenants`: the previous index of each
     /// tenant.
-    pub fn adopt(&mut self, settings: Settings, moved: &[Moved], tenants: &[Option<usize>]) {
+    pub fn replace_settings(
+        &mut self,
+        settings: Settings,
+        mappings: &[OperationMapping],
+        tenants: &[Option<usize>],
+    ) {
         self.operation_stats
             .resize(self.operation_stats.len().max(settings.operations.len()), TrafficStats::default());
-        for &Moved { from, to } in moved {
+        for &OperationMapping { from, to } in mappings {
             self.operation_stats[to] = from.map_or(TrafficStats::default(), |from| {
                 let old = &mut self.operation_stats[from];
                 // New invocations use the new entry, which has seen no client timeout yet.
@@ -27,7 +32,7 @@
         }
         let previous = |from: &Option<usize>| from.and_then(|from| self.tenant_stats.get(from)).cloned();
         self.tenant_stats = tenants.iter().map(|from| previous(from).unwrap_or_default()).collect();
-        self.peer_last_heard.resize(settings.nodes.max(settings.me + 1), 0.0);
+        self.peer_last_heard.resize(settings.nodes.max(settings.node_index + 1), 0.0);
         self.settings = settings;
     }
 
@@ -46,12 +51,12 @@
     }
 
     /// Whether a job, or a forward in flight, uses this entry of the operations.
-    pub fn has(&self, operation: usize) -> bool {
-        self.invocations.values().any(|inv| inv.op == operation)
+    pub fn uses_operation(&self, operation: usize) -> bool {
+        self.invocations.values().any(|invocation| invocation.op == operation)
     }
 
     /// The number of ready executors that draws exclude now because they are not trusted.
-    pub fn avoided(&self, now: f64) -> usize {
+    pub fn untrusted_count(&self, now: f64) -> usize {
         self.executors.iter().filter(|t| t.is_ready() && !t.is_trusted(now, self.degraded_until)).count()
     }
 }
--- a/src/notes.rs
+++ b/src/recording.rs
@@ -1,7 +1,7 @@
 //! Updates of a node's state from answers and load reports, and its initial state. `policy` decides by them.
-use crate::chance::Chance;
 use crate::node::Node;
 use crate::policy::{MAX_RACED_RATE, MAX_SUCCESSES};
+use crate::random::Rng;
 use crate::types::*;
 
 /// The fraction of remembered successes that a failure leaves, so that two failures in a row outweigh them.
@@ -28,8 +28,8 @@
 
 impl Record {
     /// Draws a success probability from the posterior.
-    pub(crate) fn draw_from_posterior(&self, chance: &mut Chance) -> f64 {
-        chance.beta(1 + self.successes.round() as usize, 1 + self.failures.round().min(12.0) as usize)
+    pub(crate) fn draw_from_posterior(&self, rng: &mut Rng) -> f64 {
+        rng.beta(1 + self.successes.round() as usize, 1 + self.failures.round().min(12.0) as usize)
     }
 
     /// Adds a failure of the given weight.
@@ -51,16 +51,16 @@
 
     pub fn new(set: Settings, seed: u64) -> Self {
         Node {
-            rng: Chance::new(seed),
+            rng: Rng::new(seed),
             operation_stats: vec![TrafficStats::default(); set.operations.len()],
             tenant_stats: vec![TrafficStats::default(); set.quotas.len()],
-            peer_last_heard: vec![0.0; set.nodes.max(set.me + 1)],
+            peer_last_heard: vec![0.0; set.nodes.max(set.node_index + 1)],
             util: 0.5,
             // As if one start in five were late.
             spill_probability: 1.0 - (5.0 * set.cross_zone_price).min(1.0),
             trust_reference: 1.0,
             // Reports count less until starts confirm them.
-            missing_slot_rate: if set.tells_start { 2.0 * MAX_RACED_RATE } else { 0.0 },
+            missing_slot_rate: if set.reports_starts { 2.0 * MAX_RACED_RATE } else { 0.0 },
             settings: set,
             ..Node::default()
         }
@@ -94,12 +94,12 @@
     }
 
     /// Applies a load report of an executor.
-    pub(crate) fn apply_report(&mut self, now: f64, tgt: Tgt, report: Report) {
+    pub(crate) fn apply_report(&mut self, now: f64, executor_index: ExecutorIndex, report: Report) {
         // Seconds: a report may not include forwards this recent; some round trips.
         const TOO_YOUNG: f64 = 0.03;
         // Smoothing weight of one report: some seconds' worth of reports.
         const UTIL_WEIGHT: f64 = 0.02;
-        let t = &mut self.executors[tgt];
+        let t = &mut self.executors[executor_index];
         let Some(free) = report.free else { return };
         let busy = report.inflight.zip(report.queue).map(|(inflight, queue)| (inflight - queue).max(0.0));
         // Without the number of running jobs, the number of slots is estimated by the most ever seen free or
