--- a/src/sampler/tests.rs
+++ b/src/sampler/tests.rs
@@ -26,12 +26,12 @@
 #[test]
 fn draws_open_executors_by_share() {
     // Closed executors must not distort the shares of the others.
-    let (sampler, mut chance) = (sampler(12), Chance::new(3));
-    let open = |i: &Tgt| i % 4 != 1;
+    let (sampler, mut rng) = (sampler(12), Rng::new(3));
+    let open = |i: &ExecutorIndex| i % 4 != 1;
     let mut counts = [0.0; 12];
     let draws = 24_000;
     for _ in 0..draws / 2 {
-        sampler.draw(2, &mut chance, 0, &open).into_iter().for_each(|i| counts[i] += 1.0);
+        sampler.draw(2, &mut rng, 0, &open).into_iter().for_each(|i| counts[i] += 1.0);
     }
     let sum: f64 = (0..12).filter(open).map(|i| (1 + i % 3) as f64).sum();
     let part = |i: usize| draws as f64 * (1 + i % 3) as f64 / sum;
@@ -50,31 +50,31 @@
     // Draws must find open executors if there are few, as after the loss of a zone, and must terminate.
     let (sampler, windows) = (sampler(many), many.div_ceil(MAX_SCANNED));
     for seed in 0..8 {
-        let (mut chance, examined) = (Chance::new(seed), Cell::new(0));
-        let is_open = |i: &Tgt| {
+        let (mut rng, examined) = (Rng::new(seed), Cell::new(0));
+        let is_open = |i: &ExecutorIndex| {
             examined.set(examined.get() + 1);
             i % (many / open) == many / open - 1
         };
-        let draw = |at: usize| sampler.draw(2, &mut chance, 7 + at * MAX_SCANNED, &is_open);
-        let found: Vec<Tgt> = (0..windows).flat_map(draw).collect();
+        let draw = |at: usize| sampler.draw(2, &mut rng, 7 + at * MAX_SCANNED, &is_open);
+        let found: Vec<ExecutorIndex> = (0..windows).flat_map(draw).collect();
         assert!(examined.get() <= windows * (2 * MAX_TRIES + MAX_SCANNED), "{}", examined.get());
         assert!(!found.is_empty() && found.iter().all(is_open), "{found:?}");
     }
-    let (mut chance, none) = (Chance::new(3), Sampler::default());
-    assert!(sampler.draw(2, &mut chance, 0, &|_| false).is_empty(), "none open");
-    assert!(none.draw(1, &mut chance, 9, &|_| true).is_empty(), "no executors");
+    let (mut rng, none) = (Rng::new(3), Sampler::default());
+    assert!(sampler.draw(2, &mut rng, 0, &|_| false).is_empty(), "none open");
+    assert!(none.draw(1, &mut rng, 9, &|_| true).is_empty(), "no executors");
 }
 
 #[test]
 fn keys_map_by_share_and_move_only_where_needed() {
     // Cached data must not be fetched anew because nodes differ or an executor leaves, and shares must be
     // respected.
-    let lots = |gone: Tgt| {
+    let lots = |gone: ExecutorIndex| {
         let members = (0..1000).filter(|i| *i != gone).collect();
         RendezvousTree::new(members, |i| mix(i as u64), |i| if i < 500 { 1.0 } else { 3.0 })
     };
     let (all, fewer) = (lots(1000), lots(700));
-    let drawn: Vec<Option<Tgt>> = (0..8000).map(|key| all.draw(mix(key))).collect();
+    let drawn: Vec<Option<ExecutorIndex>> = (0..8000).map(|key| all.draw(mix(key))).collect();
     let large = drawn.iter().flatten().filter(|i| **i >= 500).count() as f64 / 8000.0;
     assert!((0.735..0.765).contains(&large), "three quarters expected: {large}");
     let moved = (0..8000).filter(|&key| fewer.draw(mix(key)) != drawn[key as usize]).count();
@@ -97,8 +97,8 @@
     held: Vec<f64>,
     received: Vec<f64>,
     failed: usize,
-    chance: Chance,
-    sent: BTreeMap<InvId, f64>,
+    rng: Rng,
+    sent: BTreeMap<InvocationId, f64>,
     /// Executors examined outside solves.
     examined: usize,
 }
@@ -107,7 +107,7 @@
 const DEDUP_CELL: Effect = Effect::Deduplicated { group: Group::Cell, window: 2.0 };
 
 impl Simulation {
-    fn new(many: usize, change: impl Fn(&mut Settings), entry: impl Fn(Tgt) -> Entry) -> Self {
+    fn new(many: usize, change: impl Fn(&mut Settings), entry: impl Fn(ExecutorIndex) -> Entry) -> Self {
         let effect = Effect::Idempotent;
         let operations =
             vec![Operation { effect, objective: 1.0, stretch: 1.0, value: 1.0, late_value: 0.0, kind: None }];
@@ -126,11 +126,14 @@
             held,
             received,
             failed: 0,
-            chance: Chance::new(9),
+            rng: Rng::new(9),
             sent,
             examined: 0,
         };
-        simulation.deliver(0.0, Input::List(List::Kept((0..many).map(entry).collect(), KeptAge::Unsaid)));
+        simulation.deliver(
+            0.0,
+            Input::List(List::Initial((0..many).map(entry).collect(), InitialListAge::Unspecified)),
+        );
         simulation
     }
 
@@ -139,9 +142,14 @@
         self.inputs.push(Some(input));
     }
 
-    fn report(&self, tgt: Tgt) -> Report {
-        let inflight = Some(self.held[tgt]);
-        Report { free: Some(16.0 - self.held[tgt]), queue: Some(0.0), inflight, ..Report::default() }
+    fn report(&self, executor_index: ExecutorIndex) -> Report {
+        let inflight = Some(self.held[executor_index]);
+        Report {
+            free: Some(16.0 - self.held[executor_index]),
+            queue: Some(0.0),
+            inflight,
+            ..Report::default()
+        }
     }
 
     fn deliver(&mut self, now: f64, input: Input) {
@@ -151,22 +159,25 @@
         self.examined += if solves { 0 } else { take_examined() };
         for output in out {
             match output {
-                Output::Forward { id, tgt } => {
-                    self.received[tgt] += 1.0;
-                    self.held[tgt] += 1.0;
+                Output::Forward { id, executor_index } => {
+                    self.received[executor_index] += 1.0;
+                    self.held[executor_index] += 1.0;
                     self.sent.insert(id, now);
-                    let took = 0.05 * (0.05 * (self.chance.draw() + self.chance.draw() - 1.0) * 2.4).exp();
-                    let report = self.report(tgt);
+                    let took = 0.05 * (0.05 * (self.rng.draw() + self.rng.draw() - 1.0) * 2.4).exp();
+                    let report = self.report(executor_index);
                     let (outcome, ended, forward) = (Outcome::Succeeded, true, 0);
-                    self.schedule(now + 0.001, Input::Alive { id, forward });
+                    self.schedule(now + 0.001, Input::Started { id, forward });
                     let settled = Settled { id, forward, outcome, took, ended, report };
                     self.schedule(now + took, Input::Settled(settled));
                 }
-                Output::Probe(tgt) => {
-                    let (report, way) = (self.report(tgt), 0.0005 + 0.001 * self.chance.draw());
-                    self.schedule(now + way, Input::Probed { tgt, outcome: Outcome::Succeeded, report });
+                Output::Probe(executor_index) => {
+                    let (report, way) = (self.report(executor_index), 0.0005 + 0.001 * self.rng.draw());
+                    self.schedule(
+                        now + way,
+                        Input::Probed { executor_index, outcome: Outcome::Succeeded, report },
+                    );
                 }
-                Output::Wake { after, timer } => self.schedule(now + after, Input::Timer(timer)),
+                Output::SetTimer { after, timer } => self.schedule(now + after, Input::Timer(timer)),
                 Output::Throttle { .. } | Output::Error { .. } => self.failed += 1,
                 _ => {}
             }
@@ -181,8 +192,13 @@
             }
             let input = self.inputs[event].take().expect("delivered once");
             if let Input::Settled(Settled { id, .. }) = &input {
-                let tgt = self.node.invocations.get(id).and_then(|inv| inv.forwards.last()).map(|f| f.tgt);
-                tgt.into_iter().for_each(|tgt| self.held[tgt] -= 1.0);
+                let executor_index = self
+                    .node
+                    .invocations
+                    .get(id)
+                    .and_then(|invocation| invocation.forwards.last())
+                    .map(|f| f.executor_index);
+                executor_index.into_iter().for_each(|executor_index| self.held[executor_index] -= 1.0);
             }
             self.deliver(when as f64 / 1e9, input);
         }
@@ -194,14 +210,14 @@
             let due = from + at as f64 / RATE;
             self.run_until(due);
             let sub = Submission {
-                id: 100 + (due * RATE).round() as InvId,
+                id: 100 + (due * RATE).round() as InvocationId,
                 operation: 0,
                 tenant: None,
                 timeout: 5.0,
                 hint: None,
                 memory: None,
                 key: None,
-                again: false,
+                is_retry: false,
             };
             self.deliver(due, Input::Submitted(sub));
         }
@@ -214,13 +230,13 @@
     }
 }
 
-fn ready(tgt: Tgt) -> Entry {
+fn ready(executor_index: ExecutorIndex) -> Entry {
     let standing = Standing::Ready;
     Entry {
-        tgt,
-        mark: tgt as u32,
-        zone: tgt % 5,
-        cell: tgt as i64 / 2,
+        executor_index,
+        stable_id: executor_index as u32,
+        zone: executor_index % 5,
+        cell: executor_index as i64 / 2,
         size: 1.0,
         standing,
         ..Entry::default()
@@ -251,27 +267,31 @@
 #[test]
 fn unequal_executors_get_their_shares() {
     // The choice among the drawn executors must not even out the shares of the bargaining split.
-    let sized = |tgt| Entry { size: if tgt % 2 == 0 { 1.0 } else { 1.04 }, ..ready(tgt) };
+    let sized = |executor_index| Entry {
+        size: if executor_index % 2 == 0 { 1.0 } else { 1.04 },
+        ..ready(executor_index)
+    };
     let mut simulation = Simulation::new(800, |set| set.sizes = Sizes::Listed, sized);
     simulation.submit_many(1.0, 8_000);
     simulation.received = vec![0.0; 800];
     simulation.submit_many(40.0, 8_000);
-    let even =
-        |of: &dyn Fn(Tgt) -> f64| (0..800).step_by(2).map(of).sum::<f64>() / (0..800).map(of).sum::<f64>();
+    let even = |of: &dyn Fn(ExecutorIndex) -> f64| {
+        (0..800).step_by(2).map(of).sum::<f64>() / (0..800).map(of).sum::<f64>()
+    };
     let (share, received) =
         (even(&|i| simulation.node.executors[i].share), even(&|i| simulation.received[i]));
     assert!((0.05..0.45).contains(&share) && (received - share).abs() < 0.04, "{received} for {share}");
 }
 
-#[test_case(|tgt| tgt % 5 == 0; "one zone is closed")]
-#[test_case(|tgt| tgt % 100 != 7; "one in a hundred is open")]
-fn invocations_avoid_closed_executors(closed: fn(Tgt) -> bool) {
+#[test_case(|executor_index| executor_index % 5 == 0; "one zone is closed")]
+#[test_case(|executor_index| executor_index % 100 != 7; "one in a hundred is open")]
+fn invocations_avoid_closed_executors(closed: fn(ExecutorIndex) -> bool) {
     // While some executors have free slots, invocations must neither fail nor go to closed ones.
     let mut simulation = Simulation::new(3_000, |_| {}, ready);
     simulation.submit_many(1.0, 100);
     simulation.run_until(2.0);
     let full = |t: &mut Executor| (t.refused_at, t.refusals) = (2.0, 6); // Closed for 6.4 s.
-    simulation.node.executors.iter_mut().filter(|t| closed(t.entry.tgt)).for_each(full);
+    simulation.node.executors.iter_mut().filter(|t| closed(t.entry.executor_index)).for_each(full);
     simulation.received = vec![0.0; 3_000];
     simulation.submit_many(2.0, 1_500);
     let (received, lost) = (
@@ -286,28 +306,31 @@
 }
 
 #[test_case(DEDUP_CELL, |t| t.cell == 2000; "its cell")]
-#[test_case(Effect::Idempotent, |t| t.tgt != 4000; "anywhere")]
+#[test_case(Effect::Idempotent, |t| t.executor_index != 4000; "anywhere")]
 fn a_repeat_is_drawn_from_where_it_may_go(effect: Effect, fits: fn(&Entry) -> bool) {
     // A repeat may be restricted to a few of thousands of executors, which draws over all hardly ever hit.
     let mut simulation = Simulation::new(5_000, |set| set.operations[0].effect = effect, ready);
     let first = Forward { state: ForwardState::MayHaveRun, ..Forward::new(4000, 1.0) };
-    let inv = Inv {
+    let invocation = Invocation {
         latest_start: 5.0,
         give_up_at: 5.0,
-        end: 9.0,
+        deadline: 9.0,
         slack: 1.0,
         load: 0.1,
         forwards: vec![first],
-        ..Inv::default()
+        ..Invocation::default()
     };
-    simulation.node.invocations.insert(1, inv);
+    simulation.node.invocations.insert(1, invocation);
     let drawn = simulation.node.draw_executors(1.1, 1, 2);
     assert!(
         !drawn.is_empty() && drawn.iter().all(|i| *i != 4000 && fits(&simulation.node.executors[*i].entry)),
         "{drawn:?}"
     );
-    let inv = &simulation.node.invocations[&1];
-    assert!(simulation.node.permitted_executors(inv).any(|t| simulation.node.is_eligible(1.1, inv, t)));
+    let invocation = &simulation.node.invocations[&1];
+    assert!(simulation
+        .node
+        .permitted_executors(invocation)
+        .any(|t| simulation.node.is_eligible(1.1, invocation, t)));
 }
 
 #[test_case(|t| t.started_at_once = true; "an executor that started at once")]
@@ -315,12 +338,19 @@
 fn without_reports_a_large_fleet_prefers_useful_executors(change: fn(&mut Executor)) {
     // In a large fleet without load reports, draws must still prefer executors that started at once or would
     // be idle while cold.
-    let change_set = |set: &mut Settings| (set.probing, set.tells_start) = (false, true);
+    let change_set = |set: &mut Settings| (set.probing, set.reports_starts) = (false, true);
     let mut simulation = Simulation::new(2_000, change_set, ready);
     change(&mut simulation.node.executors[1_234]);
     simulation.node.solve(2.0);
-    let inv = Inv { latest_start: 9.0, give_up_at: 9.0, end: 9.0, slack: 1.0, load: 0.1, ..Inv::default() };
-    simulation.node.invocations.insert(1, inv);
+    let invocation = Invocation {
+        latest_start: 9.0,
+        give_up_at: 9.0,
+        deadline: 9.0,
+        slack: 1.0,
+        load: 0.1,
+        ..Invocation::default()
+    };
+    simulation.node.invocations.insert(1, invocation);
     assert!((0..50).all(|_| simulation.node.draw_executors(2.0, 1, 1) == [1_234]));
 }
 
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,13 +1,14 @@
 //! The inputs and outputs of the decision logic, and the records it keeps. Times are in seconds. This module
 //! makes no decisions.
 use std::collections::VecDeque;
+use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
 /// An invocation's id, as given by the protocol.
-pub type InvId = u32;
+pub type InvocationId = u32;
 /// An executor's index at this node.
-pub type Tgt = usize;
+pub type ExecutorIndex = usize;
 
 /// Whether an operation may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
@@ -87,7 +88,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// The index of this node among `nodes`.
-    pub me: usize,
+    pub node_index: usize,
     pub nodes: usize,
     pub zone: usize,
     pub operations: Vec<Operation>,
@@ -102,12 +103,12 @@
     pub goal_worst_operation: f64,
     pub cross_zone_price: f64,
     /// The node has to call discovery for the list of executors; it is not pushed.
-    pub must_ask: bool,
+    pub polls_list: bool,
     /// Only draining is binding: an executor that is listed as gone or absent without having drained may be
     /// used.
     pub only_draining: bool,
     /// A node that has not called for the list for this long counts as informed of it.
-    pub ask_within: Option<f64>,
+    pub poll_within: Option<f64>,
     pub cold: Cold,
     pub budget: Option<Budget>,
     /// An executor may answer 'full' for work that it has begun.
@@ -127,13 +128,13 @@
     /// The longest pause that throttled clients honour.
     pub max_pause: f64,
     /// Clients mark retries.
-    pub marks_again: bool,
+    pub clients_mark_retries: bool,
     pub reports: Reports,
     pub sizes: Sizes,
     /// Interval of progress messages, 0 for none.
     pub progress: f64,
     /// Executors report the start of an invocation.
-    pub tells_start: bool,
+    pub reports_starts: bool,
 }
 
 impl Settings {
@@ -146,9 +147,9 @@
     /// `call_interval` seconds per other node, within the bounds `least` and `most`, and short enough that no
     /// node counts as informed before its call.
     pub fn time_to_turn(&self, now: f64, call_interval: f64, least: f64, most: f64) -> f64 {
-        let latest = self.ask_within.map_or(most, |within| most.min(0.9 * within));
+        let latest = self.poll_within.map_or(most, |within| most.min(0.9 * within));
         let round = (call_interval * self.nodes.saturating_sub(1) as f64).min(latest).max(least);
-        let turn = self.me as f64 / self.nodes.max(1) as f64 * round;
+        let turn = self.node_index as f64 / self.nodes.max(1) as f64 * round;
         if round > 0.0 {
             (turn - now).rem_euclid(round)
         } else {
@@ -175,9 +176,9 @@
 /// One line of the list of executors.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
-    pub tgt: Tgt,
+    pub executor_index: ExecutorIndex,
     /// The same at every node; determines which node counts for the executor.
-    pub mark: u32,
+    pub stable_id: u32,
     pub zone: usize,
     pub cell: i64,
     pub kind: usize,
@@ -192,30 +193,30 @@
     Changes(Vec<Entry>),
     Whole(Vec<Entry>),
     /// The list that this node starts with, and its age.
-    Kept(Vec<Entry>, KeptAge),
+    Initial(Vec<Entry>, InitialListAge),
     Lost(Loss),
 }
 
 impl List {
     /// Whether absent executors are gone.
     pub fn is_whole(&self) -> bool {
-        matches!(self, List::Whole(_) | List::Kept(..))
+        matches!(self, List::Whole(_) | List::Initial(..))
     }
 }
 
 /// The age of the list that a node starts with.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum KeptAge {
+pub enum InitialListAge {
     /// As old as the end of the node's last process, which may be seconds or days ago.
     Unknown,
     /// Handed over just now by the previous process, which followed it.
     Current,
     /// The protocol gives no meaning to its age.
-    Unsaid,
+    Unspecified,
 }
 
 /// What the end of a watch, or of a call for one, implies for the list held.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
 pub enum Loss {
     /// Discovery closed it, or is down: no change was missed, or no node is informed of changes.
     Closed,
@@ -228,12 +229,25 @@
     /// answer.
     Missed(f64),
     /// The protocol does not say.
-    Unsaid,
+    Unspecified,
+}
+
+/// Recorded runs contain this text, so it keeps the variants' former names.
+impl fmt::Debug for Loss {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Loss::Closed => f.write_str("Closed"),
+            Loss::Waited => f.write_str("Waited"),
+            Loss::Refused => f.write_str("Refused"),
+            Loss::Missed(seconds) => f.debug_tuple("Missed").field(seconds).finish(),
+            Loss::Unspecified => f.write_str("Unsaid"),
+        }
+    }
 }
 
 #[derive(Clone, Debug)]
 pub struct Submission {
-    pub id: InvId,
+    pub id: InvocationId,
     pub operation: usize,
     pub tenant: Option<usize>,
     /// Time left until the client gives up.
@@ -245,29 +259,46 @@
     /// The data it works on, which an executor caches for a while.
     pub key: Option<u64>,
     /// Whether the client marks it as a retry.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// How a forward or a probe ended.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
 pub enum Outcome {
     Succeeded,
     Errored,
     /// The executor rejects the invocation itself.
-    Unfit,
+    Rejected,
     Full,
     TimedOut,
     Unreachable,
     Reset,
     Cancelled,
     /// It was never written.
-    Moot,
+    NotWritten,
+}
+
+/// Recorded runs contain this text, so it keeps the variants' former names.
+impl fmt::Debug for Outcome {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Outcome::Succeeded => "Succeeded",
+            Outcome::Errored => "Errored",
+            Outcome::Rejected => "Unfit",
+            Outcome::Full => "Full",
+            Outcome::TimedOut => "TimedOut",
+            Outcome::Unreachable => "Unreachable",
+            Outcome::Reset => "Reset",
+            Outcome::Cancelled => "Cancelled",
+            Outcome::NotWritten => "Moot",
+        })
+    }
 }
 
 impl Outcome {
     /// Whether the outcome proves that the invocation has not run and will not run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Moot)
+        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::NotWritten)
     }
 }
 
@@ -285,7 +316,7 @@
 /// The end of one forward; `ended` when the invocation has its final answer.
 #[derive(Clone, Debug)]
 pub struct Settled {
-    pub id: InvId,
+    pub id: InvocationId,
     pub forward: usize,
     pub outcome: Outcome,
     pub took: f64,
@@ -299,75 +330,88 @@
     Submitted(Submission),
     Settled(Settled),
     /// A forward has started or makes progress.
-    Alive {
-        id: InvId,
+    Started {
+        id: InvocationId,
         forward: usize,
     },
     /// A forward's executor has not acknowledged it in time.
-    Unheard {
-        id: InvId,
+    Unacknowledged {
+        id: InvocationId,
         forward: usize,
     },
-    Expired(InvId),
+    Expired(InvocationId),
     /// The node has to stop by the given time.
-    Leaving(f64),
+    Stopping(f64),
     Timer(u64),
     Probed {
-        tgt: Tgt,
+        executor_index: ExecutorIndex,
         outcome: Outcome,
         report: Report,
     },
-    Heard {
+    PeerMessage {
         from: usize,
-        told: Told,
-        tgt: Tgt,
+        kind: PeerMessageKind,
+        executor_index: ExecutorIndex,
         count: u8,
     },
 }
 
-/// A message between nodes about one executor, with one number: `Held`, the forwards that the sender holds
-/// there; `Asks`, a query for free slots; `Room`, its answer.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
+/// The kind of a message between nodes about one executor, which carries one number.
+#[derive(Clone, Copy, PartialEq)]
+pub enum PeerMessageKind {
+    /// The number of forwards that the sender holds there.
     Held,
-    Asks,
-    Room,
+    /// A query for free slots.
+    Query,
+    /// The answer to it: the number of free slots that the asking node may use.
+    FreeSlots,
+}
+
+/// Recorded runs contain this text, so it keeps the variants' former names.
+impl fmt::Debug for PeerMessageKind {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            PeerMessageKind::Held => "Held",
+            PeerMessageKind::Query => "Asks",
+            PeerMessageKind::FreeSlots => "Room",
+        })
+    }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Forward {
-        id: InvId,
-        tgt: Tgt,
+        id: InvocationId,
+        executor_index: ExecutorIndex,
     },
     Withdraw {
-        id: InvId,
+        id: InvocationId,
         forward: usize,
     },
     /// Tell the client to retry after the pause.
     Throttle {
-        id: InvId,
+        id: InvocationId,
         pause: f64,
     },
     Error {
-        id: InvId,
+        id: InvocationId,
     },
-    Wake {
+    SetTimer {
         after: f64,
         timer: u64,
     },
-    Probe(Tgt),
+    Probe(ExecutorIndex),
     /// Close the idle connections to the executor.
-    Release(Tgt),
+    Release(ExecutorIndex),
     /// Send a message to another node.
-    Tell {
+    SendToPeer {
         to: usize,
-        told: Told,
-        tgt: Tgt,
+        kind: PeerMessageKind,
+        executor_index: ExecutorIndex,
         count: u8,
     },
     /// Call discovery for the list and watch it.
-    Follow,
+    WatchList,
     Log(String),
 }
 
@@ -376,7 +420,7 @@
 /// The state of an invocation. `Uncertain`: nothing is in flight, but an earlier forward may have run.
 /// `InFlightUncertain`: in flight, and an earlier forward may have run or is in flight too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub enum InvState {
+pub enum InvocationState {
     #[default]
     Waiting,
     #[serde(rename = "Out")]
@@ -391,7 +435,7 @@
 /// An event in the life cycle of an invocation. `NotRun`, `MayHaveRun`: the last forward in flight has ended,
 /// and this holds for all forwards together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum InvEvent {
+pub enum InvocationEvent {
     Sent,
     Finished,
     NotRun,
@@ -422,7 +466,8 @@
 /// One attempt of an invocation at an executor.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Forward {
-    pub tgt: Tgt,
+    #[serde(rename = "tgt")]
+    pub executor_index: ExecutorIndex,
     pub sent: f64,
     #[serde(rename = "fate")]
     pub state: ForwardState,
@@ -466,9 +511,9 @@
         }
     }
 
-    pub fn new(tgt: Tgt, sent: f64) -> Self {
+    pub fn new(executor_index: ExecutorIndex, sent: f64) -> Self {
         Forward {
-            tgt,
+            executor_index,
             sent,
             state: ForwardState::InFlight,
             wait: None,
@@ -484,10 +529,10 @@
 
 /// An invocation, kept until it is answered and none of its forwards is in flight.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Inv {
+pub struct Invocation {
     pub op: usize,
     #[serde(rename = "life")]
-    pub state: InvState,
+    pub state: InvocationState,
     /// The fraction of its billed value that counts; below one if its tenant exceeds its share.
     #[serde(rename = "worth")]
     pub weight: f64,
@@ -504,7 +549,8 @@
     #[serde(rename = "until")]
     pub give_up_at: f64,
     /// The client's timeout, or the node's stop if earlier.
-    pub end: f64,
+    #[serde(rename = "end")]
+    pub deadline: f64,
     pub hint: f64,
     /// How long it is expected to occupy an ordinary slot.
     pub load: f64,
@@ -523,7 +569,7 @@
     pub no_more_forwards: bool,
     /// The executors drawn for it.
     #[serde(rename = "sample")]
-    pub candidates: Vec<Tgt>,
+    pub candidates: Vec<ExecutorIndex>,
     /// The earliest time of the next draw.
     #[serde(rename = "again")]
     pub next_draw: f64,
@@ -533,7 +579,7 @@
     pub forwards: Vec<Forward>,
 }
 
-impl Inv {
+impl Invocation {
     /// The forwards that have no outcome yet.
     pub fn in_flight(&self) -> impl Iterator<Item = usize> + '_ {
         let out = |f: &(usize, &Forward)| f.1.state == ForwardState::InFlight;
@@ -669,8 +715,11 @@
     }
 
     /// An executor that has not been listed yet; any start time differs from NaN and counts as new.
-    pub fn unlisted(tgt: Tgt) -> Self {
-        Executor { entry: Entry { tgt, started: f64::NAN, ..Entry::default() }, ..Executor::default() }
+    pub fn unlisted(executor_index: ExecutorIndex) -> Self {
+        Executor {
+            entry: Entry { executor_index, started: f64::NAN, ..Entry::default() },
+            ..Executor::default()
+        }
     }
 
     /// Whether it can be used: listed as ready, or missing and seen alive since.
@@ -837,7 +886,7 @@
 
 impl Entry {
     /// Whether both executors are in the same deduplication group.
-    pub fn same(&self, group: Group, other: &Entry) -> bool {
+    pub fn shares_dedup_group(&self, group: Group, other: &Entry) -> bool {
         match group {
             Group::All => true,
             Group::Zone => other.zone == self.zone,
@@ -849,13 +898,13 @@
 /// Where an invocation can be sent now. `Never`: no executor may take it, now or later.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    Here(Tgt),
+    Here(ExecutorIndex),
     Later,
     Never,
 }
 
 /// Restricts the pool to those that match, if the condition holds and any do.
-pub fn prefer(pool: &mut Vec<Tgt>, condition: bool, matches: impl Fn(&Tgt) -> bool) {
+pub fn prefer(pool: &mut Vec<ExecutorIndex>, condition: bool, matches: impl Fn(&ExecutorIndex) -> bool) {
     if condition && pool.iter().any(&matches) {
         pool.retain(matches);
     }
