--- a/crates/coveroute-node/src/tests.rs
+++ b/crates/coveroute-node/src/tests.rs
@@ -146,7 +146,7 @@
     executor_connections
 }
 
-/// The last reply to a forward, leaving out `Unheard`.
+/// The last reply to a forward, leaving out `NotAcknowledged`.
 async fn forward(executor_connections: &mut ExecutorConnections, give_up_after: Duration) -> Option<Reply> {
     forwarded(executor_connections, AckTimeouts { report_after: give_up_after, give_up_after })
         .await
